--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -16,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace {
 
--- a/examples/minimal.cpp
+++ b/examples/minimal.cpp
@@ -5,7 +5,7 @@
 #include <variant>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 int main() {
   using namespace brackenspoke;
--- a/include/brackenspoke/balancer.h
+++ b/include/kestrelline/balancer.h
@@ -5,8 +5,8 @@
 // A Balancer is pure and deterministic. It has no clock, I/O, threads or globals: time comes in with each
 // event and randomness derives from the seed alone. Classes, tenants, zones and kinds are indices into the
 // lists of the settings, so names cannot decide anything.
-#ifndef BRACKENSPOKE_BALANCER_H_
-#define BRACKENSPOKE_BALANCER_H_
+#ifndef KESTRELLINE_BALANCER_H_
+#define KESTRELLINE_BALANCER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -251,4 +251,4 @@
 
 }  // namespace brackenspoke
 
-#endif  // BRACKENSPOKE_BALANCER_H_
+#endif  // KESTRELLINE_BALANCER_H_
--- a/src/adapter/codec.h
+++ b/src/adapter/codec.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Frames of the simulator's wire: little-endian, packed. Reads batches of events, writes replies of actions.
-#ifndef BRACKENSPOKE_ADAPTER_CODEC_H_
-#define BRACKENSPOKE_ADAPTER_CODEC_H_
+#ifndef KESTRELLINE_ADAPTER_CODEC_H_
+#define KESTRELLINE_ADAPTER_CODEC_H_
 
 #include <cstdint>
 #include <iosfwd>
@@ -13,7 +13,7 @@
 #include <variant>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace brackenspoke::adapter {
 
@@ -62,4 +62,4 @@
 
 }  // namespace brackenspoke::adapter
 
-#endif  // BRACKENSPOKE_ADAPTER_CODEC_H_
+#endif  // KESTRELLINE_ADAPTER_CODEC_H_
--- a/src/adapter/host.h
+++ b/src/adapter/host.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Hosts one Balancer per live instance and carries events and actions between them and the wire.
-#ifndef BRACKENSPOKE_ADAPTER_HOST_H_
-#define BRACKENSPOKE_ADAPTER_HOST_H_
+#ifndef KESTRELLINE_ADAPTER_HOST_H_
+#define KESTRELLINE_ADAPTER_HOST_H_
 
 #include <iosfwd>
 #include <map>
 #include <set>
 #include <string>
 
-#include "brackenspoke/balancer.h"
 #include "codec.h"
+#include "kestrelline/balancer.h"
 
 namespace brackenspoke::adapter {
 
@@ -33,4 +33,4 @@
 
 }  // namespace brackenspoke::adapter
 
-#endif  // BRACKENSPOKE_ADAPTER_HOST_H_
+#endif  // KESTRELLINE_ADAPTER_HOST_H_
--- a/src/adapter/settings.h
+++ b/src/adapter/settings.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Reads the path=value settings of the simulator's wire.
-#ifndef BRACKENSPOKE_ADAPTER_SETTINGS_H_
-#define BRACKENSPOKE_ADAPTER_SETTINGS_H_
+#ifndef KESTRELLINE_ADAPTER_SETTINGS_H_
+#define KESTRELLINE_ADAPTER_SETTINGS_H_
 
 #include <stdexcept>
 #include <string_view>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace brackenspoke::adapter {
 
@@ -22,4 +22,4 @@
 
 }  // namespace brackenspoke::adapter
 
-#endif  // BRACKENSPOKE_ADAPTER_SETTINGS_H_
+#endif  // KESTRELLINE_ADAPTER_SETTINGS_H_
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The life of a request, and the module as a whole. The types, events and actions are in
-// include/brackenspoke/balancer.h; the other decisions in src/policy, each in a file that is named after it.
+// include/kestrelline/balancer.h; the other decisions in src/policy, each in a file that is named after it.
 //
 // The ordinary path is gRFC A50 outlier detection (failure percentage) and, among the servers in service, a
 // pick of the one with the least hinted work of this proxy's own in flight. Whatever departs from that is
--- a/src/fleet/asking.h
+++ b/src/fleet/asking.h
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::fleet {
 
--- a/src/fleet/class_losses.h
+++ b/src/fleet/class_losses.h
@@ -20,7 +20,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::fleet {
 
--- a/src/fleet/pick_index.h
+++ b/src/fleet/pick_index.h
@@ -17,9 +17,9 @@
 #include <cstdint>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
 #include "fleet/least_work.h"
 #include "fleet/table.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::fleet {
 
--- a/src/fleet/roster.h
+++ b/src/fleet/roster.h
@@ -20,10 +20,10 @@
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
 #include "fleet/groups.h"
 #include "fleet/ring.h"
 #include "fleet/table.h"
+#include "kestrelline/balancer.h"
 #include "measures.h"
 
 namespace kestrelline::fleet {
--- a/src/handover/last_byte.h
+++ b/src/handover/last_byte.h
@@ -17,7 +17,7 @@
 #include <array>
 #include <cstddef>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::handover {
 
--- a/src/measures.h
+++ b/src/measures.h
@@ -2,8 +2,8 @@
 //
 // What the decision module counts with: a random source, averages, memories and the record of a
 // request. No decisions.
-#ifndef BRACKENSPOKE_SRC_MEASURES_H_
-#define BRACKENSPOKE_SRC_MEASURES_H_
+#ifndef KESTRELLINE_SRC_MEASURES_H_
+#define KESTRELLINE_SRC_MEASURES_H_
 
 #include <algorithm>
 #include <cmath>
@@ -16,7 +16,7 @@
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace brackenspoke {
 
@@ -248,4 +248,4 @@
 
 }  // namespace brackenspoke
 
-#endif  // BRACKENSPOKE_SRC_MEASURES_H_
+#endif  // KESTRELLINE_SRC_MEASURES_H_
--- a/src/plugin/api.h
+++ b/src/plugin/api.h
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::plugin {
 
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // How much this proxy has in flight, and what it turns away: limits of the whole proxy, shares of tenants.
-#ifndef BRACKENSPOKE_SRC_POLICY_ADMISSION_H_
-#define BRACKENSPOKE_SRC_POLICY_ADMISSION_H_
+#ifndef KESTRELLINE_SRC_POLICY_ADMISSION_H_
+#define KESTRELLINE_SRC_POLICY_ADMISSION_H_
 
 #include "policy/state.h"
 
@@ -124,4 +124,4 @@
 
 }  // namespace brackenspoke
 
-#endif  // BRACKENSPOKE_SRC_POLICY_ADMISSION_H_
+#endif  // KESTRELLINE_SRC_POLICY_ADMISSION_H_
--- a/src/policy/attempts.h
+++ b/src/policy/attempts.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Whether a request may have another attempt, how long one may take, and the budget of repeats.
-#ifndef BRACKENSPOKE_SRC_POLICY_ATTEMPTS_H_
-#define BRACKENSPOKE_SRC_POLICY_ATTEMPTS_H_
+#ifndef KESTRELLINE_SRC_POLICY_ATTEMPTS_H_
+#define KESTRELLINE_SRC_POLICY_ATTEMPTS_H_
 
 #include "policy/state.h"
 
@@ -98,4 +98,4 @@
 
 }  // namespace brackenspoke
 
-#endif  // BRACKENSPOKE_SRC_POLICY_ATTEMPTS_H_
+#endif  // KESTRELLINE_SRC_POLICY_ATTEMPTS_H_
--- a/src/policy/cold_start.h
+++ b/src/policy/cold_start.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a server that started lately may be sent, and what the servers can do together.
-#ifndef BRACKENSPOKE_SRC_POLICY_COLD_START_H_
-#define BRACKENSPOKE_SRC_POLICY_COLD_START_H_
+#ifndef KESTRELLINE_SRC_POLICY_COLD_START_H_
+#define KESTRELLINE_SRC_POLICY_COLD_START_H_
 
 #include <boost/unordered/unordered_flat_map.hpp>
 
@@ -97,4 +97,4 @@
 
 }  // namespace brackenspoke
 
-#endif  // BRACKENSPOKE_SRC_POLICY_COLD_START_H_
+#endif  // KESTRELLINE_SRC_POLICY_COLD_START_H_
--- a/src/policy/ejection.h
+++ b/src/policy/ejection.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // When a server is taken out of service, and until when.
-#ifndef BRACKENSPOKE_SRC_POLICY_EJECTION_H_
-#define BRACKENSPOKE_SRC_POLICY_EJECTION_H_
+#ifndef KESTRELLINE_SRC_POLICY_EJECTION_H_
+#define KESTRELLINE_SRC_POLICY_EJECTION_H_
 
 #include "measures.h"
 
@@ -106,4 +106,4 @@
 
 }  // namespace brackenspoke
 
-#endif  // BRACKENSPOKE_SRC_POLICY_EJECTION_H_
+#endif  // KESTRELLINE_SRC_POLICY_EJECTION_H_
--- a/src/policy/estimates.h
+++ b/src/policy/estimates.h
@@ -2,8 +2,8 @@
 //
 // What the module takes from answers and arrivals: how crowded servers are, rates, the time that clients
 // give. Averages, no decisions.
-#ifndef BRACKENSPOKE_SRC_POLICY_ESTIMATES_H_
-#define BRACKENSPOKE_SRC_POLICY_ESTIMATES_H_
+#ifndef KESTRELLINE_SRC_POLICY_ESTIMATES_H_
+#define KESTRELLINE_SRC_POLICY_ESTIMATES_H_
 
 #include <algorithm>
 #include <cmath>
@@ -107,4 +107,4 @@
 
 }  // namespace brackenspoke
 
-#endif  // BRACKENSPOKE_SRC_POLICY_ESTIMATES_H_
+#endif  // KESTRELLINE_SRC_POLICY_ESTIMATES_H_
--- a/src/policy/picking.h
+++ b/src/policy/picking.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Which server a request goes to, of those that this proxy uses.
-#ifndef BRACKENSPOKE_SRC_POLICY_PICKING_H_
-#define BRACKENSPOKE_SRC_POLICY_PICKING_H_
+#ifndef KESTRELLINE_SRC_POLICY_PICKING_H_
+#define KESTRELLINE_SRC_POLICY_PICKING_H_
 
 #include "fleet/affinity.h"
 #include "policy/cold_start.h"
@@ -225,4 +225,4 @@
 
 }  // namespace brackenspoke
 
-#endif  // BRACKENSPOKE_SRC_POLICY_PICKING_H_
+#endif  // KESTRELLINE_SRC_POLICY_PICKING_H_
--- a/src/policy/state.h
+++ b/src/policy/state.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What all parts of the decision module go by: the settings, the servers, this moment. No decisions.
-#ifndef BRACKENSPOKE_SRC_POLICY_STATE_H_
-#define BRACKENSPOKE_SRC_POLICY_STATE_H_
+#ifndef KESTRELLINE_SRC_POLICY_STATE_H_
+#define KESTRELLINE_SRC_POLICY_STATE_H_
 
 #include <cmath>
 #include <cstdint>
@@ -10,11 +10,11 @@
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
 #include "fleet/class_losses.h"
 #include "fleet/roster.h"
 #include "fleet/subset.h"
 #include "fleet/table.h"
+#include "kestrelline/balancer.h"
 #include "measures.h"
 #include "policy/ejection.h"
 #include "policy/estimates.h"
@@ -114,4 +114,4 @@
 
 }  // namespace brackenspoke
 
-#endif  // BRACKENSPOKE_SRC_POLICY_STATE_H_
+#endif  // KESTRELLINE_SRC_POLICY_STATE_H_
--- a/src/policy/used_servers.h
+++ b/src/policy/used_servers.h
@@ -3,8 +3,8 @@
 // The servers that this proxy uses, and the index of them where they are many. Which these are is decided by
 // fleet/subset.h and by how many this proxy's traffic can judge; here they are kept, in step with the list
 // and with what is in service.
-#ifndef BRACKENSPOKE_SRC_POLICY_USED_SERVERS_H_
-#define BRACKENSPOKE_SRC_POLICY_USED_SERVERS_H_
+#ifndef KESTRELLINE_SRC_POLICY_USED_SERVERS_H_
+#define KESTRELLINE_SRC_POLICY_USED_SERVERS_H_
 
 #include <utility>
 #include <vector>
@@ -159,4 +159,4 @@
 
 }  // namespace brackenspoke
 
-#endif  // BRACKENSPOKE_SRC_POLICY_USED_SERVERS_H_
+#endif  // KESTRELLINE_SRC_POLICY_USED_SERVERS_H_
--- a/src/proxy/backends.h
+++ b/src/proxy/backends.h
@@ -2,8 +2,8 @@
 //
 // Attempts at backends and the pool of connections that carries them. It decides nothing: each Send is one
 // attempt on one connection and ends in exactly one result.
-#ifndef BRACKENSPOKE_PROXY_BACKENDS_H_
-#define BRACKENSPOKE_PROXY_BACKENDS_H_
+#ifndef KESTRELLINE_PROXY_BACKENDS_H_
+#define KESTRELLINE_PROXY_BACKENDS_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -18,8 +18,8 @@
 
 #include "bodies/budget.h"
 #include "body_source.h"
-#include "brackenspoke/balancer.h"
 #include "framing.h"
+#include "kestrelline/balancer.h"
 #include "upload.h"
 
 namespace brackenspoke::proxy {
@@ -125,4 +125,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_BACKENDS_H_
+#endif  // KESTRELLINE_PROXY_BACKENDS_H_
--- a/src/proxy/body_source.h
+++ b/src/proxy/body_source.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A body that comes in pieces, each asked for: who takes them slowly slows their sender and nobody else.
-#ifndef BRACKENSPOKE_PROXY_BODY_SOURCE_H_
-#define BRACKENSPOKE_PROXY_BODY_SOURCE_H_
+#ifndef KESTRELLINE_PROXY_BODY_SOURCE_H_
+#define KESTRELLINE_PROXY_BODY_SOURCE_H_
 
 #include <functional>
 #include <string>
@@ -28,4 +28,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_BODY_SOURCE_H_
+#endif  // KESTRELLINE_PROXY_BODY_SOURCE_H_
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The side of the clients: accepts connections, reads requests, writes the one answer to each.
-#ifndef BRACKENSPOKE_PROXY_CLIENTS_H_
-#define BRACKENSPOKE_PROXY_CLIENTS_H_
+#ifndef KESTRELLINE_PROXY_CLIENTS_H_
+#define KESTRELLINE_PROXY_CLIENTS_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -112,4 +112,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CLIENTS_H_
+#endif  // KESTRELLINE_PROXY_CLIENTS_H_
--- a/src/proxy/clock.h
+++ b/src/proxy/clock.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The module's clock on this machine's steady one.
-#ifndef BRACKENSPOKE_PROXY_CLOCK_H_
-#define BRACKENSPOKE_PROXY_CLOCK_H_
+#ifndef KESTRELLINE_PROXY_CLOCK_H_
+#define KESTRELLINE_PROXY_CLOCK_H_
 
 #include <algorithm>
 #include <chrono>
 #include <cmath>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace brackenspoke::proxy {
 
@@ -40,4 +40,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CLOCK_H_
+#endif  // KESTRELLINE_PROXY_CLOCK_H_
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a proxy is told at its start: environment and configuration file, checked.
-#ifndef BRACKENSPOKE_PROXY_CONFIG_H_
-#define BRACKENSPOKE_PROXY_CONFIG_H_
+#ifndef KESTRELLINE_PROXY_CONFIG_H_
+#define KESTRELLINE_PROXY_CONFIG_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <chrono>
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 #include "members.h"
 
 namespace brackenspoke::proxy {
@@ -71,4 +71,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CONFIG_H_
+#endif  // KESTRELLINE_PROXY_CONFIG_H_
--- a/src/proxy/connection.h
+++ b/src/proxy/connection.h
@@ -2,8 +2,8 @@
 //
 // One connection to a backend and the attempt on it, if any. Once closed it is never used again, so that an
 // answer which comes after its attempt's time-out has nowhere to go.
-#ifndef BRACKENSPOKE_PROXY_CONNECTION_H_
-#define BRACKENSPOKE_PROXY_CONNECTION_H_
+#ifndef KESTRELLINE_PROXY_CONNECTION_H_
+#define KESTRELLINE_PROXY_CONNECTION_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -118,4 +118,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CONNECTION_H_
+#endif  // KESTRELLINE_PROXY_CONNECTION_H_
--- a/src/proxy/descriptors.h
+++ b/src/proxy/descriptors.h
@@ -7,8 +7,8 @@
 // quarter of its share is kept for it) may be borrowed; what is borrowed counts against the lender, so that
 // the two together never hold more than the sum of the shares. The lender gets it back as connections end:
 // clients are sent away after each answer while their places run short.
-#ifndef BRACKENSPOKE_PROXY_DESCRIPTORS_H_
-#define BRACKENSPOKE_PROXY_DESCRIPTORS_H_
+#ifndef KESTRELLINE_PROXY_DESCRIPTORS_H_
+#define KESTRELLINE_PROXY_DESCRIPTORS_H_
 
 #include <cstddef>
 
@@ -45,4 +45,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_DESCRIPTORS_H_
+#endif  // KESTRELLINE_PROXY_DESCRIPTORS_H_
--- a/src/proxy/discovery.h
+++ b/src/proxy/discovery.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Watches discovery for changes of the list of backends.
-#ifndef BRACKENSPOKE_PROXY_DISCOVERY_H_
-#define BRACKENSPOKE_PROXY_DISCOVERY_H_
+#ifndef KESTRELLINE_PROXY_DISCOVERY_H_
+#define KESTRELLINE_PROXY_DISCOVERY_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -71,4 +71,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_DISCOVERY_H_
+#endif  // KESTRELLINE_PROXY_DISCOVERY_H_
--- a/src/proxy/framing.h
+++ b/src/proxy/framing.h
@@ -2,8 +2,8 @@
 //
 // What of a message is believed: its framing must leave no room for two readings, and what a request's
 // headers say must fit together.
-#ifndef BRACKENSPOKE_PROXY_FRAMING_H_
-#define BRACKENSPOKE_PROXY_FRAMING_H_
+#ifndef KESTRELLINE_PROXY_FRAMING_H_
+#define KESTRELLINE_PROXY_FRAMING_H_
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/core/buffers_range.hpp>
@@ -93,4 +93,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_FRAMING_H_
+#endif  // KESTRELLINE_PROXY_FRAMING_H_
--- a/src/proxy/listener.h
+++ b/src/proxy/listener.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The socket that clients come to: opened here, or inherited.
-#ifndef BRACKENSPOKE_PROXY_LISTENER_H_
-#define BRACKENSPOKE_PROXY_LISTENER_H_
+#ifndef KESTRELLINE_PROXY_LISTENER_H_
+#define KESTRELLINE_PROXY_LISTENER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -16,4 +16,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_LISTENER_H_
+#endif  // KESTRELLINE_PROXY_LISTENER_H_
--- a/src/proxy/members.h
+++ b/src/proxy/members.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The list of backends in discovery's JSON form, and the numbers that the decision module knows them by.
-#ifndef BRACKENSPOKE_PROXY_MEMBERS_H_
-#define BRACKENSPOKE_PROXY_MEMBERS_H_
+#ifndef KESTRELLINE_PROXY_MEMBERS_H_
+#define KESTRELLINE_PROXY_MEMBERS_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace brackenspoke::proxy {
 
@@ -62,4 +62,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_MEMBERS_H_
+#endif  // KESTRELLINE_PROXY_MEMBERS_H_
--- a/src/proxy/pieces.h
+++ b/src/proxy/pieces.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Pieces of a body as both sides read and write them.
-#ifndef BRACKENSPOKE_PROXY_PIECES_H_
-#define BRACKENSPOKE_PROXY_PIECES_H_
+#ifndef KESTRELLINE_PROXY_PIECES_H_
+#define KESTRELLINE_PROXY_PIECES_H_
 
 #include <boost/beast/core/flat_buffer.hpp>
 #include <cstddef>
@@ -30,4 +30,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_PIECES_H_
+#endif  // KESTRELLINE_PROXY_PIECES_H_
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -2,8 +2,8 @@
 //
 // The proxy: turns what happens on sockets into events for its Balancer, and carries out the actions. Every
 // decision is the Balancer's.
-#ifndef BRACKENSPOKE_PROXY_PROXY_H_
-#define BRACKENSPOKE_PROXY_PROXY_H_
+#ifndef KESTRELLINE_PROXY_PROXY_H_
+#define KESTRELLINE_PROXY_PROXY_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -19,13 +19,13 @@
 #include <vector>
 
 #include "backends.h"
-#include "brackenspoke/balancer.h"
 #include "clients.h"
 #include "clock.h"
 #include "config.h"
 #include "descriptors.h"
 #include "discovery.h"
 #include "handover/last_byte.h"
+#include "kestrelline/balancer.h"
 #include "lifecycle/life.h"
 #include "management/door.h"
 #include "management/figures.h"
@@ -196,4 +196,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_PROXY_H_
+#endif  // KESTRELLINE_PROXY_PROXY_H_
--- a/src/proxy/request_views.h
+++ b/src/proxy/request_views.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A request as routes and as plug-ins see it.
-#ifndef BRACKENSPOKE_PROXY_REQUEST_VIEWS_H_
-#define BRACKENSPOKE_PROXY_REQUEST_VIEWS_H_
+#ifndef KESTRELLINE_PROXY_REQUEST_VIEWS_H_
+#define KESTRELLINE_PROXY_REQUEST_VIEWS_H_
 
 #include <iterator>
 #include <string_view>
@@ -45,4 +45,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_REQUEST_VIEWS_H_
+#endif  // KESTRELLINE_PROXY_REQUEST_VIEWS_H_
--- a/src/proxy/session.h
+++ b/src/proxy/session.h
@@ -2,8 +2,8 @@
 //
 // One connection of a client, from its accept to its end: reads a request, holds it until its one answer is
 // there, writes that, waits for the next.
-#ifndef BRACKENSPOKE_PROXY_SESSION_H_
-#define BRACKENSPOKE_PROXY_SESSION_H_
+#ifndef KESTRELLINE_PROXY_SESSION_H_
+#define KESTRELLINE_PROXY_SESSION_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -143,4 +143,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_SESSION_H_
+#endif  // KESTRELLINE_PROXY_SESSION_H_
--- a/src/proxy/upload.h
+++ b/src/proxy/upload.h
@@ -2,8 +2,8 @@
 //
 // The body of one request that is passed on as it comes: between the session that reads it and the attempts
 // that write it. See bodies/passage.h for what it means to repeats.
-#ifndef BRACKENSPOKE_PROXY_UPLOAD_H_
-#define BRACKENSPOKE_PROXY_UPLOAD_H_
+#ifndef KESTRELLINE_PROXY_UPLOAD_H_
+#define KESTRELLINE_PROXY_UPLOAD_H_
 
 #include <functional>
 #include <memory>
@@ -60,4 +60,4 @@
 
 }  // namespace brackenspoke::proxy
 
-#endif  // BRACKENSPOKE_PROXY_UPLOAD_H_
+#endif  // KESTRELLINE_PROXY_UPLOAD_H_
--- a/src/replica/claims.h
+++ b/src/replica/claims.h
@@ -20,7 +20,7 @@
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 #include "replica/entry.h"
 #include "replica/settings.h"
 
--- a/src/routing/limits.h
+++ b/src/routing/limits.h
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 #include "operator/diagnostics.h"
 #include "routing/spec.h"
 
--- a/src/routing/spec.h
+++ b/src/routing/spec.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 #include "operator/diagnostics.h"
 
 namespace kestrelline::routing {
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -16,7 +16,7 @@
 #include <string_view>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 #include "operator/diagnostics.h"
 #include "routing/limits.h"
 #include "routing/spec.h"
--- a/src/sim/directory.h
+++ b/src/sim/directory.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 #include "members.h"
 
 namespace kestrelline::sim {
--- a/src/sim/hosts.h
+++ b/src/sim/hosts.h
@@ -15,8 +15,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
 #include "hashing/mix.h"
+#include "kestrelline/balancer.h"
 #include "load/events.h"
 #include "sim/kernel.h"
 #include "sim/scenario.h"
--- a/src/sim/node.h
+++ b/src/sim/node.h
@@ -13,8 +13,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
 #include "handover/last_byte.h"
+#include "kestrelline/balancer.h"
 #include "sim/wire.h"
 
 namespace kestrelline::sim {
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 #include "load/plan.h"
 #include "sim/kernel.h"
 #include "standin/site.h"
--- a/src/sim/wire.h
+++ b/src/sim/wire.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 #include "load/ledger.h"
 #include "sim/kernel.h"
 #include "standin/converter_model.h"
--- a/src/sim/words.h
+++ b/src/sim/words.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::sim {
 
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The module's decisions, each at its boundary. Events are written out; no bench is needed.
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/concert/partition_test.cpp
+++ b/tests/concert/partition_test.cpp
@@ -9,7 +9,7 @@
 #include <cmath>
 #include <limits>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::concert {
 namespace {
--- a/tests/concert/parts_test.cpp
+++ b/tests/concert/parts_test.cpp
@@ -6,11 +6,11 @@
 
 #include <random>
 
-#include "brackenspoke/balancer.h"
 #include "concert/pool.h"
 #include "concert/settings.h"
 #include "concert/voter.h"
 #include "concert/wire.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::concert {
 namespace {
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A Balancer under test, its clock, and short ways to say what happens.
-#ifndef BRACKENSPOKE_TESTS_HARNESS_H_
-#define BRACKENSPOKE_TESTS_HARNESS_H_
+#ifndef KESTRELLINE_TESTS_HARNESS_H_
+#define KESTRELLINE_TESTS_HARNESS_H_
 
 #include <map>
 #include <optional>
@@ -11,7 +11,7 @@
 #include <variant>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace brackenspoke::testing {
 
@@ -126,4 +126,4 @@
 
 }  // namespace brackenspoke::testing
 
-#endif  // BRACKENSPOKE_TESTS_HARNESS_H_
+#endif  // KESTRELLINE_TESTS_HARNESS_H_
--- a/tests/hex.h
+++ b/tests/hex.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef BRACKENSPOKE_TESTS_HEX_H_
-#define BRACKENSPOKE_TESTS_HEX_H_
+#ifndef KESTRELLINE_TESTS_HEX_H_
+#define KESTRELLINE_TESTS_HEX_H_
 
 #include <string>
 #include <string_view>
@@ -21,4 +21,4 @@
 
 }  // namespace brackenspoke::testing
 
-#endif  // BRACKENSPOKE_TESTS_HEX_H_
+#endif  // KESTRELLINE_TESTS_HEX_H_
--- a/tests/sample_settings.h
+++ b/tests/sample_settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef BRACKENSPOKE_TESTS_SAMPLE_SETTINGS_H_
-#define BRACKENSPOKE_TESTS_SAMPLE_SETTINGS_H_
+#ifndef KESTRELLINE_TESTS_SAMPLE_SETTINGS_H_
+#define KESTRELLINE_TESTS_SAMPLE_SETTINGS_H_
 
 namespace brackenspoke::testing {
 
@@ -42,4 +42,4 @@
 
 }  // namespace brackenspoke::testing
 
-#endif  // BRACKENSPOKE_TESTS_SAMPLE_SETTINGS_H_
+#endif  // KESTRELLINE_TESTS_SAMPLE_SETTINGS_H_
--- a/tests/support/rules_world.h
+++ b/tests/support/rules_world.h
@@ -17,8 +17,8 @@
 #include <variant>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
 #include "harness.h"
+#include "kestrelline/balancer.h"
 
 namespace brackenspoke::testing {
 
