--- a/bench/cost_bench.cpp
+++ b/bench/cost_bench.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 using namespace kestrelline;
-using brackenspoke::testing::Client;
+using kestrelline::testing::Client;
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
--- a/bench/fleet_worth_bench.cpp
+++ b/bench/fleet_worth_bench.cpp
@@ -130,7 +130,7 @@
   scenario.config = {{"tenants", quota}};
   const bool joins = std::string(plan.name) == "a half again joins";
   if (joins) scenario.config.emplace_back("balancers", std::to_string(proxies * 2 / 3));
-  scenario.adjust = [](brackenspoke::Settings* s) { s->over_share_worth = 0.3; };
+  scenario.adjust = [](kestrelline::Settings* s) { s->over_share_worth = 0.3; };
   return scenario;
 }
 
--- a/bench/instructions.cpp
+++ b/bench/instructions.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-using namespace brackenspoke::testing;
+using namespace kestrelline::testing;
 
 void WaitUntilReady(const Tcp::endpoint& address) {
   for (;;) {
--- a/bench/peers_cost_bench.cpp
+++ b/bench/peers_cost_bench.cpp
@@ -135,7 +135,7 @@
   bench::RunningSite site(std::move(spec), std::move(options));
   const auto door = EndpointOf(site.fleet().door_address(0));
   const auto entries = [&] {
-    const std::string said = brackenspoke::testing::Call(door, "replica\n");
+    const std::string said = kestrelline::testing::Call(door, "replica\n");
     return said.starts_with("ACK ") ? nlohmann::json::parse(said.substr(4)).value("entries", 0) : 0;
   };
   load::Plan plan;
--- a/bench/pick_bench.cpp
+++ b/bench/pick_bench.cpp
@@ -21,8 +21,8 @@
 
 namespace {
 
-using brackenspoke::Duration;
-using brackenspoke::TimePoint;
+using kestrelline::Duration;
+using kestrelline::TimePoint;
 using kestrelline::fleet::Member;
 using kestrelline::fleet::PickIndex;
 using WallClock = std::chrono::steady_clock;
--- a/bench/plugin_bench.cpp
+++ b/bench/plugin_bench.cpp
@@ -45,7 +45,7 @@
 
 using namespace kestrelline;
 using namespace kestrelline::plugin;
-using brackenspoke::testing::Client;
+using kestrelline::testing::Client;
 using Clock = std::chrono::steady_clock;
 using Tcp = boost::asio::ip::tcp;
 
--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-using namespace brackenspoke;
+using namespace kestrelline;
 using WallClock = std::chrono::steady_clock;
 
 Settings SettingsOf() {
--- a/bench/shares_bench.cpp
+++ b/bench/shares_bench.cpp
@@ -28,7 +28,7 @@
   for (Member m = 1; m <= n; ++m) {
     for (int k = 0; k < spots && !without.contains(m); ++k) {
       const std::uint32_t place = k == 0
-                                      ? brackenspoke::MixBits(m)
+                                      ? kestrelline::MixBits(m)
                                       : static_cast<std::uint32_t>(Mixed(m, static_cast<std::uint64_t>(k)));
       all.push_back({place, m});
     }
@@ -116,7 +116,7 @@
   std::vector<Member> listed;
   for (Member m = 1; m <= kServers; ++m) listed.push_back(m);
   std::vector<Spot> none, spots;
-  for (const Member m : listed) spots.push_back({brackenspoke::MixBits(m), m});
+  for (const Member m : listed) spots.push_back({kestrelline::MixBits(m), m});
   std::sort(spots.begin(), spots.end());
   Ring ring;
   ring.Change(&none, spots, [](Member) { return true; });
@@ -130,9 +130,9 @@
       std::vector<Spot> leaving, joining;
       for (int k = 0; k < 10; ++k) {
         Member& m = listed[draw() % listed.size()];
-        leaving.push_back({brackenspoke::MixBits(m), m});
+        leaving.push_back({kestrelline::MixBits(m), m});
         m = next++;
-        joining.push_back({brackenspoke::MixBits(m), m});
+        joining.push_back({kestrelline::MixBits(m), m});
       }
       std::sort(joining.begin(), joining.end());
       ring.Change(&leaving, joining, [](Member) { return true; });
--- a/examples/minimal.cpp
+++ b/examples/minimal.cpp
@@ -8,7 +8,7 @@
 #include "kestrelline/balancer.h"
 
 int main() {
-  using namespace brackenspoke;
+  using namespace kestrelline;
   using std::chrono::milliseconds;
 
   Settings settings;
--- a/include/kestrelline/balancer.h
+++ b/include/kestrelline/balancer.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The whole interface of brackenspoke: settings, events, actions and the Balancer that maps one to the other.
+// The whole interface of kestrelline: settings, events, actions and the Balancer that maps one to the other.
 //
 // A Balancer is pure and deterministic. It has no clock, I/O, threads or globals: time comes in with each
 // event and randomness derives from the seed alone. Classes, tenants, zones and kinds are indices into the
@@ -16,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-namespace brackenspoke {
+namespace kestrelline {
 
 // The clock is the caller's; its origin is arbitrary and it only advances.
 struct Clock {
@@ -249,6 +249,6 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
 #endif  // KESTRELLINE_BALANCER_H_
--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -7,7 +7,7 @@
 #include <type_traits>
 #include <utility>
 
-namespace brackenspoke::adapter {
+namespace kestrelline::adapter {
 namespace {
 
 static_assert(std::endian::native == std::endian::little,
@@ -294,4 +294,4 @@
   return frame;
 }
 
-}  // namespace brackenspoke::adapter
+}  // namespace kestrelline::adapter
--- a/src/adapter/codec.h
+++ b/src/adapter/codec.h
@@ -15,7 +15,7 @@
 
 #include "kestrelline/balancer.h"
 
-namespace brackenspoke::adapter {
+namespace kestrelline::adapter {
 
 // The input breaks the framing or a field; what() is one line.
 class MalformedInput : public std::runtime_error {
@@ -60,6 +60,6 @@
   std::string body_;
 };
 
-}  // namespace brackenspoke::adapter
+}  // namespace kestrelline::adapter
 
 #endif  // KESTRELLINE_ADAPTER_CODEC_H_
--- a/src/adapter/host.cpp
+++ b/src/adapter/host.cpp
@@ -7,7 +7,7 @@
 
 #include "settings.h"
 
-namespace brackenspoke::adapter {
+namespace kestrelline::adapter {
 
 std::string Host::Answer(const Batch& batch) {
   for (const Record& record : batch.records) Handle(batch.now, record);
@@ -48,4 +48,4 @@
   if (told_.insert(what).second) complaints_ << "brackenspoke_adapter: " << what << '\n';
 }
 
-}  // namespace brackenspoke::adapter
+}  // namespace kestrelline::adapter
--- a/src/adapter/host.h
+++ b/src/adapter/host.h
@@ -12,7 +12,7 @@
 #include "codec.h"
 #include "kestrelline/balancer.h"
 
-namespace brackenspoke::adapter {
+namespace kestrelline::adapter {
 
 class Host {
  public:
@@ -31,6 +31,6 @@
   ReplyWriter reply_;
 };
 
-}  // namespace brackenspoke::adapter
+}  // namespace kestrelline::adapter
 
 #endif  // KESTRELLINE_ADAPTER_HOST_H_
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -8,9 +8,9 @@
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  brackenspoke::adapter::Host host(std::cerr);
+  kestrelline::adapter::Host host(std::cerr);
   try {
-    while (const auto batch = brackenspoke::adapter::ReadBatch(std::cin)) {
+    while (const auto batch = kestrelline::adapter::ReadBatch(std::cin)) {
       std::cout << host.Answer(*batch) << std::flush;
     }
   } catch (const std::exception& error) {
--- a/src/adapter/settings.cpp
+++ b/src/adapter/settings.cpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-namespace brackenspoke::adapter {
+namespace kestrelline::adapter {
 namespace {
 
 constexpr double kMost = 1e12;            // no count, time or rate of a deployment is larger
@@ -134,4 +134,4 @@
   return settings;
 }
 
-}  // namespace brackenspoke::adapter
+}  // namespace kestrelline::adapter
--- a/src/adapter/settings.h
+++ b/src/adapter/settings.h
@@ -9,7 +9,7 @@
 
 #include "kestrelline/balancer.h"
 
-namespace brackenspoke::adapter {
+namespace kestrelline::adapter {
 
 // A needed key is absent, or a key holds what it must not; what() names the key.
 class BadSettings : public std::runtime_error {
@@ -20,6 +20,6 @@
 // Unknown keys are ignored; an absent optional key has its documented meaning.
 Settings ParseSettings(std::string_view text);
 
-}  // namespace brackenspoke::adapter
+}  // namespace kestrelline::adapter
 
 #endif  // KESTRELLINE_ADAPTER_SETTINGS_H_
--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -15,7 +15,7 @@
 namespace kestrelline::app {
 namespace {
 
-using brackenspoke::Duration;
+using kestrelline::Duration;
 using operator_file::Diagnostics;
 using operator_file::Shown;
 using routing::Chosen;
@@ -29,12 +29,12 @@
 }
 
 // The platform's configuration by its path alone: the environment is that of a shell, not of a proxy.
-std::optional<brackenspoke::proxy::Config> Platform(const std::string& path, std::ostream& err) {
+std::optional<kestrelline::proxy::Config> Platform(const std::string& path, std::ostream& err) {
   try {
-    return brackenspoke::proxy::LoadConfig([&](const char* name) -> const char* {
+    return kestrelline::proxy::LoadConfig([&](const char* name) -> const char* {
       return std::string_view(name) == "ROUTER_CONFIG" ? path.c_str() : nullptr;
     });
-  } catch (const brackenspoke::proxy::BadConfig& error) {
+  } catch (const kestrelline::proxy::BadConfig& error) {
     err << path << ": [config] " << error.what() << '\n';
     return std::nullopt;
   }
@@ -60,7 +60,7 @@
   return text.empty() ? "any" : text;
 }
 
-std::string LimitsText(const brackenspoke::RouteLimits* limits) {
+std::string LimitsText(const kestrelline::RouteLimits* limits) {
   if (!limits) return "the platform's";
   std::string text;
   const auto add = [&](const std::string& part) { text += (text.empty() ? "" : " ") + part; };
--- a/src/app/door_call.cpp
+++ b/src/app/door_call.cpp
@@ -41,7 +41,7 @@
 
 std::optional<nlohmann::json> AskForReport(const std::string& door, const std::string& what,
                                            std::ostream& err, int* code) {
-  const auto at = brackenspoke::proxy::ParseEndpoint(door);
+  const auto at = kestrelline::proxy::ParseEndpoint(door);
   if (!at) {
     err << "'" << door << "' is no address: 127.0.0.1:9000 is accepted\n";
     return *code = kNoAddress, std::nullopt;
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -52,7 +52,7 @@
 class Reloads {
  public:
   // `signals`: SIGHUP, caught for so long that none is missed. `peers`: null for none.
-  Reloads(boost::asio::signal_set& signals, brackenspoke::proxy::Proxy& proxy, plugin::Host& host,
+  Reloads(boost::asio::signal_set& signals, kestrelline::proxy::Proxy& proxy, plugin::Host& host,
           kestrelline::peers::Link* peers, std::string file)
       : signals_(signals), proxy_(proxy), host_(host), peers_(peers), file_(std::move(file)) {
     Await();
@@ -64,14 +64,14 @@
       if (failed) return;
       Await();
       try {
-        Begin(brackenspoke::proxy::ReloadConfig(Environment));
-      } catch (const brackenspoke::proxy::BadConfig& error) {
+        Begin(kestrelline::proxy::ReloadConfig(Environment));
+      } catch (const kestrelline::proxy::BadConfig& error) {
         OldOneStays(error.what());
       }
     });
   }
 
-  void Begin(const brackenspoke::proxy::Config& config) {
+  void Begin(const kestrelline::proxy::Config& config) {
     if (file_.empty()) return proxy_.Reload(config);
     kestrelline::operator_file::Diagnostics diagnostics(file_);
     const auto loaded = app::LoadOperatorFile(file_, proxy_.config(), app::Keep::kOutcome, &diagnostics);
@@ -88,7 +88,7 @@
     });
   }
 
-  void TakeOver(const brackenspoke::proxy::Config& config, const app::OperatorConfig& loaded,
+  void TakeOver(const kestrelline::proxy::Config& config, const app::OperatorConfig& loaded,
                 std::shared_ptr<plugin::Tagger> tagger) {
     proxy_.Reload(config);
     const std::size_t plugins = loaded.plugins->plugins().size();
@@ -105,7 +105,7 @@
   }
 
   boost::asio::signal_set& signals_;
-  brackenspoke::proxy::Proxy& proxy_;
+  kestrelline::proxy::Proxy& proxy_;
   plugin::Host& host_;
   kestrelline::peers::Link* peers_;
   std::string file_;
@@ -120,7 +120,7 @@
   std::unique_ptr<kestrelline::concert::PartitionLink> partition;  // null: classes are served as ever
 };
 
-Fleet JoinPeers(boost::asio::io_context& io, brackenspoke::proxy::Proxy& proxy,
+Fleet JoinPeers(boost::asio::io_context& io, kestrelline::proxy::Proxy& proxy,
                 const app::OperatorConfig& loaded) {
   const auto& shared = loaded.replica;
   const auto& divided = loaded.concert;
@@ -134,14 +134,14 @@
   Fleet fleet;
   fleet.peers = std::make_unique<Link>(io, *loaded.peers, std::move(who), say);
   Link* l = fleet.peers.get();
-  brackenspoke::proxy::Proxy::Peers hooks{[l] { return l->Report(); },
-                                          [l] { return l->FiguresText(); },
-                                          {},
-                                          [l] { l->Leave(); },
-                                          [l] { l->Stay(); },
-                                          [l] { l->Gone(); },
-                                          [l] { l->HandOver(); },
-                                          [](const auto& done) { done(); }};
+  kestrelline::proxy::Proxy::Peers hooks{[l] { return l->Report(); },
+                                         [l] { return l->FiguresText(); },
+                                         {},
+                                         [l] { l->Leave(); },
+                                         [l] { l->Stay(); },
+                                         [l] { l->Gone(); },
+                                         [l] { l->HandOver(); },
+                                         [](const auto& done) { done(); }};
   if (shared) {
     fleet.replica = std::make_unique<kestrelline::replica::Link>(io, *l, *shared, say);
     fleet.claims = std::make_unique<kestrelline::replica::Claims>(*fleet.replica, *shared, config.zones);
@@ -184,11 +184,11 @@
     // Caught from before the configuration is read: one that is ready must not die of a signal, and a reload
     // that comes while it starts holds too.
     boost::asio::signal_set ends(io, SIGTERM, SIGINT), reload(io, SIGHUP);
-    auto config = brackenspoke::proxy::LoadConfig(Environment);
+    auto config = kestrelline::proxy::LoadConfig(Environment);
     plugin::Host host(io, {command.plugin_worker, [](const std::string& line) {
                              std::fprintf(stderr, "kestrelline: %s\n", line.c_str());
                            }});
-    brackenspoke::proxy::Proxy::Routes routes;
+    kestrelline::proxy::Proxy::Routes routes;
     std::shared_ptr<plugin::Tagger> tagger;
     std::optional<app::OperatorConfig> loaded;
     if (!command.operator_file.empty()) {
@@ -206,7 +206,7 @@
           loaded->replica && loaded->replica->ready_within.count() > 0 && config.inherited_listener < 0;
       if (loaded->peers) config.sockets -= kestrelline::peers::Link::kDescriptors;
     }
-    brackenspoke::proxy::Proxy proxy(io, std::move(config), std::move(routes), std::move(tagger));
+    kestrelline::proxy::Proxy proxy(io, std::move(config), std::move(routes), std::move(tagger));
     const Fleet fleet = loaded && loaded->peers ? JoinPeers(io, proxy, *loaded) : Fleet();
     ends.async_wait([&](const boost::system::error_code& failed, int) {
       if (!failed) proxy.Stop([&] { io.stop(); });
--- a/src/app/operator_config.cpp
+++ b/src/app/operator_config.cpp
@@ -50,12 +50,12 @@
 
 }  // namespace
 
-routing::Site SiteOf(const brackenspoke::proxy::Config& platform) {
+routing::Site SiteOf(const kestrelline::proxy::Config& platform) {
   return {platform.settings, platform.classes, platform.tenants, platform.zones};
 }
 
 std::optional<OperatorConfig> ParseOperatorFile(std::string_view text,
-                                                const brackenspoke::proxy::Config& platform, Keep keep,
+                                                const kestrelline::proxy::Config& platform, Keep keep,
                                                 operator_file::Diagnostics* diagnostics,
                                                 const std::string& folder) {
   OperatorConfig config;
@@ -89,7 +89,7 @@
 }
 
 std::optional<OperatorConfig> LoadOperatorFile(const std::string& path,
-                                               const brackenspoke::proxy::Config& platform, Keep keep,
+                                               const kestrelline::proxy::Config& platform, Keep keep,
                                                operator_file::Diagnostics* diagnostics) {
   const auto text =
       operator_file::ReadWhole(path, operator_file::MostFileBytes(platform.memory_mb), diagnostics);
--- a/src/app/operator_config.h
+++ b/src/app/operator_config.h
@@ -36,16 +36,16 @@
 
 enum class Keep { kOutcome, kWording };
 
-routing::Site SiteOf(const brackenspoke::proxy::Config& platform);
+routing::Site SiteOf(const kestrelline::proxy::Config& platform);
 
 // Nothing, and every reason in `diagnostics`, unless all of it is right.
 // `folder`: where the files that it names are looked for.
 std::optional<OperatorConfig> ParseOperatorFile(std::string_view text,
-                                                const brackenspoke::proxy::Config& platform, Keep keep,
+                                                const kestrelline::proxy::Config& platform, Keep keep,
                                                 operator_file::Diagnostics* diagnostics,
                                                 const std::string& folder = ".");
 std::optional<OperatorConfig> LoadOperatorFile(const std::string& path,
-                                               const brackenspoke::proxy::Config& platform, Keep keep,
+                                               const kestrelline::proxy::Config& platform, Keep keep,
                                                operator_file::Diagnostics* diagnostics);
 
 }  // namespace kestrelline::app
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -18,7 +18,7 @@
 #include "policy/cold_start.h"
 #include "policy/picking.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 namespace {
 
 constexpr int kYoung = 10;              // outcomes; before, what is asked stands for what is served
@@ -537,4 +537,4 @@
   impl_->Handle(now, event, actions);
 }
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
--- a/src/data_plane/backend.h
+++ b/src/data_plane/backend.h
@@ -15,9 +15,9 @@
 
 namespace kestrelline::data_plane {
 
-using brackenspoke::Duration;
-using brackenspoke::OutlierDetector;
-using brackenspoke::TimePoint;
+using kestrelline::Duration;
+using kestrelline::OutlierDetector;
+using kestrelline::TimePoint;
 
 // What the backend said of its load in its last answer.
 struct LoadHint {
--- a/src/data_plane/backend_table.h
+++ b/src/data_plane/backend_table.h
@@ -57,7 +57,7 @@
   std::map<Key, Group> groups_;
   TimePoint interval_ends_{};
   TimePoint loads_at_{Duration(-1e9)};  // long ago
-  brackenspoke::Random random_;
+  kestrelline::Random random_;
 };
 
 }  // namespace kestrelline::data_plane
--- a/src/data_plane/edge_state.h
+++ b/src/data_plane/edge_state.h
@@ -39,7 +39,7 @@
         backends(seed),
         placement(backends, node_settings.zone, PlacementCosts{}, seed + 1),
         budget({node_settings.bounds.retry_budget_ratio, node_settings.bounds.min_retries,
-                brackenspoke::Duration(static_cast<double>(node_settings.bounds.budget_window.count()))}),
+                kestrelline::Duration(static_cast<double>(node_settings.bounds.budget_window.count()))}),
         random(seed + 2),
         drain(node_settings.bounds.grace) {}
 
@@ -51,7 +51,7 @@
   Placement placement;
   RetryBudget budget;
   DemandMeter demand;
-  brackenspoke::Random random;
+  kestrelline::Random random;
   Counters counters;
   DrainSchedule drain;
   OpenRequests open_requests;
--- a/src/data_plane/placement.h
+++ b/src/data_plane/placement.h
@@ -76,7 +76,7 @@
   std::string zone_;
   PlacementCosts costs_;
   std::map<std::string, EngineEstimate> estimates_;  // by service; a few
-  brackenspoke::Random random_;
+  kestrelline::Random random_;
 };
 
 // A prompt that is being read somewhere: counts as the backend's work until it ends.
--- a/src/data_plane/retry_budget.h
+++ b/src/data_plane/retry_budget.h
@@ -19,7 +19,7 @@
 struct BudgetTerms {
   double ratio = 0.2;
   double minimum = 10;  // extra arrivals that all proxies together may always cause
-  brackenspoke::Duration window{10000};
+  kestrelline::Duration window{10000};
 };
 
 class RetryBudget {
@@ -27,13 +27,13 @@
   static constexpr double kUsed = 0.8;  // of the share
   // After a failover the control plane hears from proxies one by one: a smaller number counts only once it
   // has been told for this long.
-  static constexpr brackenspoke::Duration kSmallerCountsAfter{20000};
+  static constexpr kestrelline::Duration kSmallerCountsAfter{20000};
   // Assumed until the control plane has told how many proxies there are.
   static constexpr int kProxiesAtFirst = 64;
 
   explicit RetryBudget(BudgetTerms terms) : terms_(terms) {}
 
-  void set_proxies(int proxies, brackenspoke::TimePoint now) {
+  void set_proxies(int proxies, kestrelline::TimePoint now) {
     const int told = std::max(1, proxies);
     if (!known_ || told >= proxies_) {
       proxies_ = told;
@@ -44,12 +44,12 @@
       confirmed_ = now;
     }
   }
-  void CountRequest(const std::string& service, brackenspoke::TimePoint now) {
+  void CountRequest(const std::string& service, kestrelline::TimePoint now) {
     windows_[service].First(now, terms_.window);
   }
   // Counts one more arrival beyond the first, if the budget allows it.
-  bool Take(const std::string& service, brackenspoke::TimePoint now) {
-    brackenspoke::RetryBudget budget;
+  bool Take(const std::string& service, kestrelline::TimePoint now) {
+    kestrelline::RetryBudget budget;
     budget.share = terms_.ratio * kUsed;
     budget.window = terms_.window;
     budget.at_least = static_cast<int>(terms_.minimum * kUsed / proxies_);
@@ -60,8 +60,8 @@
   BudgetTerms terms_;
   int proxies_ = kProxiesAtFirst;
   bool known_ = false;
-  brackenspoke::TimePoint confirmed_{};
-  std::unordered_map<std::string, brackenspoke::RepeatWindow> windows_;  // a few services
+  kestrelline::TimePoint confirmed_{};
+  std::unordered_map<std::string, kestrelline::RepeatWindow> windows_;  // a few services
 };
 
 }  // namespace kestrelline::data_plane
--- a/src/fleet/asking.h
+++ b/src/fleet/asking.h
@@ -12,8 +12,8 @@
 
 class Asking {
  public:
-  using Duration = brackenspoke::Duration;
-  using TimePoint = brackenspoke::TimePoint;
+  using Duration = kestrelline::Duration;
+  using TimePoint = kestrelline::TimePoint;
   static constexpr TimePoint kNever{Duration(1e300)};
   // Whatever the rules allow after a call that failed or hung, what changed is to be known 6 s later: one
   // that hangs and the pause after it leave room for the next.
@@ -28,10 +28,10 @@
   // `unit` draws from 0 to 1, where that is needed: after a failure there is a jittered backoff, from a
   // twentieth to a quarter of that time.
   template <typename Unit>
-  void OnList(brackenspoke::ListKind kind, TimePoint now, Unit unit) {
-    if (kind == brackenspoke::ListKind::kCached) {
+  void OnList(kestrelline::ListKind kind, TimePoint now, Unit unit) {
+    if (kind == kestrelline::ListKind::kCached) {
       due_ = now;  // a new life: nothing is subscribed yet
-    } else if (kind == brackenspoke::ListKind::kFailed) {
+    } else if (kind == kestrelline::ListKind::kFailed) {
       backoff_ = std::min({within_ / 4, std::max(within_ / 20, backoff_ * 2), kMostBackoff});
       due_ = now + backoff_ * (0.5 + 0.5 * unit());
     } else {
--- a/src/fleet/class_losses.h
+++ b/src/fleet/class_losses.h
@@ -26,8 +26,8 @@
 
 class ClassLosses {
  public:
-  using Duration = brackenspoke::Duration;
-  using TimePoint = brackenspoke::TimePoint;
+  using Duration = kestrelline::Duration;
+  using TimePoint = kestrelline::TimePoint;
 
   static constexpr Duration kMemory{8000};     // what was seen counts by 1/e after this
   static constexpr double kLeastLost = 1.5;    // two, the first of them a little faded
--- a/src/fleet/pick_index.h
+++ b/src/fleet/pick_index.h
@@ -28,8 +28,8 @@
 
 class PickIndex {
  public:
-  using Duration = brackenspoke::Duration;
-  using TimePoint = brackenspoke::TimePoint;
+  using Duration = kestrelline::Duration;
+  using TimePoint = kestrelline::TimePoint;
   enum Side : std::uint8_t { kHome, kAway };
 
   explicit PickIndex(Duration memory) : memory_(memory) {}
--- a/src/fleet/roster.cpp
+++ b/src/fleet/roster.cpp
@@ -6,7 +6,7 @@
 namespace kestrelline::fleet {
 namespace {
 
-constexpr brackenspoke::Duration kForgetSoon{60000};
+constexpr kestrelline::Duration kForgetSoon{60000};
 constexpr std::size_t kFewChanges = 1024;
 
 }  // namespace
@@ -45,7 +45,7 @@
   if (placed) {
     numbers_.emplace(entry.server, member);
     known_[member].entry.server = entry.server;
-    known_[member].place = brackenspoke::MixBits(entry.server);
+    known_[member].place = kestrelline::MixBits(entry.server);
   }
   known_[member].in_list = list_;
   changes_.push_back({member, placed, placed, ServerState::kGone, entry.state,
--- a/src/fleet/roster.h
+++ b/src/fleet/roster.h
@@ -28,12 +28,12 @@
 
 namespace kestrelline::fleet {
 
-using brackenspoke::ListKind;
-using brackenspoke::ListUpdate;
-using brackenspoke::ServerEntry;
-using brackenspoke::ServerId;
-using brackenspoke::ServerState;
-using brackenspoke::TimePoint;
+using kestrelline::ListKind;
+using kestrelline::ListUpdate;
+using kestrelline::ServerEntry;
+using kestrelline::ServerId;
+using kestrelline::ServerState;
+using kestrelline::TimePoint;
 
 // What is kept of an entry: what decisions are made of.
 struct Seat {
@@ -48,7 +48,7 @@
   struct Options {
     int zone = 0;        // the own one
     bool apart = false;  // home() and away() are kept
-    brackenspoke::Duration forget_after{600000};
+    kestrelline::Duration forget_after{600000};
     // Of many that have gone those are forgotten sooner, though none within a minute.
     std::size_t most_gone = 8192;
   };
@@ -86,7 +86,7 @@
   const Ring& away() const { return rings_[kAwaySide]; }
   // Those ready of a zone, and of a cell of it.
   const std::vector<Member>& InZone(int zone) const { return zones_.At(ZoneKey(zone)); }
-  const std::vector<Member>& InCell(const brackenspoke::Location& place) const {
+  const std::vector<Member>& InCell(const kestrelline::Location& place) const {
     return cells_.At(CellKey(place));
   }
 
@@ -110,7 +110,7 @@
     std::size_t read = 0;
   };
   static Groups::Key ZoneKey(int zone) { return static_cast<std::uint32_t>(zone); }
-  static Groups::Key CellKey(const brackenspoke::Location& place) {
+  static Groups::Key CellKey(const kestrelline::Location& place) {
     return ZoneKey(place.zone) << 32 | static_cast<std::uint32_t>(place.cell);
   }
   void Stage(TimePoint now, const ServerEntry& entry, const InUse& in_use);
--- a/src/handover/last_byte.h
+++ b/src/handover/last_byte.h
@@ -21,9 +21,9 @@
 
 namespace kestrelline::handover {
 
-using brackenspoke::Duration;
-using brackenspoke::Effect;
-using brackenspoke::TimePoint;
+using kestrelline::Duration;
+using kestrelline::Effect;
+using kestrelline::TimePoint;
 
 class LastByte {
  public:
--- a/src/measures.h
+++ b/src/measures.h
@@ -18,7 +18,7 @@
 
 #include "kestrelline/balancer.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 // Deterministic from its seed alone; the standard distributions differ between libraries.
 class Random {
@@ -246,6 +246,6 @@
   }
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
 #endif  // KESTRELLINE_SRC_MEASURES_H_
--- a/src/plugin/api.h
+++ b/src/plugin/api.h
@@ -21,8 +21,8 @@
 
 namespace kestrelline::plugin {
 
-using brackenspoke::Duration;
-using brackenspoke::TimePoint;
+using kestrelline::Duration;
+using kestrelline::TimePoint;
 
 // The number that a plug-in says it is written for: `api = 1`.
 inline constexpr int kApiVersion = 1;
--- a/src/plugin/section.cpp
+++ b/src/plugin/section.cpp
@@ -11,7 +11,7 @@
 namespace kestrelline::plugin {
 namespace {
 
-using brackenspoke::ClassSettings;
+using kestrelline::ClassSettings;
 using operator_file::Diagnostics;
 using operator_file::Key;
 using operator_file::Kind;
--- a/src/plugin/tagging.cpp
+++ b/src/plugin/tagging.cpp
@@ -8,9 +8,9 @@
 namespace kestrelline::plugin {
 namespace {
 
-using brackenspoke::ClassSettings;
-using brackenspoke::Effect;
-using brackenspoke::Group;
+using kestrelline::ClassSettings;
+using kestrelline::Effect;
+using kestrelline::Group;
 
 std::optional<int> IndexOf(const std::vector<std::string>& names, const std::string& name) {
   const auto found = std::find(names.begin(), names.end(), name);
--- a/src/plugin/tagging.h
+++ b/src/plugin/tagging.h
@@ -20,7 +20,7 @@
 
 // Whether whatever the rules allow a request of class `to` they allow one of class `from` as well: safe, then
 // keyed, then unsafe; a keyed class only for one whose repeats are dropped at least as widely and as long.
-bool Narrows(const brackenspoke::ClassSettings& from, const brackenspoke::ClassSettings& to);
+bool Narrows(const kestrelline::ClassSettings& from, const kestrelline::ClassSettings& to);
 
 // What the operator's file says of one plug-in, names resolved to the site's indices.
 struct Grants {
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -6,7 +6,7 @@
 
 #include "policy/state.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 constexpr double kQueueShare = 0.33;   // of the aim that an attempt may take, in the mean
 constexpr double kChance = 1;          // deviations of the number in flight that are no overload
@@ -122,6 +122,6 @@
   std::vector<double> tokens_;  // of tenants
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
 #endif  // KESTRELLINE_SRC_POLICY_ADMISSION_H_
--- a/src/policy/attempts.h
+++ b/src/policy/attempts.h
@@ -6,7 +6,7 @@
 
 #include "policy/state.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 constexpr double kRetryRatio = 0.1;    // repeats a first send earns: bounds a storm to a tenth
 constexpr double kRetryBurst = 20;     // repeats in store
@@ -96,6 +96,6 @@
   double tokens_ = kRetryBurst;
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
 #endif  // KESTRELLINE_SRC_POLICY_ATTEMPTS_H_
--- a/src/policy/cold_start.h
+++ b/src/policy/cold_start.h
@@ -8,7 +8,7 @@
 
 #include "policy/state.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 constexpr double kColdCaution = 0.55;       // of the fall multiple: the rest is for chance and for late news
 constexpr double kColdLeast = 0.25;         // standard cores that a warm server has at the very least
@@ -95,6 +95,6 @@
   double warm_rate_ = 0, listed_ = 0, in_service_ = 0;
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
 #endif  // KESTRELLINE_SRC_POLICY_COLD_START_H_
--- a/src/policy/ejection.h
+++ b/src/policy/ejection.h
@@ -6,7 +6,7 @@
 
 #include "measures.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 // In A50's terms.
 constexpr Duration kInterval{2000};          // counts reset: long enough for the volume floor at 2 requests/s
@@ -104,6 +104,6 @@
   }
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
 #endif  // KESTRELLINE_SRC_POLICY_EJECTION_H_
--- a/src/policy/estimates.h
+++ b/src/policy/estimates.h
@@ -10,7 +10,7 @@
 
 #include "measures.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 constexpr double kSameTime = 0.04;         // part by which times of tries may differ and still be the same
 constexpr int kFirmVotes = 10;             // below, nothing is made of it: clients may differ widely
@@ -105,6 +105,6 @@
   double answers_ = 0, served_ = 0, asked_ = 0;
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
 #endif  // KESTRELLINE_SRC_POLICY_ESTIMATES_H_
--- a/src/policy/picking.h
+++ b/src/policy/picking.h
@@ -8,7 +8,7 @@
 #include "policy/cold_start.h"
 #include "policy/used_servers.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 using kestrelline::fleet::kNobody;
 using kestrelline::fleet::PickIndex;
@@ -223,6 +223,6 @@
   double lost_home_ = 0, lost_away_ = 0;  // share of worth lost at servers of the own zone and of others
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
 #endif  // KESTRELLINE_SRC_POLICY_PICKING_H_
--- a/src/policy/state.h
+++ b/src/policy/state.h
@@ -19,7 +19,7 @@
 #include "policy/ejection.h"
 #include "policy/estimates.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 constexpr double kLeastScale = 0.5;       // of the time of a class, for a request of no work
 constexpr Duration kForgetAfter{600000};  // a server gone for this long loses its state
@@ -112,6 +112,6 @@
   double fade = 1;  // of slowness, since then
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
 #endif  // KESTRELLINE_SRC_POLICY_STATE_H_
--- a/src/policy/used_servers.h
+++ b/src/policy/used_servers.h
@@ -12,7 +12,7 @@
 #include "fleet/pick_index.h"
 #include "policy/state.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 // Large fleets: docs/design/scale.md.
 constexpr std::size_t kLookedAt = 64;  // servers that are looked at one by one; of more, this many by chance
@@ -157,6 +157,6 @@
   std::size_t judged_ = 0;    // servers that this proxy's traffic can judge
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
 #endif  // KESTRELLINE_SRC_POLICY_USED_SERVERS_H_
--- a/src/proxy/backends.cpp
+++ b/src/proxy/backends.cpp
@@ -7,7 +7,7 @@
 #include "clock.h"
 #include "connection.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -155,4 +155,4 @@
   std::erase_if(found->second.idle, [&](const auto& idle) { return idle.get() == connection; });
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/backends.h
+++ b/src/proxy/backends.h
@@ -22,7 +22,7 @@
 #include "kestrelline/balancer.h"
 #include "upload.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 struct AttemptResult {
   Outcome outcome = Outcome::kUnknown;
@@ -123,6 +123,6 @@
   std::size_t open_ = 0, opened_ = 0;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_BACKENDS_H_
--- a/src/proxy/body_source.h
+++ b/src/proxy/body_source.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <string>
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 class BodySource {
  public:
@@ -26,6 +26,6 @@
   virtual void Drop() = 0;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_BODY_SOURCE_H_
--- a/src/proxy/clients.cpp
+++ b/src/proxy/clients.cpp
@@ -10,7 +10,7 @@
 #include "listener.h"
 #include "session.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -203,4 +203,4 @@
   });
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -21,7 +21,7 @@
 #include "lifecycle/life.h"
 #include "management/figures.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 // Where the one answer to a request goes.
 class Responder {
@@ -110,6 +110,6 @@
   std::function<void()> stopped_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_CLIENTS_H_
--- a/src/proxy/clock.h
+++ b/src/proxy/clock.h
@@ -10,7 +10,7 @@
 
 #include "kestrelline/balancer.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 using Steady = std::chrono::steady_clock;
 
@@ -38,6 +38,6 @@
   Duration unix_origin_ = std::chrono::system_clock::now().time_since_epoch();
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_CLOCK_H_
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -10,7 +10,7 @@
 
 #include "settings.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 namespace {
 
 using nlohmann::json;
@@ -160,4 +160,4 @@
   });
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -17,7 +17,7 @@
 #include "kestrelline/balancer.h"
 #include "members.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 // what() is one line that says what is missing or wrong.
 class BadConfig : public std::runtime_error {
@@ -69,6 +69,6 @@
 // replaced since, goes before it.
 Config ReloadConfig(const Environment& env);
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_CONFIG_H_
--- a/src/proxy/connection.cpp
+++ b/src/proxy/connection.cpp
@@ -14,7 +14,7 @@
 
 #include "pieces.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -485,4 +485,4 @@
   done(std::move(result));
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/connection.h
+++ b/src/proxy/connection.h
@@ -18,7 +18,7 @@
 #include "backends.h"
 #include "clock.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 class Connection : public std::enable_shared_from_this<Connection>, public BodySource {
  public:
@@ -116,6 +116,6 @@
   bool local_ = false;     // no server is to blame for the end, but this process
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_CONNECTION_H_
--- a/src/proxy/descriptors.h
+++ b/src/proxy/descriptors.h
@@ -12,7 +12,7 @@
 
 #include <cstddef>
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 class DescriptorShares {
  public:
@@ -43,6 +43,6 @@
   std::size_t clients_, backends_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_DESCRIPTORS_H_
--- a/src/proxy/discovery.cpp
+++ b/src/proxy/discovery.cpp
@@ -14,7 +14,7 @@
 #include <optional>
 #include <utility>
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -231,4 +231,4 @@
   });
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/discovery.h
+++ b/src/proxy/discovery.h
@@ -14,7 +14,7 @@
 
 #include "members.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 class Discovery {
  public:
@@ -69,6 +69,6 @@
   bool told_ = false;  // that discovery is away
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_DISCOVERY_H_
--- a/src/proxy/framing.cpp
+++ b/src/proxy/framing.cpp
@@ -12,7 +12,7 @@
 
 #include "hashing/fnv.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 namespace {
 
 namespace http = boost::beast::http;
@@ -162,4 +162,4 @@
   return std::nullopt;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/framing.h
+++ b/src/proxy/framing.h
@@ -20,7 +20,7 @@
 #include "clock.h"
 #include "config.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
@@ -91,6 +91,6 @@
 std::optional<Complaint> Understand(HttpRequest message, Steady::time_point read_at, const Config& config,
                                     ClientRequest* request, bool body_follows = false);
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_FRAMING_H_
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -11,7 +11,7 @@
 
 #include "config.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 namespace {
 
 using Tcp = boost::asio::ip::tcp;
@@ -57,4 +57,4 @@
   return acceptor;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/listener.h
+++ b/src/proxy/listener.h
@@ -7,13 +7,13 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 // `inherited`: a descriptor; -1 for none. It has to be a TCP socket that listens at `address`, or BadConfig
 // says what it is instead. No program that this one starts gets it.
 boost::asio::ip::tcp::acceptor OpenListener(boost::asio::io_context& io,
                                             const boost::asio::ip::tcp::endpoint& address, int inherited);
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_LISTENER_H_
--- a/src/proxy/members.cpp
+++ b/src/proxy/members.cpp
@@ -9,7 +9,7 @@
 
 #include "hashing/fnv.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 namespace {
 
 using nlohmann::json;
@@ -116,4 +116,4 @@
   numbers_.erase(found);
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/members.h
+++ b/src/proxy/members.h
@@ -15,7 +15,7 @@
 
 #include "kestrelline/balancer.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 struct Member {
   std::string id;
@@ -60,6 +60,6 @@
   std::unordered_map<ServerId, std::string> taken_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_MEMBERS_H_
--- a/src/proxy/pieces.h
+++ b/src/proxy/pieces.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 // As a chunk, none if it is empty, and the end of the chunks behind it if it is the last (RFC 9112, 7.1).
 inline void AppendChunk(std::string_view bytes, bool last, std::string* out) {
@@ -28,6 +28,6 @@
   if (buffer->capacity() < room) buffer->reserve(room);
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_PIECES_H_
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -8,7 +8,7 @@
 
 #include "hashing/fnv.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 namespace {
 
 // Descriptors: what is neither a client's nor a backend's (standard streams, the event loop, the listener,
@@ -307,4 +307,4 @@
   });
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -35,7 +35,7 @@
 #include "replica/claims.h"
 #include "routing/table.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 class Proxy : public RequestHandler, private kestrelline::management::Operations {
  public:
@@ -194,6 +194,6 @@
   boost::asio::steady_timer list_wait_, sharing_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_PROXY_H_
--- a/src/proxy/request_views.cpp
+++ b/src/proxy/request_views.cpp
@@ -4,7 +4,7 @@
 #include <boost/beast/http/field.hpp>
 #include <chrono>
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 namespace {
 
 bool IsForm(const HttpRequest& message) {
@@ -37,4 +37,4 @@
   return view;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/request_views.h
+++ b/src/proxy/request_views.h
@@ -12,7 +12,7 @@
 #include "plugin/api.h"
 #include "routing/table.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 // An empty value is one too: its data is never null.
 inline std::string_view View(boost::beast::string_view text) {
@@ -43,6 +43,6 @@
 kestrelline::plugin::RequestView PluginView(const HttpRequest& message, const Config& config,
                                             int request_class, int tenant, Duration left);
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_REQUEST_VIEWS_H_
--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -8,7 +8,7 @@
 #include "proxy.h"
 #include "request_views.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 namespace {
 
 constexpr Duration kLocalRest{1000};  // for clients turned away for want of descriptors
@@ -274,4 +274,4 @@
   ForgetIfOver(action.request);
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -16,7 +16,7 @@
 
 #include "pieces.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -561,4 +561,4 @@
                           });
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/session.h
+++ b/src/proxy/session.h
@@ -20,7 +20,7 @@
 #include "clients.h"
 #include "upload.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 class Session : public std::enable_shared_from_this<Session>, public Responder {
  public:
@@ -141,6 +141,6 @@
   bool last_ = false;                     // the connection closes after this answer
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_SESSION_H_
--- a/src/proxy/upload.cpp
+++ b/src/proxy/upload.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "upload.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 using Step = kestrelline::bodies::Passage::Step;
 
@@ -46,4 +46,4 @@
   if (const auto waiting = std::exchange(waiting_, nullptr)) waiting({{}, false, true});
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
--- a/src/proxy/upload.h
+++ b/src/proxy/upload.h
@@ -15,7 +15,7 @@
 #include "body_source.h"
 #include "clock.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 class Upload : public BodySource {
  public:
@@ -58,6 +58,6 @@
   bool wanting_ = false;  // more is being read
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
 #endif  // KESTRELLINE_PROXY_UPLOAD_H_
--- a/src/replica/claims.cpp
+++ b/src/replica/claims.cpp
@@ -12,11 +12,11 @@
 namespace kestrelline::replica {
 namespace {
 
-using brackenspoke::ClassSettings;
-using brackenspoke::Effect;
-using brackenspoke::Group;
+using kestrelline::ClassSettings;
+using kestrelline::Effect;
+using kestrelline::Group;
 
-Span InSpan(brackenspoke::Duration ms) { return std::chrono::duration_cast<Span>(ms); }
+Span InSpan(kestrelline::Duration ms) { return std::chrono::duration_cast<Span>(ms); }
 
 // A claim holds until the last attempt that may stand behind it is forgotten: one that leaves now may arrive
 // as late as its client waits.
@@ -38,9 +38,9 @@
   return std::uint64_t{name} << 32 | (kind == Group::kCell ? static_cast<std::uint32_t>(cell) : 0);
 }
 
-brackenspoke::KeyClaim Groups::Claim(std::uint64_t group) const {
+kestrelline::KeyClaim Groups::Claim(std::uint64_t group) const {
   const auto name = static_cast<std::uint32_t>(group >> 32);
-  brackenspoke::KeyClaim claim;
+  kestrelline::KeyClaim claim;
   claim.cell = static_cast<int>(group & 0xffffffff);
   const auto known = std::find_if(zones_.begin(), zones_.end(), [name](const std::string& zone) {
     return (static_cast<std::uint32_t>(hashing::Fnv1a(zone)) & kZoneMask) == name;
@@ -50,14 +50,14 @@
   return claim;
 }
 
-int Claims::ModeOf(const ClassSettings& of, const brackenspoke::RouteLimits* limits) const {
+int Claims::ModeOf(const ClassSettings& of, const kestrelline::RouteLimits* limits) const {
   // Where all servers drop a repeat it may go anywhere.
   if (of.effect != Effect::kKeyed || of.group == Group::kAll) return -1;
   return limits && limits->claim ? *limits->claim : settings_.claim;
 }
 
-std::vector<brackenspoke::KeyClaim> Claims::Known(const Key& key, const ToModule& to_module) const {
-  std::vector<brackenspoke::KeyClaim> known;
+std::vector<kestrelline::KeyClaim> Claims::Known(const Key& key, const ToModule& to_module) const {
+  std::vector<kestrelline::KeyClaim> known;
   for (const ClaimBook::Held& held : book_.HeldOf(key.hash)) {
     known.push_back(groups_.Claim(held.group));
     known.back().until = to_module(held.until - BeyondOf(*key.of));
--- a/src/replica/claims.h
+++ b/src/replica/claims.h
@@ -48,9 +48,9 @@
 class Groups {
  public:
   explicit Groups(std::vector<std::string> zones) : zones_(std::move(zones)) {}
-  std::uint64_t Of(brackenspoke::Group kind, int zone, int cell) const;
+  std::uint64_t Of(kestrelline::Group kind, int zone, int cell) const;
   // A claim on it, as the module takes it.
-  brackenspoke::KeyClaim Claim(std::uint64_t group) const;
+  kestrelline::KeyClaim Claim(std::uint64_t group) const;
 
  private:
   // Unknown zones have numbers from here on, made of the hash of their names, as src/proxy gives them.
@@ -70,14 +70,14 @@
   struct Key {
     std::uint64_t hash = 0;
     int mode = 0;  // as RouteLimits::claim
-    const brackenspoke::ClassSettings* of = nullptr;
+    const kestrelline::ClassSettings* of = nullptr;
   };
   // What is done for a request of a class under a route; -1: nothing.
-  int ModeOf(const brackenspoke::ClassSettings& of, const brackenspoke::RouteLimits* limits) const;
+  int ModeOf(const kestrelline::ClassSettings& of, const kestrelline::RouteLimits* limits) const;
 
   // In the module's time: `to_module` maps.
-  using ToModule = std::function<brackenspoke::TimePoint(Time)>;
-  std::vector<brackenspoke::KeyClaim> Known(const Key& key, const ToModule& to_module) const;
+  using ToModule = std::function<kestrelline::TimePoint(Time)>;
+  std::vector<kestrelline::KeyClaim> Known(const Key& key, const ToModule& to_module) const;
 
   enum class Go {
     kSend,
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -10,10 +10,10 @@
 namespace kestrelline::routing {
 namespace {
 
-using brackenspoke::ClassSettings;
-using brackenspoke::Effect;
-using brackenspoke::Outcome;
-using brackenspoke::RouteLimits;
+using kestrelline::ClassSettings;
+using kestrelline::Effect;
+using kestrelline::Outcome;
+using kestrelline::RouteLimits;
 using operator_file::Diagnostics;
 using operator_file::Shown;
 
--- a/src/routing/limits.h
+++ b/src/routing/limits.h
@@ -48,7 +48,7 @@
   void Check(const Effective& limits, std::size_t class_index, operator_file::Diagnostics* diagnostics) const;
 
   // As the decision module takes them; `id` is that under which requests are counted together.
-  brackenspoke::RouteLimits Compile(const Effective& limits, std::uint64_t id) const;
+  kestrelline::RouteLimits Compile(const Effective& limits, std::uint64_t id) const;
 
  private:
   void CheckRepeats(const Effective& limits, std::size_t class_index,
@@ -83,15 +83,15 @@
 // Words of retry_on, and the outcomes they stand for.
 struct RetryWord {
   std::string_view word;
-  brackenspoke::Outcome outcome;
+  kestrelline::Outcome outcome;
   bool may_have_run;
 };
 inline constexpr RetryWord kRetryWords[] = {
-    {"refused", brackenspoke::Outcome::kFull, false},
-    {"connect", brackenspoke::Outcome::kConnectFailed, false},
-    {"error", brackenspoke::Outcome::kError, true},
-    {"reset", brackenspoke::Outcome::kReset, true},
-    {"timeout", brackenspoke::Outcome::kTimeout, true},
+    {"refused", kestrelline::Outcome::kFull, false},
+    {"connect", kestrelline::Outcome::kConnectFailed, false},
+    {"error", kestrelline::Outcome::kError, true},
+    {"reset", kestrelline::Outcome::kReset, true},
+    {"timeout", kestrelline::Outcome::kTimeout, true},
 };
 
 }  // namespace kestrelline::routing
--- a/src/routing/spec.h
+++ b/src/routing/spec.h
@@ -15,7 +15,7 @@
 
 namespace kestrelline::routing {
 
-using brackenspoke::Duration;
+using kestrelline::Duration;
 using operator_file::At;
 using operator_file::Position;
 using Names = std::vector<At<std::string>>;
@@ -68,7 +68,7 @@
 
 // What the platform says of this installation.
 struct Site {
-  brackenspoke::Settings settings;
+  kestrelline::Settings settings;
   std::vector<std::string> classes, tenants, zones;  // names, by index
 };
 
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -350,7 +350,7 @@
         Bad(name.at, "method",
             "'" + name.value + "' is no method of this protocol; accepted are GET and POST");
       for (std::size_t i = 0; i < allowed.size(); ++i) {
-        const bool safe = site_.settings.classes[i].effect == brackenspoke::Effect::kSafe;
+        const bool safe = site_.settings.classes[i].effect == kestrelline::Effect::kSafe;
         if (safe ? get : post) allowed[i] = true;
       }
     }
@@ -427,7 +427,7 @@
     }
     for (std::size_t i = 0; i < table_->routes_.size(); ++i) {
       Route& route = table_->routes_[i];
-      std::shared_ptr<const brackenspoke::RouteLimits> last;
+      std::shared_ptr<const kestrelline::RouteLimits> last;
       for (const int c : route.classes) {
         const auto at = static_cast<std::size_t>(c);
         const Effective limits = book.Of(&spec_.routes[i], at);
@@ -440,10 +440,10 @@
     }
   }
 
-  static std::shared_ptr<const brackenspoke::RouteLimits> Shared(const LimitsBook& book,
-                                                                 const Effective& limits, std::uint64_t id) {
+  static std::shared_ptr<const kestrelline::RouteLimits> Shared(const LimitsBook& book,
+                                                                const Effective& limits, std::uint64_t id) {
     if (limits.empty()) return nullptr;
-    return std::make_shared<const brackenspoke::RouteLimits>(book.Compile(limits, id));
+    return std::make_shared<const kestrelline::RouteLimits>(book.Compile(limits, id));
   }
 
   // A route is hidden if, wherever it holds, earlier ones take every request that it would: for each of its
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -63,7 +63,7 @@
   std::vector<Header> headers;  // sorted by name
 
   // By the position of a class in `classes`; null: nothing but the platform's limits.
-  std::vector<std::shared_ptr<const brackenspoke::RouteLimits>> limits;
+  std::vector<std::shared_ptr<const kestrelline::RouteLimits>> limits;
 };
 
 class RouteTable {
@@ -76,7 +76,7 @@
 
   struct Found {
     std::uint32_t route = kNone;  // an index of routes(); kNone: its class's limits hold
-    const std::shared_ptr<const brackenspoke::RouteLimits>* limits = nullptr;  // points to null: none
+    const std::shared_ptr<const kestrelline::RouteLimits>* limits = nullptr;  // points to null: none
   };
   // The first route that matches and holds at this proxy. Allocates nothing.
   Found Find(const RequestView& request) const;
@@ -113,8 +113,8 @@
 
   std::vector<Route> routes_;
   std::vector<std::string> header_names_;
-  std::vector<std::shared_ptr<const brackenspoke::RouteLimits>> by_class_;
-  std::shared_ptr<const brackenspoke::RouteLimits> none_;
+  std::vector<std::shared_ptr<const kestrelline::RouteLimits>> by_class_;
+  std::shared_ptr<const kestrelline::RouteLimits> none_;
   Index index_;
 };
 
--- a/src/sim/directory.h
+++ b/src/sim/directory.h
@@ -20,25 +20,25 @@
  public:
   struct Entry {
     std::string id;
-    brackenspoke::ServerEntry entry;
+    kestrelline::ServerEntry entry;
     std::uint32_t host = 0;
   };
 
   // The number of the entry of a new id; it is gone until it is Put.
   std::uint32_t Add(const std::string& id, std::uint32_t host, int zone, int cell) {
-    brackenspoke::proxy::Member member;
+    kestrelline::proxy::Member member;
     member.id = id;
     numbers_.Learn({member});
     Entry e{id, {}, host};
     e.entry.server = numbers_.Of(id);
     e.entry.zone = zone, e.entry.cell = cell;
-    e.entry.state = brackenspoke::ServerState::kGone;
+    e.entry.state = kestrelline::ServerState::kGone;
     by_server_.emplace_back(e.entry.server, static_cast<std::uint32_t>(entries_.size()));
     entries_.push_back(std::move(e));
     sorted_ = false;
     return static_cast<std::uint32_t>(entries_.size() - 1);
   }
-  void Put(std::uint32_t number, const brackenspoke::ServerEntry& entry) {
+  void Put(std::uint32_t number, const kestrelline::ServerEntry& entry) {
     entries_[number].entry = entry;
     changes_.push_back(number);
   }
@@ -51,7 +51,7 @@
     std::vector<std::uint32_t> changed;
     if (revision == 0) {
       for (std::uint32_t n = 0; n < entries_.size(); ++n) {
-        if (entries_[n].entry.state != brackenspoke::ServerState::kGone) changed.push_back(n);
+        if (entries_[n].entry.state != kestrelline::ServerState::kGone) changed.push_back(n);
       }
       return changed;
     }
@@ -61,16 +61,16 @@
     return changed;
   }
 
-  std::uint32_t NumberOf(brackenspoke::ServerId server) {
+  std::uint32_t NumberOf(kestrelline::ServerId server) {
     if (!std::exchange(sorted_, true)) std::sort(by_server_.begin(), by_server_.end());
     return std::lower_bound(by_server_.begin(), by_server_.end(), std::pair(server, 0u))->second;
   }
 
  private:
-  brackenspoke::proxy::ServerNumbers numbers_;
+  kestrelline::proxy::ServerNumbers numbers_;
   std::vector<Entry> entries_;
   std::vector<std::uint32_t> changes_;  // numbers of entries, a revision each
-  std::vector<std::pair<brackenspoke::ServerId, std::uint32_t>> by_server_;
+  std::vector<std::pair<kestrelline::ServerId, std::uint32_t>> by_server_;
   bool sorted_ = true;
 };
 
--- a/src/sim/faults.cpp
+++ b/src/sim/faults.cpp
@@ -12,7 +12,7 @@
 namespace kestrelline::sim {
 namespace {
 
-using brackenspoke::ServerState;
+using kestrelline::ServerState;
 using load::Event;
 using standin::Fault;
 
--- a/src/sim/hosts.cpp
+++ b/src/sim/hosts.cpp
@@ -7,7 +7,7 @@
 namespace kestrelline::sim {
 namespace {
 
-using brackenspoke::Outcome;
+using kestrelline::Outcome;
 
 constexpr Microseconds kConnectTimeout{250000};
 constexpr double kRepeatWork = 0.0002;  // of a keyed repeat that is dropped, in seconds
--- a/src/sim/hosts.h
+++ b/src/sim/hosts.h
@@ -28,7 +28,7 @@
 class Hosts {
  public:
   struct Hooks {
-    std::function<void(const AttemptPtr&, brackenspoke::Outcome)> ended;  // at the proxy
+    std::function<void(const AttemptPtr&, kestrelline::Outcome)> ended;  // at the proxy
     std::function<Microseconds(std::uint32_t node, std::uint32_t host)>
         delay;  // one way, of a message of now
     load::OnEvent on_event;
@@ -93,12 +93,12 @@
   void ArriveWhole(const AttemptPtr& attempt);
   bool Chance(double share) { return share > 0 && hashing::Unit(draw_()) < share; }
   void Work(const AttemptPtr& attempt, Host& host);
-  void Reply(const AttemptPtr& attempt, brackenspoke::Outcome outcome, Microseconds pause);
+  void Reply(const AttemptPtr& attempt, kestrelline::Outcome outcome, Microseconds pause);
   void ResetAll(Host& host);
   void Wake(std::uint32_t host);
   void Finish(const AttemptPtr& attempt, bool ran);
   void Say(load::Event::Kind kind, const Attempt& attempt, int number, double work);
-  void Tell(const AttemptPtr& attempt, brackenspoke::Outcome outcome, Microseconds after);
+  void Tell(const AttemptPtr& attempt, kestrelline::Outcome outcome, Microseconds after);
   Microseconds Delay(const Attempt& a) { return hooks_.delay(a.node, a.host); }
 
   Kernel& kernel_;
--- a/src/sim/node.cpp
+++ b/src/sim/node.cpp
@@ -7,7 +7,7 @@
 
 namespace kestrelline::sim {
 
-using namespace brackenspoke;
+using namespace kestrelline;
 
 Node::Node(std::uint32_t number, Settings settings, bool hold, Hooks hooks, bool survives)
     : number_(number),
@@ -38,7 +38,7 @@
     // What it had in its hands ends, and says nothing of any server.
     std::vector<Action> ignored;
     for (const auto& [id, pending] : pending_) {
-      balancer_->Handle(TimeOf(now), brackenspoke::ClientGone{id}, &ignored);
+      balancer_->Handle(TimeOf(now), kestrelline::ClientGone{id}, &ignored);
       for (int n = 0; n < pending.attempts; ++n) {
         AttemptEnded end;
         end.request = id, end.attempt = n, end.settled = true, end.outcome = Outcome::kCancelled;
@@ -81,7 +81,7 @@
   Pending& pending = pending_.at(id);
   if (std::exchange(pending.answered, true)) return;
   ForgetIfOver(id);
-  Feed(brackenspoke::ClientGone{id}, now);
+  Feed(kestrelline::ClientGone{id}, now);
 }
 
 void Node::Ended(const AttemptPtr& attempt, Outcome outcome, Microseconds now) {
@@ -175,7 +175,7 @@
             });
 }
 
-void Node::Do(const brackenspoke::CloseIdle& action, Microseconds) { hooks_.close_idle(action.server); }
+void Node::Do(const kestrelline::CloseIdle& action, Microseconds) { hooks_.close_idle(action.server); }
 
 bool Node::Conclude(RequestId request, Answer answer) {
   const auto found = pending_.find(request);
--- a/src/sim/peering.cpp
+++ b/src/sim/peering.cpp
@@ -52,7 +52,7 @@
   world_.on_standing = [on_share = std::move(on_share)](int proxy, const concert::Node::Standing& standing) {
     // As src/proxy words it for the module.
     constexpr double kNothing = 1e-9;
-    brackenspoke::Share share{std::max(standing.share, kNothing), {}, std::max(standing.after, kNothing)};
+    kestrelline::Share share{std::max(standing.share, kNothing), {}, std::max(standing.after, kNothing)};
     if (standing.until != concert::Time()) share.until = Node::TimeOf(PeersWorld::MomentOf(standing.until));
     on_share(static_cast<std::uint32_t>(proxy), share);
   };
--- a/src/sim/peering.h
+++ b/src/sim/peering.h
@@ -23,7 +23,7 @@
 
 class Peering {
  public:
-  using OnShare = std::function<void(std::uint32_t proxy, const brackenspoke::Share&)>;
+  using OnShare = std::function<void(std::uint32_t proxy, const kestrelline::Share&)>;
 
   // [concert] as the site words it, by the checks of the operator's file. Nothing if the site has none;
   // throws std::invalid_argument, with the reasons, if it is not right.
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -44,7 +44,7 @@
   // its "settings" ("rules.fallMultiple"), and the value as JSON.
   std::vector<std::pair<std::string, std::string>> config;
   // A proxy is told this of itself and the platform; empty: as the configuration has it.
-  std::function<void(brackenspoke::Settings*)> adjust;
+  std::function<void(kestrelline::Settings*)> adjust;
 };
 
 // Whether the proxies would take the configuration; if not, why.
--- a/src/sim/simulation.cpp
+++ b/src/sim/simulation.cpp
@@ -15,10 +15,10 @@
 namespace kestrelline::sim {
 namespace {
 
-using brackenspoke::ListKind;
-using brackenspoke::ListUpdate;
-using brackenspoke::ServerEntry;
-using brackenspoke::ServerState;
+using kestrelline::ListKind;
+using kestrelline::ListUpdate;
+using kestrelline::ServerEntry;
+using kestrelline::ServerState;
 using load::Event;
 using standin::Fault;
 
@@ -26,17 +26,17 @@
 constexpr Microseconds kPassedOver{1000000};  // a proxy that could not be reached
 
 // What the daemon makes of the configuration that the stand-in site gives it: its own parser, not a copy.
-brackenspoke::Settings SettingsOf(const Scenario& scenario, std::uint32_t node) {
+kestrelline::Settings SettingsOf(const Scenario& scenario, std::uint32_t node) {
   auto json = standin::ProxyConfig(scenario.site, static_cast<int>(node), "127.0.0.1:1", "127.0.0.1:1");
   for (const auto& [path, text] : scenario.config) {
     std::string pointer = "/settings/" + path;
     std::replace(pointer.begin(), pointer.end(), '.', '/');
     const nlohmann::json::json_pointer at(pointer);
     // Keys that nobody knows are ignored by who reads them: a slip of the pen would change nothing.
-    if (!json.contains(at)) throw brackenspoke::proxy::BadConfig("there is no settings." + path);
+    if (!json.contains(at)) throw kestrelline::proxy::BadConfig("there is no settings." + path);
     json[at] = nlohmann::json::parse(text);
   }
-  auto settings = brackenspoke::proxy::ParseConfig(json.dump(), [](const char*) -> const char* {
+  auto settings = kestrelline::proxy::ParseConfig(json.dump(), [](const char*) -> const char* {
                     return nullptr;
                   }).settings;
   if (scenario.adjust) scenario.adjust(&settings);
@@ -72,8 +72,8 @@
       figures_(scenario.site.Rules()),
       ledger_(figures_),
       hosts_(kernel_, scenario,
-             {[this](const AttemptPtr& attempt, brackenspoke::Outcome outcome) {
-                if (outcome == brackenspoke::Outcome::kTimeout) {  // the proxy's own doing: no message
+             {[this](const AttemptPtr& attempt, kestrelline::Outcome outcome) {
+                if (outcome == kestrelline::Outcome::kTimeout) {  // the proxy's own doing: no message
                   proxies_[attempt->node].node->Ended(attempt, outcome, kernel_.now());
                   return;
                 }
@@ -110,14 +110,14 @@
       // Another id is at its place now: nobody listens for the old one.
       if (hosts_.id(attempt->host) != id) {
         kernel_.After(Delay(attempt->node, attempt->host), [this, attempt] {
-          proxies_[attempt->node].node->Ended(attempt, brackenspoke::Outcome::kConnectFailed, kernel_.now());
+          proxies_[attempt->node].node->Ended(attempt, kestrelline::Outcome::kConnectFailed, kernel_.now());
         });
         return;
       }
       hosts_.Send(attempt);
     };
     hooks.give_up = [this](const AttemptPtr& attempt) { hosts_.GiveUp(attempt); };
-    hooks.close_idle = [this, n](brackenspoke::ServerId server) {
+    hooks.close_idle = [this, n](kestrelline::ServerId server) {
       hosts_.CloseIdle(n, directory_[directory_.NumberOf(server)].host);
     };
     hooks.at = [this, n](Microseconds at, std::function<void(Microseconds)> then) {
@@ -131,8 +131,8 @@
       });
     };
     if (options_.on_decision) {
-      hooks.decided = [this, n](const brackenspoke::Event& event,
-                                const std::vector<brackenspoke::Action>& actions) {
+      hooks.decided = [this, n](const kestrelline::Event& event,
+                                const std::vector<kestrelline::Action>& actions) {
         options_.on_decision(n, kernel_.now(), event, actions);
       };
     }
@@ -143,7 +143,7 @@
   }
   if (!site.peers) return;
   peering_ = std::make_unique<Peering>(kernel_, site, hashing::Mixed(scenario_.seed + 2),
-                                       [this](std::uint32_t n, const brackenspoke::Share& share) {
+                                       [this](std::uint32_t n, const kestrelline::Share& share) {
                                          if (proxies_[n].node->up())
                                            proxies_[n].node->Shared(share, kernel_.now());
                                        });
--- a/src/sim/simulation.h
+++ b/src/sim/simulation.h
@@ -51,13 +51,13 @@
   struct Options {
     bool audit = true, stop_at_breach = true;
     load::OnEvent on_event;  // all that the ledger is told; may be empty
-    std::function<void(std::uint32_t node, Microseconds at, const brackenspoke::Event&,
-                       const std::vector<brackenspoke::Action>&)>
+    std::function<void(std::uint32_t node, Microseconds at, const kestrelline::Event&,
+                       const std::vector<kestrelline::Action>&)>
         on_decision;
     std::function<void(Microseconds at, const std::string&)> on_log;  // faults
     // Guards taken away, to see that the audit finds it: what a module is told, and what it wants done.
-    std::function<void(brackenspoke::Event*)> tamper_with_event;
-    std::function<void(std::vector<brackenspoke::Action>*)> tamper_with_actions;
+    std::function<void(kestrelline::Event*)> tamper_with_event;
+    std::function<void(std::vector<kestrelline::Action>*)> tamper_with_actions;
     std::function<void(Microseconds at)> on_progress;  // each virtual second
     Microseconds until{-1};                            // ends there; below 0: at the end
   };
@@ -125,7 +125,7 @@
   // Discovery.
   void Changed();
   void Deliver(std::uint32_t node);
-  void List(std::uint32_t host, brackenspoke::ServerState state, bool started);
+  void List(std::uint32_t host, kestrelline::ServerState state, bool started);
 
   // Faults.
   void Apply(const standin::Fault& fault);
--- a/src/sim/wire.h
+++ b/src/sim/wire.h
@@ -35,8 +35,8 @@
   std::shared_ptr<const Try> of;
   std::uint32_t node = 0, host = 0;
   std::uint64_t node_life = 0, host_life = 0;
-  brackenspoke::RequestId request = 0;
-  brackenspoke::ServerId server = 0;
+  kestrelline::RequestId request = 0;
+  kestrelline::ServerId server = 0;
   int number = 0;
   Microseconds sent{0};
   bool waited_for = true;                // by the proxy: it has neither an answer nor given it up
--- a/src/sim/words.cpp
+++ b/src/sim/words.cpp
@@ -7,7 +7,7 @@
 namespace kestrelline::sim {
 namespace {
 
-using namespace brackenspoke;
+using namespace kestrelline;
 
 template <typename... Values>
 std::string Format(const char* format, Values... values) {
@@ -67,7 +67,7 @@
           return "set a timer";
         } else if constexpr (std::is_same_v<T, Subscribe>) {
           return "subscribe";
-        } else if constexpr (std::is_same_v<T, brackenspoke::CloseIdle>) {
+        } else if constexpr (std::is_same_v<T, kestrelline::CloseIdle>) {
           return Format("close what is idle to %llu", Id(a.server));
         } else {
           return "say: " + a.text;
--- a/src/sim/words.h
+++ b/src/sim/words.h
@@ -11,9 +11,9 @@
 
 namespace kestrelline::sim {
 
-std::string_view NameOf(brackenspoke::Outcome outcome);
-std::string InWords(const brackenspoke::Event& event);
-std::string InWords(const brackenspoke::Action& action);
+std::string_view NameOf(kestrelline::Outcome outcome);
+std::string InWords(const kestrelline::Event& event);
+std::string InWords(const kestrelline::Action& action);
 
 }  // namespace kestrelline::sim
 
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -14,7 +14,7 @@
 #include "hex.h"
 #include "sample_settings.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 namespace {
 
 using testing::Hex;
@@ -122,4 +122,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke
+}  // namespace kestrelline
--- a/tests/app/reload_test.cpp
+++ b/tests/app/reload_test.cpp
@@ -15,7 +15,7 @@
 #include "support/process.h"
 #include "support/temporary.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 namespace {
 
 using kestrelline::testing::TemporaryFolder;
@@ -265,4 +265,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
--- a/tests/app/routes_test.cpp
+++ b/tests/app/routes_test.cpp
@@ -10,7 +10,7 @@
 
 #include "support/loopback.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 namespace {
 
 enum class Trouble { kSlow, kResets, kRefuses };
@@ -200,4 +200,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -18,7 +18,7 @@
 
 #include "harness.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 namespace {
 
 using testing::At;
@@ -1222,4 +1222,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke
+}  // namespace kestrelline
--- a/tests/bodies/bodies_test.cpp
+++ b/tests/bodies/bodies_test.cpp
@@ -144,8 +144,8 @@
 }
 
 // ---- what the module makes of it ----------------------------------------------------------------------
-using namespace brackenspoke;
-using namespace brackenspoke::testing;
+using namespace kestrelline;
+using namespace kestrelline::testing;
 
 Submit Following(RequestId id, int cls) {
   Submit s;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -10,10 +10,10 @@
 
 #include "hex.h"
 
-namespace brackenspoke::adapter {
+namespace kestrelline::adapter {
 namespace {
 
-using brackenspoke::testing::Hex;
+using kestrelline::testing::Hex;
 
 Batch Read(const std::string& bytes) {
   std::istringstream in(bytes);
@@ -174,4 +174,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::adapter
+}  // namespace kestrelline::adapter
--- a/tests/concert/partition_test.cpp
+++ b/tests/concert/partition_test.cpp
@@ -90,15 +90,15 @@
 class Limited {
  public:
   Limited() : balancer_(Of(), 1) {
-    brackenspoke::ListUpdate list;
-    list.kind = brackenspoke::ListKind::kFull;
+    kestrelline::ListUpdate list;
+    list.kind = kestrelline::ListKind::kFull;
     list.entries.resize(1);
     list.entries[0].server = 1;
     Handle(list);
   }
-  void Handle(const brackenspoke::Event& event) {
+  void Handle(const kestrelline::Event& event) {
     actions.clear();
-    balancer_.Handle(brackenspoke::TimePoint(brackenspoke::Duration(now_)), event, &actions);
+    balancer_.Handle(kestrelline::TimePoint(kestrelline::Duration(now_)), event, &actions);
   }
   // Sent, of one class, over so many seconds; the others are refused with when to come back.
   int Sent(int request_class, double seconds) {
@@ -108,49 +108,49 @@
       const auto id = Submit(request_class, nullptr);
       const auto done = actions;  // what is handled next takes its place
       for (const auto& action : done) {
-        if (const auto* refused = std::get_if<brackenspoke::Refuse>(&action)) {
+        if (const auto* refused = std::get_if<kestrelline::Refuse>(&action)) {
           EXPECT_GT(refused->retry_after.count(), 0);
         }
-        EXPECT_FALSE(std::holds_alternative<brackenspoke::Fail>(action));
-        if (!std::holds_alternative<brackenspoke::Dispatch>(action)) continue;
+        EXPECT_FALSE(std::holds_alternative<kestrelline::Fail>(action));
+        if (!std::holds_alternative<kestrelline::Dispatch>(action)) continue;
         ++sent;
-        brackenspoke::AttemptEnded end;
-        end.request = id, end.server = 1, end.outcome = brackenspoke::Outcome::kOk, end.settled = true;
-        end.took = brackenspoke::Duration(1);
+        kestrelline::AttemptEnded end;
+        end.request = id, end.server = 1, end.outcome = kestrelline::Outcome::kOk, end.settled = true;
+        end.took = kestrelline::Duration(1);
         Handle(end);
       }
     }
     return sent;
   }
-  brackenspoke::RequestId Submit(int request_class,
-                                 std::shared_ptr<const std::vector<brackenspoke::KeyClaim>> claims) {
-    brackenspoke::Submit submit;
+  kestrelline::RequestId Submit(int request_class,
+                                std::shared_ptr<const std::vector<kestrelline::KeyClaim>> claims) {
+    kestrelline::Submit submit;
     submit.request = ++last_, submit.request_class = request_class, submit.claims = std::move(claims);
-    submit.due = brackenspoke::TimePoint(brackenspoke::Duration(now_ + 1000));
+    submit.due = kestrelline::TimePoint(kestrelline::Duration(now_ + 1000));
     Handle(submit);
     return last_;
   }
-  std::vector<brackenspoke::Action> actions;
+  std::vector<kestrelline::Action> actions;
 
  private:
-  static brackenspoke::Settings Of() {
-    brackenspoke::Settings s;
+  static kestrelline::Settings Of() {
+    kestrelline::Settings s;
     s.balancers = 5;
-    s.max_retry_after = brackenspoke::Duration(500);
+    s.max_retry_after = kestrelline::Duration(500);
     s.classes.resize(2);
-    for (auto& c : s.classes) c.aim = c.deadline = brackenspoke::Duration(1000);
-    s.classes[1].effect = brackenspoke::Effect::kKeyed, s.classes[1].group = brackenspoke::Group::kCell;
-    s.classes[1].window = brackenspoke::Duration(10000);
+    for (auto& c : s.classes) c.aim = c.deadline = kestrelline::Duration(1000);
+    s.classes[1].effect = kestrelline::Effect::kKeyed, s.classes[1].group = kestrelline::Group::kCell;
+    s.classes[1].window = kestrelline::Duration(10000);
     return s;
   }
 
-  brackenspoke::Balancer balancer_;
+  kestrelline::Balancer balancer_;
   double now_ = 1;
-  brackenspoke::RequestId last_ = 0;
+  kestrelline::RequestId last_ = 0;
 };
 
 TEST(PartitionModule, ALimitIsOfOneClassAndOfThisProxysShare) {
-  using brackenspoke::ClassLimit;
+  using kestrelline::ClassLimit;
   Limited limited;
   EXPECT_EQ(limited.Sent(0, 2), 200);
   limited.Handle(ClassLimit{0, 0});
@@ -158,7 +158,7 @@
   EXPECT_EQ(limited.Sent(1, 2), 200);
   limited.Handle(ClassLimit{0, 50});
   EXPECT_NEAR(limited.Sent(0, 4), 40, 2);  // a fifth of 50, and nothing in store at first
-  limited.Handle(brackenspoke::Share{0.5, brackenspoke::TimePoint(brackenspoke::Duration(1e9)), 0.05});
+  limited.Handle(kestrelline::Share{0.5, kestrelline::TimePoint(kestrelline::Duration(1e9)), 0.05});
   EXPECT_NEAR(limited.Sent(0, 4), 100, 4);  // half
   limited.Handle(ClassLimit{0, 0.5});
   EXPECT_LE(limited.Sent(0, 8), 26);  // what was in store, and one each 4 s
@@ -173,16 +173,15 @@
 // To refuse is to say that another try is harmless, which nobody knows of a key that may have run.
 TEST(PartitionModule, AKeyThatMayHaveRunElsewhereIsFailedNotRefused) {
   Limited limited;
-  limited.Handle(brackenspoke::ClassLimit{1, 0});
-  limited.Submit(1,
-                 std::make_shared<const std::vector<brackenspoke::KeyClaim>>(
-                     1, brackenspoke::KeyClaim{0, 0, brackenspoke::TimePoint(brackenspoke::Duration(1e6))}));
+  limited.Handle(kestrelline::ClassLimit{1, 0});
+  limited.Submit(1, std::make_shared<const std::vector<kestrelline::KeyClaim>>(
+                        1, kestrelline::KeyClaim{0, 0, kestrelline::TimePoint(kestrelline::Duration(1e6))}));
   ASSERT_FALSE(limited.actions.empty());
-  EXPECT_TRUE(std::holds_alternative<brackenspoke::Fail>(limited.actions.front()) ||
-              std::holds_alternative<brackenspoke::Log>(limited.actions.front()));
+  EXPECT_TRUE(std::holds_alternative<kestrelline::Fail>(limited.actions.front()) ||
+              std::holds_alternative<kestrelline::Log>(limited.actions.front()));
   for (const auto& action : limited.actions)
-    EXPECT_FALSE(std::holds_alternative<brackenspoke::Refuse>(action) ||
-                 std::holds_alternative<brackenspoke::Dispatch>(action));
+    EXPECT_FALSE(std::holds_alternative<kestrelline::Refuse>(action) ||
+                 std::holds_alternative<kestrelline::Dispatch>(action));
 }
 
 }  // namespace
--- a/tests/fleet/affinity_test.cpp
+++ b/tests/fleet/affinity_test.cpp
@@ -18,25 +18,25 @@
 namespace kestrelline::fleet {
 namespace {
 
-using brackenspoke::Action;
-using brackenspoke::Dispatch;
-using brackenspoke::Duration;
-using brackenspoke::Outcome;
-using brackenspoke::RequestId;
-using brackenspoke::RouteLimits;
-using brackenspoke::ServerEntry;
-using brackenspoke::ServerId;
-using brackenspoke::ServerState;
-using brackenspoke::Submit;
-using brackenspoke::testing::At;
-using brackenspoke::testing::Entry;
-using brackenspoke::testing::Rig;
-using brackenspoke::testing::Usual;
+using kestrelline::Action;
+using kestrelline::Dispatch;
+using kestrelline::Duration;
+using kestrelline::Outcome;
+using kestrelline::RequestId;
+using kestrelline::RouteLimits;
+using kestrelline::ServerEntry;
+using kestrelline::ServerId;
+using kestrelline::ServerState;
+using kestrelline::Submit;
+using kestrelline::testing::At;
+using kestrelline::testing::Entry;
+using kestrelline::testing::Rig;
+using kestrelline::testing::Usual;
 
 Ring RingOf(Member members, Member without = 0) {
   std::vector<Spot> spots, none;
   for (Member m = 1; m <= members; ++m) {
-    if (m != without) spots.push_back({brackenspoke::MixBits(m), m});
+    if (m != without) spots.push_back({kestrelline::MixBits(m), m});
   }
   std::sort(spots.begin(), spots.end());
   Ring ring;
@@ -114,7 +114,7 @@
   }
 
  private:
-  static brackenspoke::Settings SettingsOf(int me) {
+  static kestrelline::Settings SettingsOf(int me) {
     auto settings = Usual();
     settings.balancers = 10, settings.me = me;
     return settings;
@@ -148,12 +148,12 @@
   const auto owner = keyed.Ask(1, 42);
   ASSERT_TRUE(owner);
   keyed.rig().End(1, 0, *owner, Outcome::kOk);
-  keyed.rig().List({Entry(*owner, 0, 0, ServerState::kDraining)}, brackenspoke::ListKind::kDelta);
+  keyed.rig().List({Entry(*owner, 0, 0, ServerState::kDraining)}, kestrelline::ListKind::kDelta);
   const auto heir = keyed.Ask(2, 42);
   ASSERT_TRUE(heir);
   EXPECT_NE(heir, owner);
   keyed.rig().End(2, 0, *heir, Outcome::kOk);
-  keyed.rig().List({Entry(*owner)}, brackenspoke::ListKind::kDelta);
+  keyed.rig().List({Entry(*owner)}, kestrelline::ListKind::kDelta);
   EXPECT_EQ(keyed.Ask(3, 42), owner);
 }
 
--- a/tests/fleet/class_losses_test.cpp
+++ b/tests/fleet/class_losses_test.cpp
@@ -14,11 +14,11 @@
 namespace kestrelline::fleet {
 namespace {
 
-using brackenspoke::Duration;
-using brackenspoke::Outcome;
-using brackenspoke::TimePoint;
-using brackenspoke::testing::At;
-using brackenspoke::testing::Rig;
+using kestrelline::Duration;
+using kestrelline::Outcome;
+using kestrelline::TimePoint;
+using kestrelline::testing::At;
+using kestrelline::testing::Rig;
 
 constexpr int kServers = 15, kClasses = 3;
 
@@ -168,11 +168,11 @@
 TEST(ClassLosses, TheModuleSendsTheClassElsewhereAndAllElseThere) {
   Rig rig;
   rig.Servers(6);
-  std::multimap<int, std::pair<brackenspoke::RequestId, brackenspoke::ServerId>> ends;  // by turn
+  std::multimap<int, std::pair<kestrelline::RequestId, kestrelline::ServerId>> ends;  // by turn
   int to_sick = 0, of_class = 0, others_to_sick = 0;
   for (int turn = 0; turn < 30000; ++turn) {
     rig.Tick(1);
-    const auto is_silent = [](brackenspoke::RequestId id, brackenspoke::ServerId server) {
+    const auto is_silent = [](kestrelline::RequestId id, kestrelline::ServerId server) {
       return server == 1 && id % 3 == 2;
     };
     for (; !ends.empty() && ends.begin()->first <= turn; ends.erase(ends.begin())) {
@@ -180,7 +180,7 @@
       const bool silent = is_silent(id, server);
       rig.End(id, 0, server, silent ? Outcome::kTimeout : Outcome::kOk, silent ? 600 : 60, true);
     }
-    if (turn % 3 == 0) rig.Ask(static_cast<brackenspoke::RequestId>(turn / 3), turn / 3 % 3, 10, 600);
+    if (turn % 3 == 0) rig.Ask(static_cast<kestrelline::RequestId>(turn / 3), turn / 3 % 3, 10, 600);
     for (const auto& sent : std::exchange(rig.sent, {})) {
       const bool silent = is_silent(sent.request, sent.server);
       ends.emplace(turn + (silent ? 600 : 60), std::make_pair(sent.request, sent.server));
--- a/tests/fleet/large_fleet_test.cpp
+++ b/tests/fleet/large_fleet_test.cpp
@@ -15,7 +15,7 @@
 #include "harness.h"
 #include "support/rules_world.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 namespace {
 
 using testing::At;
@@ -364,4 +364,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke
+}  // namespace kestrelline
--- a/tests/fleet/pick_index_test.cpp
+++ b/tests/fleet/pick_index_test.cpp
@@ -15,8 +15,8 @@
 namespace kestrelline::fleet {
 namespace {
 
-using brackenspoke::Duration;
-using brackenspoke::TimePoint;
+using kestrelline::Duration;
+using kestrelline::TimePoint;
 
 #ifdef __SANITIZE_ADDRESS__
 constexpr int kPicks = 50000;  // unoptimised code is 20 times slower
--- a/tests/fleet/roster_test.cpp
+++ b/tests/fleet/roster_test.cpp
@@ -18,9 +18,9 @@
 namespace kestrelline::fleet {
 namespace {
 
-using brackenspoke::Duration;
-using brackenspoke::testing::At;
-using brackenspoke::testing::Entry;
+using kestrelline::Duration;
+using kestrelline::testing::At;
+using kestrelline::testing::Entry;
 
 const Roster::InUse kNoneInUse = [](Member) { return false; };
 
@@ -68,7 +68,7 @@
   for (const Ring* ring : {&roster.all(), &roster.home(), &roster.away()}) {
     for (std::size_t k = 0; k < ring->size(); ++k) {
       ASSERT_TRUE(roster.Ready((*ring)[k]));
-      ASSERT_EQ(ring->PlaceOf(k), brackenspoke::MixBits(roster[(*ring)[k]].server));
+      ASSERT_EQ(ring->PlaceOf(k), kestrelline::MixBits(roster[(*ring)[k]].server));
       ASSERT_TRUE(k == 0 || ring->PlaceOf(k - 1) < ring->PlaceOf(k));
     }
   }
--- a/tests/fleet/subset_test.cpp
+++ b/tests/fleet/subset_test.cpp
@@ -22,15 +22,15 @@
  public:
   explicit Site(Member servers) : has_(kProxies) {
     std::vector<Spot> joining, none;
-    for (Member m = 1; m <= servers; ++m) joining.push_back({brackenspoke::MixBits(m), m});
+    for (Member m = 1; m <= servers; ++m) joining.push_back({kestrelline::MixBits(m), m});
     std::sort(joining.begin(), joining.end());
     ring_.Change(&none, joining, [](Member) { return true; });
     Use();
   }
   void Change(std::vector<Member> leave, std::vector<Member> join) {
     std::vector<Spot> leaving, joining;
-    for (const Member m : leave) leaving.push_back({brackenspoke::MixBits(m), m});
-    for (const Member m : join) joining.push_back({brackenspoke::MixBits(m), m});
+    for (const Member m : leave) leaving.push_back({kestrelline::MixBits(m), m});
+    for (const Member m : join) joining.push_back({kestrelline::MixBits(m), m});
     std::sort(joining.begin(), joining.end());
     const std::set<Member> gone(leave.begin(), leave.end());
     ring_.Change(&leaving, joining, [&](Member m) { return !gone.contains(m); });
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -13,7 +13,7 @@
 
 #include "kestrelline/balancer.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 inline TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
@@ -124,6 +124,6 @@
   std::map<RequestId, int> attempts_;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_HARNESS_H_
--- a/tests/hex.h
+++ b/tests/hex.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 // Bytes from hexadecimal digits; blanks are for the reader.
 inline std::string Hex(std::string_view text) {
@@ -19,6 +19,6 @@
   return bytes;
 }
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_HEX_H_
--- a/tests/lab/runner_test.cpp
+++ b/tests/lab/runner_test.cpp
@@ -114,9 +114,9 @@
 TEST(Runner, ABreachIsKeptAndNoVariantThatBreaksARuleIsTheBest) {
   Small small("", kSpeed);
   // A site whose servers are told to be warm when they are not, and a rule that is narrow.
-  small.scenarios[1].adjust = [](brackenspoke::Settings* settings) {
+  small.scenarios[1].adjust = [](kestrelline::Settings* settings) {
     settings->cold_from = 1;
-    settings->warm_up = brackenspoke::Duration(0);
+    settings->warm_up = kestrelline::Duration(0);
   };
   small.scenarios[1].site.cold_from = 0.01;
   small.scenarios[1].site.fall_multiple = 1.01;
--- a/tests/load/engine_test.cpp
+++ b/tests/load/engine_test.cpp
@@ -15,13 +15,13 @@
 namespace kestrelline::load {
 namespace {
 
-using brackenspoke::testing::Backend;
-using brackenspoke::testing::HttpRequest;
-using brackenspoke::testing::kDeclined;
-using brackenspoke::testing::OkAnswer;
-using brackenspoke::testing::SendRaw;
-using brackenspoke::testing::Tcp;
-using brackenspoke::testing::Watched;
+using kestrelline::testing::Backend;
+using kestrelline::testing::HttpRequest;
+using kestrelline::testing::kDeclined;
+using kestrelline::testing::OkAnswer;
+using kestrelline::testing::SendRaw;
+using kestrelline::testing::Tcp;
+using kestrelline::testing::Watched;
 
 Plan PlanOf(double rate, double seconds) {
   Plan plan;
@@ -161,7 +161,7 @@
   Tcp::endpoint nobody;
   {
     boost::asio::io_context io;
-    nobody = Tcp::acceptor(io, brackenspoke::testing::kAnyPort).local_endpoint();
+    nobody = Tcp::acceptor(io, kestrelline::testing::kAnyPort).local_endpoint();
   }
   const Played played(PlanOf(100, 0.3), {nobody});
   EXPECT_EQ(played.results.Count(Outcome::kFailed), 30u);
@@ -199,7 +199,7 @@
   Tcp::endpoint nobody;
   {
     boost::asio::io_context io;
-    nobody = Tcp::acceptor(io, brackenspoke::testing::kAnyPort).local_endpoint();
+    nobody = Tcp::acceptor(io, kestrelline::testing::kAnyPort).local_endpoint();
   }
   const Played played(PlanOf(200, 0.5), {nobody, backend.address()});
   EXPECT_EQ(played.results.Count(Outcome::kServed), 100u);
--- a/tests/load/tools_test.cpp
+++ b/tests/load/tools_test.cpp
@@ -18,7 +18,7 @@
 namespace kestrelline::testing {
 namespace {
 
-using namespace brackenspoke::testing;
+using namespace kestrelline::testing;
 
 pid_t Start(std::vector<std::string> command, const std::string& output) {
   std::vector<char*> argv;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -12,7 +12,7 @@
 
 #include "harness.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 namespace {
 
 using testing::Entry;
@@ -113,4 +113,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke
+}  // namespace kestrelline
--- a/tests/models/bridge_test.cpp
+++ b/tests/models/bridge_test.cpp
@@ -13,7 +13,7 @@
 #include "harness.h"
 #include "support/spin_walk.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 namespace {
 
 using kestrelline::testing::Walk;
@@ -175,4 +175,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke
+}  // namespace kestrelline
--- a/tests/plugin/host_test.cpp
+++ b/tests/plugin/host_test.cpp
@@ -62,7 +62,7 @@
 
   template <typename F>
   bool Until(F done) {
-    const auto until = std::chrono::steady_clock::now() + brackenspoke::testing::kGiveUp;
+    const auto until = std::chrono::steady_clock::now() + kestrelline::testing::kGiveUp;
     while (!done()) {
       if (std::chrono::steady_clock::now() > until) return false;
       io.restart();
--- a/tests/plugin/rules_test.cpp
+++ b/tests/plugin/rules_test.cpp
@@ -11,11 +11,11 @@
 namespace kestrelline::plugin {
 namespace {
 
-using brackenspoke::Submit;
+using kestrelline::Submit;
 
 routing::Site SiteOf() {
   routing::Site site;
-  site.settings = brackenspoke::testing::Usual();
+  site.settings = kestrelline::testing::Usual();
   site.settings.parallel_tries = true;
   site.settings.tenants.resize(2);
   site.classes = {"preview", "convert", "certify"};
@@ -49,7 +49,7 @@
       g.tenant = g.key = g.cost = true;
       for (int c = 0; c < 3; ++c) g.refuse_on_failure.push_back(draw() % 2 == 0);
     }
-    brackenspoke::testing::World world(site.settings, seed, nullptr, [&](Submit* submit, auto& random) {
+    kestrelline::testing::World world(site.settings, seed, nullptr, [&](Submit* submit, auto& random) {
       Tagging tagging(site, submit->request_class, {&plugins[0], &plugins[1]});
       for (std::size_t slot = 0; slot < 2; ++slot) tagging.Take(slot, SomeOutcome(site, random));
       const Verdict verdict = tagging.Decide();
--- a/tests/plugin/tagging_test.cpp
+++ b/tests/plugin/tagging_test.cpp
@@ -18,9 +18,9 @@
 namespace kestrelline::plugin {
 namespace {
 
-using brackenspoke::ClassSettings;
-using brackenspoke::Effect;
-using brackenspoke::Group;
+using kestrelline::ClassSettings;
+using kestrelline::Effect;
+using kestrelline::Group;
 using testing::kCertify;
 using testing::kConvert;
 using testing::kPreview;
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -16,7 +16,7 @@
 
 #include "support/loopback.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 namespace {
 
 void ExpectComplaint(const std::map<std::string, std::string>& env, const std::string& part) {
@@ -195,4 +195,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
--- a/tests/proxy/bodies_test.cpp
+++ b/tests/proxy/bodies_test.cpp
@@ -10,7 +10,7 @@
 #include "support/long_body.h"
 #include "support/process.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 namespace {
 
 constexpr std::size_t kMuch = 3 << 20;  // far over what is kept
@@ -361,4 +361,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
--- a/tests/proxy/departures_test.cpp
+++ b/tests/proxy/departures_test.cpp
@@ -11,7 +11,7 @@
 #include "support/late_listener.h"
 #include "support/loopback.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 namespace {
 
 // Far longer than a test is waited for: what ends in time does not end by a limit of the proxy's.
@@ -275,4 +275,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
--- a/tests/proxy/door_test.cpp
+++ b/tests/proxy/door_test.cpp
@@ -11,7 +11,7 @@
 #include "support/door_call.h"
 #include "support/loopback.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 namespace {
 
 // A site whose proxy has a door.
@@ -251,4 +251,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
--- a/tests/proxy/drain_takes_test.cpp
+++ b/tests/proxy/drain_takes_test.cpp
@@ -7,7 +7,7 @@
 #include "support/long_body.h"
 #include "support/process.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 namespace {
 
 // From here on, what SIGKILL finds unanswered is lost; the rest of a request may come until 1.1 s.
@@ -278,4 +278,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
--- a/tests/proxy/endings_test.cpp
+++ b/tests/proxy/endings_test.cpp
@@ -10,7 +10,7 @@
 #include "support/process.h"
 #include "support/temporary.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 namespace {
 
 // What the system has accepted by the time the listener closes is answered; a loop that was busy until then
@@ -169,4 +169,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
--- a/tests/proxy/forms_test.cpp
+++ b/tests/proxy/forms_test.cpp
@@ -9,7 +9,7 @@
 
 #include "support/loopback.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 namespace {
 
 enum class Cut { kWhole, kBytes, kRandom };
@@ -212,4 +212,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
--- a/tests/proxy/upgrade_test.cpp
+++ b/tests/proxy/upgrade_test.cpp
@@ -13,7 +13,7 @@
 #include "support/process.h"
 #include "support/temporary.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 namespace {
 
 using kestrelline::testing::TemporaryFolder;
@@ -340,4 +340,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -12,7 +12,7 @@
 #include "fleet/asking.h"
 #include "support/loopback.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 namespace {
 
 // ---- one final answer ---------------------------------------------------------------------------------
@@ -1135,4 +1135,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
--- a/tests/replica/claims_test.cpp
+++ b/tests/replica/claims_test.cpp
@@ -47,7 +47,7 @@
     claims.Before(Of(mode), group, [gone](Go go) { *gone = go; });
     return gone;
   }
-  brackenspoke::ClassSettings of;
+  kestrelline::ClassSettings of;
   Book book;
   Claims claims{book, Settings(), {"a", "b"}};
 };
--- a/tests/routing/balancer_limits_test.cpp
+++ b/tests/routing/balancer_limits_test.cpp
@@ -7,7 +7,7 @@
 
 #include "harness.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 namespace {
 
 using testing::At;
@@ -236,4 +236,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke
+}  // namespace kestrelline
--- a/tests/routing/rules_property_test.cpp
+++ b/tests/routing/rules_property_test.cpp
@@ -17,7 +17,7 @@
 // The classes of harness.h under the names of a platform.
 routing::Site WorldSite(bool parallel) {
   routing::Site site;
-  site.settings = brackenspoke::testing::Usual();
+  site.settings = kestrelline::testing::Usual();
   site.settings.parallel_tries = parallel;
   site.settings.tenants.resize(2);
   site.classes = {"preview", "convert", "certify"};
@@ -73,7 +73,7 @@
     // A reload halfway: requests of both files are in flight together.
     const Built other(SomeFile(parallel), site);
     int given = 0;
-    brackenspoke::testing::World world(site.settings, seed, [&](int request_class, std::mt19937_64& random) {
+    kestrelline::testing::World world(site.settings, seed, [&](int request_class, std::mt19937_64& random) {
       const bool reloaded = ++given > 600 && other.routes;
       const Ask ask{request_class, "/" + site.classes[static_cast<std::size_t>(request_class)],
                     static_cast<int>(random() % 2)};
@@ -97,18 +97,18 @@
 TEST(RoutesAndRules, LimitsOutOfAllBoundsNeverBreakARule) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
-    auto settings = brackenspoke::testing::Usual();
+    auto settings = kestrelline::testing::Usual();
     settings.parallel_tries = seed % 2;
-    brackenspoke::testing::World world(settings, seed, [](int, std::mt19937_64& random) {
-      auto limits = std::make_shared<brackenspoke::RouteLimits>();
+    kestrelline::testing::World world(settings, seed, [](int, std::mt19937_64& random) {
+      auto limits = std::make_shared<kestrelline::RouteLimits>();
       limits->route = random() % 3;
       limits->max_attempts = static_cast<int>(random() % 100) - 20;
-      limits->second_copy_after = brackenspoke::Duration(static_cast<double>(random() % 50));
-      limits->pause = brackenspoke::Duration(static_cast<double>(random() % 3000));
-      limits->attempt_timeout = brackenspoke::Duration(static_cast<double>(random() % 5000));
+      limits->second_copy_after = kestrelline::Duration(static_cast<double>(random() % 50));
+      limits->pause = kestrelline::Duration(static_cast<double>(random() % 3000));
+      limits->attempt_timeout = kestrelline::Duration(static_cast<double>(random() % 5000));
       limits->retry_on = static_cast<unsigned>(random());
       limits->max_in_flight = static_cast<int>(random() % 30);
-      limits->budgets = {{random() % 2, 5.0, brackenspoke::Duration(static_cast<double>(random() % 500)), 3}};
+      limits->budgets = {{random() % 2, 5.0, kestrelline::Duration(static_cast<double>(random() % 500)), 3}};
       return limits;
     });
     world.Play();
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -12,7 +12,7 @@
 #include "harness.h"
 #include "support/rules_world.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 namespace {
 
 using testing::At;
@@ -131,4 +131,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke
+}  // namespace kestrelline
--- a/tests/sample_settings.h
+++ b/tests/sample_settings.h
@@ -2,7 +2,7 @@
 #ifndef KESTRELLINE_TESTS_SAMPLE_SETTINGS_H_
 #define KESTRELLINE_TESTS_SAMPLE_SETTINGS_H_
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 inline constexpr char kSampleSettings[] = R"(
 balancers=2
@@ -40,6 +40,6 @@
 zone=0
 )";
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_SAMPLE_SETTINGS_H_
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -7,10 +7,10 @@
 
 #include "sample_settings.h"
 
-namespace brackenspoke::adapter {
+namespace kestrelline::adapter {
 namespace {
 
-using brackenspoke::testing::kSampleSettings;
+using kestrelline::testing::kSampleSettings;
 
 std::string Without(const std::string& key) {
   std::string text(kSampleSettings);
@@ -90,4 +90,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::adapter
+}  // namespace kestrelline::adapter
--- a/tests/sim/simulation_test.cpp
+++ b/tests/sim/simulation_test.cpp
@@ -23,8 +23,8 @@
 namespace kestrelline::sim {
 namespace {
 
-using brackenspoke::Action;
-using brackenspoke::Event;
+using kestrelline::Action;
+using kestrelline::Event;
 
 std::string Read(const std::string& path) {
   std::ifstream in(std::string(SOURCE_PATH) + "/" + path);
@@ -177,8 +177,8 @@
   Simulation::Options options;
   options.tamper_with_actions = [&](std::vector<Action>* actions) {
     std::erase_if(*actions, [&](const Action& action) {
-      const bool last = std::holds_alternative<brackenspoke::Refuse>(action) ||
-                        std::holds_alternative<brackenspoke::Fail>(action);
+      const bool last = std::holds_alternative<kestrelline::Refuse>(action) ||
+                        std::holds_alternative<kestrelline::Fail>(action);
       return last && ++answers % 2 == 0;
     });
   };
@@ -190,10 +190,10 @@
 TEST(Simulation, AnEffectTwiceIsFound) {
   Simulation::Options options;
   options.tamper_with_event = [](Event* event) {  // the module believes that what broke never ran
-    auto* end = std::get_if<brackenspoke::AttemptEnded>(event);
+    auto* end = std::get_if<kestrelline::AttemptEnded>(event);
     if (end &&
-        (end->outcome == brackenspoke::Outcome::kReset || end->outcome == brackenspoke::Outcome::kTimeout))
-      end->outcome = brackenspoke::Outcome::kConnectFailed;
+        (end->outcome == kestrelline::Outcome::kReset || end->outcome == kestrelline::Outcome::kTimeout))
+      end->outcome = kestrelline::Outcome::kConnectFailed;
   };
   EXPECT_EQ(FirstBroken(Rehearsal(60, 1), options), load::NameOf(load::Rule::kNoEffectTwice));
 }
@@ -201,10 +201,10 @@
 TEST(Simulation, ADrainThatIsNotKeptIsFound) {
   Simulation::Options options;
   options.tamper_with_event = [](Event* event) {  // no list says that a server drains
-    if (auto* list = std::get_if<brackenspoke::ListUpdate>(event)) {
+    if (auto* list = std::get_if<kestrelline::ListUpdate>(event)) {
       for (auto& entry : list->entries) {
-        if (entry.state == brackenspoke::ServerState::kDraining)
-          entry.state = brackenspoke::ServerState::kReady;
+        if (entry.state == kestrelline::ServerState::kDraining)
+          entry.state = kestrelline::ServerState::kReady;
       }
     }
   };
@@ -214,8 +214,8 @@
 TEST(Simulation, AColdServerPushedOverIsFound) {
   Simulation::Options options;
   options.tamper_with_event = [](Event* event) {  // every server seems to have been up for long
-    if (auto* list = std::get_if<brackenspoke::ListUpdate>(event)) {
-      for (auto& entry : list->entries) entry.up_since = brackenspoke::TimePoint();
+    if (auto* list = std::get_if<kestrelline::ListUpdate>(event)) {
+      for (auto& entry : list->entries) entry.up_since = kestrelline::TimePoint();
     }
   };
   Scenario scenario = Rehearsal(40, 1);
@@ -233,10 +233,10 @@
   const std::function<bool(const Scenario&)> fails = [](const Scenario& scenario) {
     Simulation::Options options;
     options.tamper_with_event = [](Event* event) {
-      if (auto* list = std::get_if<brackenspoke::ListUpdate>(event)) {
+      if (auto* list = std::get_if<kestrelline::ListUpdate>(event)) {
         for (auto& entry : list->entries) {
-          if (entry.state == brackenspoke::ServerState::kDraining)
-            entry.state = brackenspoke::ServerState::kReady;
+          if (entry.state == kestrelline::ServerState::kDraining)
+            entry.state = kestrelline::ServerState::kReady;
         }
       }
     };
@@ -266,8 +266,8 @@
     Simulation::Options options;
     options.until = seconds(until);
     options.on_decision = [&](std::uint32_t, Microseconds, const Event& event, const std::vector<Action>&) {
-      const auto* end = std::get_if<brackenspoke::AttemptEnded>(&event);
-      unreached += end && end->outcome == brackenspoke::Outcome::kConnectFailed;
+      const auto* end = std::get_if<kestrelline::AttemptEnded>(&event);
+      unreached += end && end->outcome == kestrelline::Outcome::kConnectFailed;
     };
     Simulation simulation(scenario, options);
     const Report report = simulation.Run();
--- a/tests/support/backend.h
+++ b/tests/support/backend.h
@@ -14,7 +14,7 @@
 
 #include "support/sockets.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 inline std::string OkAnswer(const std::string& body) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -72,6 +72,6 @@
   Listener listener_;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_SUPPORT_BACKEND_H_
--- a/tests/support/client.h
+++ b/tests/support/client.h
@@ -11,7 +11,7 @@
 
 #include "support/sockets.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 class Client {
  public:
@@ -68,6 +68,6 @@
   return request.replace(from, request.find("\r\n", from) - from, id);
 }
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_SUPPORT_CLIENT_H_
--- a/tests/support/discovery.h
+++ b/tests/support/discovery.h
@@ -14,7 +14,7 @@
 
 #include "support/sockets.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 inline nlohmann::json MemberJson(const std::string& id, const Tcp::endpoint& address,
                                  const std::string& phase = "in_service", double up_since = 0) {
@@ -112,6 +112,6 @@
   Listener listener_;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_SUPPORT_DISCOVERY_H_
--- a/tests/support/door_call.h
+++ b/tests/support/door_call.h
@@ -11,7 +11,7 @@
 
 #include "support/client.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 // What is said before its end; "" if nobody listens.
 inline std::string Call(const Tcp::endpoint& door, const std::string& bytes, bool end = false) {
@@ -35,6 +35,6 @@
   return figures;
 }
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_SUPPORT_DOOR_CALL_H_
--- a/tests/support/late_listener.h
+++ b/tests/support/late_listener.h
@@ -12,7 +12,7 @@
 
 #include "support/sockets.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 class LateListener {
  public:
@@ -64,6 +64,6 @@
   std::vector<Tcp::socket> fillers_;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_SUPPORT_LATE_LISTENER_H_
--- a/tests/support/long_body.h
+++ b/tests/support/long_body.h
@@ -20,7 +20,7 @@
 
 #include "support/client.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 #if defined(__SANITIZE_ADDRESS__)
 inline constexpr std::size_t kLong = 1 << 20;
@@ -162,6 +162,6 @@
          "\r\n" + (kind == "change" ? "Idempotency-Key: 7e\r\n" : "") + more + "\r\n";
 }
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_SUPPORT_LONG_BODY_H_
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -23,7 +23,7 @@
 #include "standin/address.h"
 #include "support/loopback.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 // The program as a child, with what it writes to standard error.
 class Child {
@@ -128,6 +128,6 @@
   std::filesystem::rename(file.path + ".new", file.path);
 }
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_SUPPORT_PROCESS_H_
--- a/tests/support/routing_site.h
+++ b/tests/support/routing_site.h
@@ -21,14 +21,14 @@
 
 // preview: safe, 2 s; convert: keyed for 10 s, 2 s; certify: unsafe, 1 s; stamp: keyed for 500 ms, 2 s.
 inline routing::Site RoutingSite() {
-  using brackenspoke::Effect;
+  using kestrelline::Effect;
   const auto cls = [](Effect effect, double deadline, double window) {
-    brackenspoke::ClassSettings c;
+    kestrelline::ClassSettings c;
     c.effect = effect;
-    c.aim = brackenspoke::Duration(500);
-    c.deadline = brackenspoke::Duration(deadline);
-    c.window = brackenspoke::Duration(window);
-    c.group = brackenspoke::Group::kCell;
+    c.aim = kestrelline::Duration(500);
+    c.deadline = kestrelline::Duration(deadline);
+    c.window = kestrelline::Duration(window);
+    c.group = kestrelline::Group::kCell;
     return c;
   };
   routing::Site site;
--- a/tests/support/rules_world.h
+++ b/tests/support/rules_world.h
@@ -20,7 +20,7 @@
 #include "harness.h"
 #include "kestrelline/balancer.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 struct Try {
   ServerId server;
@@ -296,6 +296,6 @@
   std::map<RequestId, Open> open_;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_SUPPORT_RULES_WORLD_H_
--- a/tests/support/running_fleet.h
+++ b/tests/support/running_fleet.h
@@ -19,7 +19,7 @@
 
 namespace kestrelline::testing {
 
-using namespace brackenspoke::testing;
+using namespace kestrelline::testing;
 using load::Event;
 
 class RunningFleet {
--- a/tests/support/running_proxy.h
+++ b/tests/support/running_proxy.h
@@ -17,7 +17,7 @@
 #include "support/discovery.h"
 #include "support/sockets.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 // Three classes: look (safe), change (keyed), book (unsafe).
 inline nlohmann::json SettingsJson() {
@@ -101,6 +101,6 @@
   Tcp::endpoint address;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_SUPPORT_RUNNING_PROXY_H_
--- a/tests/support/site.h
+++ b/tests/support/site.h
@@ -14,7 +14,7 @@
 #include "app/operator_config.h"
 #include "support/running_proxy.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 // A test that is about a time limit sets it; to all others a slow machine is none.
 struct Site {
@@ -45,6 +45,6 @@
   std::unique_ptr<RunningProxy> proxy;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_SUPPORT_SITE_H_
--- a/tests/support/sockets.h
+++ b/tests/support/sockets.h
@@ -18,7 +18,7 @@
 
 #include "framing.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
@@ -112,6 +112,6 @@
   asio::write(socket, asio::buffer(bytes), ignored);
 }
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
 #endif  // KESTRELLINE_TESTS_SUPPORT_SOCKETS_H_
--- a/tools/kestrelsim/main.cpp
+++ b/tools/kestrelsim/main.cpp
@@ -180,11 +180,11 @@
                 event.proxy.c_str(), event.subject.c_str(), event.number);
   };
   // What its proxy decided while it was there, in the module's own words.
-  options.on_decision = [&](std::uint32_t at, sim::Microseconds now, const brackenspoke::Event&,
-                            const std::vector<brackenspoke::Action>& actions) {
+  options.on_decision = [&](std::uint32_t at, sim::Microseconds now, const kestrelline::Event&,
+                            const std::vector<kestrelline::Action>& actions) {
     if (at != node) return;
     for (const auto& action : actions) {
-      if (const auto* log = std::get_if<brackenspoke::Log>(&action))
+      if (const auto* log = std::get_if<kestrelline::Log>(&action))
         std::printf("%12.6f  n%-8u %s\n", Seconds(now), at, log->text.c_str());
     }
   };
@@ -205,8 +205,8 @@
   options.on_log = [&](sim::Microseconds at, const std::string& what) {
     if (at >= from) std::printf("%12.6f  fault  %s\n", Seconds(at), what.c_str());
   };
-  options.on_decision = [&](std::uint32_t node, sim::Microseconds at, const brackenspoke::Event& event,
-                            const std::vector<brackenspoke::Action>& actions) {
+  options.on_decision = [&](std::uint32_t node, sim::Microseconds at, const kestrelline::Event& event,
+                            const std::vector<kestrelline::Action>& actions) {
     if (at < from) return;
     std::string line = sim::InWords(event);
     for (const auto& action : actions) line += "; " + sim::InWords(action);
