--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -15,7 +15,6 @@
 namespace kestrelline::app {
 namespace {
 
-using kestrelline::Duration;
 using operator_file::Diagnostics;
 using operator_file::Shown;
 using routing::Chosen;
--- a/src/data_plane/backend.h
+++ b/src/data_plane/backend.h
@@ -15,10 +15,6 @@
 
 namespace kestrelline::data_plane {
 
-using kestrelline::Duration;
-using kestrelline::OutlierDetector;
-using kestrelline::TimePoint;
-
 // What the backend said of its load in its last answer.
 struct LoadHint {
   int running = 0;
--- a/src/fleet/roster.h
+++ b/src/fleet/roster.h
@@ -28,13 +28,6 @@
 
 namespace kestrelline::fleet {
 
-using kestrelline::ListKind;
-using kestrelline::ListUpdate;
-using kestrelline::ServerEntry;
-using kestrelline::ServerId;
-using kestrelline::ServerState;
-using kestrelline::TimePoint;
-
 // What is kept of an entry: what decisions are made of.
 struct Seat {
   ServerId server = 0;
--- a/src/handover/last_byte.h
+++ b/src/handover/last_byte.h
@@ -21,10 +21,6 @@
 
 namespace kestrelline::handover {
 
-using kestrelline::Duration;
-using kestrelline::Effect;
-using kestrelline::TimePoint;
-
 class LastByte {
  public:
   static constexpr std::array kWaits{Duration(0.25), Duration(0.5), Duration(1), Duration(2)};
--- a/src/plugin/api.h
+++ b/src/plugin/api.h
@@ -21,9 +21,6 @@
 
 namespace kestrelline::plugin {
 
-using kestrelline::Duration;
-using kestrelline::TimePoint;
-
 // The number that a plug-in says it is written for: `api = 1`.
 inline constexpr int kApiVersion = 1;
 
--- a/src/plugin/section.cpp
+++ b/src/plugin/section.cpp
@@ -11,7 +11,6 @@
 namespace kestrelline::plugin {
 namespace {
 
-using kestrelline::ClassSettings;
 using operator_file::Diagnostics;
 using operator_file::Key;
 using operator_file::Kind;
--- a/src/plugin/tagging.cpp
+++ b/src/plugin/tagging.cpp
@@ -8,10 +8,6 @@
 namespace kestrelline::plugin {
 namespace {
 
-using kestrelline::ClassSettings;
-using kestrelline::Effect;
-using kestrelline::Group;
-
 std::optional<int> IndexOf(const std::vector<std::string>& names, const std::string& name) {
   const auto found = std::find(names.begin(), names.end(), name);
   if (found == names.end()) return std::nullopt;
--- a/src/replica/claims.cpp
+++ b/src/replica/claims.cpp
@@ -12,10 +12,6 @@
 namespace kestrelline::replica {
 namespace {
 
-using kestrelline::ClassSettings;
-using kestrelline::Effect;
-using kestrelline::Group;
-
 Span InSpan(kestrelline::Duration ms) { return std::chrono::duration_cast<Span>(ms); }
 
 // A claim holds until the last attempt that may stand behind it is forgotten: one that leaves now may arrive
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -10,10 +10,6 @@
 namespace kestrelline::routing {
 namespace {
 
-using kestrelline::ClassSettings;
-using kestrelline::Effect;
-using kestrelline::Outcome;
-using kestrelline::RouteLimits;
 using operator_file::Diagnostics;
 using operator_file::Shown;
 
--- a/src/routing/spec.h
+++ b/src/routing/spec.h
@@ -15,7 +15,6 @@
 
 namespace kestrelline::routing {
 
-using kestrelline::Duration;
 using operator_file::At;
 using operator_file::Position;
 using Names = std::vector<At<std::string>>;
--- a/src/sim/faults.cpp
+++ b/src/sim/faults.cpp
@@ -12,7 +12,6 @@
 namespace kestrelline::sim {
 namespace {
 
-using kestrelline::ServerState;
 using load::Event;
 using standin::Fault;
 
--- a/src/sim/hosts.cpp
+++ b/src/sim/hosts.cpp
@@ -7,8 +7,6 @@
 namespace kestrelline::sim {
 namespace {
 
-using kestrelline::Outcome;
-
 constexpr Microseconds kConnectTimeout{250000};
 constexpr double kRepeatWork = 0.0002;  // of a keyed repeat that is dropped, in seconds
 
--- a/src/sim/node.cpp
+++ b/src/sim/node.cpp
@@ -7,8 +7,6 @@
 
 namespace kestrelline::sim {
 
-using namespace kestrelline;
-
 Node::Node(std::uint32_t number, Settings settings, bool hold, Hooks hooks, bool survives)
     : number_(number),
       settings_(std::move(settings)),
--- a/src/sim/simulation.cpp
+++ b/src/sim/simulation.cpp
@@ -15,10 +15,6 @@
 namespace kestrelline::sim {
 namespace {
 
-using kestrelline::ListKind;
-using kestrelline::ListUpdate;
-using kestrelline::ServerEntry;
-using kestrelline::ServerState;
 using load::Event;
 using standin::Fault;
 
--- a/src/sim/words.cpp
+++ b/src/sim/words.cpp
@@ -7,8 +7,6 @@
 namespace kestrelline::sim {
 namespace {
 
-using namespace kestrelline;
-
 template <typename... Values>
 std::string Format(const char* format, Values... values) {
   char text[256];
--- a/tests/bodies/bodies_test.cpp
+++ b/tests/bodies/bodies_test.cpp
@@ -144,7 +144,6 @@
 }
 
 // ---- what the module makes of it ----------------------------------------------------------------------
-using namespace kestrelline;
 using namespace kestrelline::testing;
 
 Submit Following(RequestId id, int cls) {
--- a/tests/concert/partition_test.cpp
+++ b/tests/concert/partition_test.cpp
@@ -150,7 +150,6 @@
 };
 
 TEST(PartitionModule, ALimitIsOfOneClassAndOfThisProxysShare) {
-  using kestrelline::ClassLimit;
   Limited limited;
   EXPECT_EQ(limited.Sent(0, 2), 200);
   limited.Handle(ClassLimit{0, 0});
--- a/tests/concert/parts_test.cpp
+++ b/tests/concert/parts_test.cpp
@@ -105,7 +105,6 @@
 
 // Requests of one tenant that are let in over a second, where those over its quota are worth nothing.
 int LetIn(const std::vector<kestrelline::Share>& shares) {
-  using namespace kestrelline;
   kestrelline::Settings s;
   s.balancers = 5;
   s.over_share_worth = 0;
@@ -142,9 +141,6 @@
 }
 
 TEST(ConcertModule, AShareHoldsUntilItsEndAndWhatIsNoneSaysNothing) {
-  using kestrelline::Duration;
-  using kestrelline::Share;
-  using kestrelline::TimePoint;
   const TimePoint never(Duration(1e9)), middle(Duration(2502));
   EXPECT_NEAR(LetIn({}), 60, 3);                          // a fifth of 100, for 3 s
   EXPECT_NEAR(LetIn({Share{0.5, never, 0.05}}), 150, 4);  // half
--- a/tests/fleet/affinity_test.cpp
+++ b/tests/fleet/affinity_test.cpp
@@ -18,16 +18,6 @@
 namespace kestrelline::fleet {
 namespace {
 
-using kestrelline::Action;
-using kestrelline::Dispatch;
-using kestrelline::Duration;
-using kestrelline::Outcome;
-using kestrelline::RequestId;
-using kestrelline::RouteLimits;
-using kestrelline::ServerEntry;
-using kestrelline::ServerId;
-using kestrelline::ServerState;
-using kestrelline::Submit;
 using kestrelline::testing::At;
 using kestrelline::testing::Entry;
 using kestrelline::testing::Rig;
--- a/tests/fleet/class_losses_test.cpp
+++ b/tests/fleet/class_losses_test.cpp
@@ -14,9 +14,6 @@
 namespace kestrelline::fleet {
 namespace {
 
-using kestrelline::Duration;
-using kestrelline::Outcome;
-using kestrelline::TimePoint;
 using kestrelline::testing::At;
 using kestrelline::testing::Rig;
 
--- a/tests/fleet/pick_index_test.cpp
+++ b/tests/fleet/pick_index_test.cpp
@@ -15,9 +15,6 @@
 namespace kestrelline::fleet {
 namespace {
 
-using kestrelline::Duration;
-using kestrelline::TimePoint;
-
 #ifdef __SANITIZE_ADDRESS__
 constexpr int kPicks = 50000;  // unoptimised code is 20 times slower
 #else
--- a/tests/fleet/roster_test.cpp
+++ b/tests/fleet/roster_test.cpp
@@ -18,7 +18,6 @@
 namespace kestrelline::fleet {
 namespace {
 
-using kestrelline::Duration;
 using kestrelline::testing::At;
 using kestrelline::testing::Entry;
 
--- a/tests/plugin/rules_test.cpp
+++ b/tests/plugin/rules_test.cpp
@@ -11,8 +11,6 @@
 namespace kestrelline::plugin {
 namespace {
 
-using kestrelline::Submit;
-
 routing::Site SiteOf() {
   routing::Site site;
   site.settings = kestrelline::testing::Usual();
--- a/tests/plugin/tagging_test.cpp
+++ b/tests/plugin/tagging_test.cpp
@@ -18,9 +18,6 @@
 namespace kestrelline::plugin {
 namespace {
 
-using kestrelline::ClassSettings;
-using kestrelline::Effect;
-using kestrelline::Group;
 using testing::kCertify;
 using testing::kConvert;
 using testing::kPreview;
--- a/tests/sim/simulation_test.cpp
+++ b/tests/sim/simulation_test.cpp
@@ -23,9 +23,6 @@
 namespace kestrelline::sim {
 namespace {
 
-using kestrelline::Action;
-using kestrelline::Event;
-
 std::string Read(const std::string& path) {
   std::ifstream in(std::string(SOURCE_PATH) + "/" + path);
   std::stringstream text;
--- a/tests/support/routing_site.h
+++ b/tests/support/routing_site.h
@@ -21,7 +21,6 @@
 
 // preview: safe, 2 s; convert: keyed for 10 s, 2 s; certify: unsafe, 1 s; stamp: keyed for 500 ms, 2 s.
 inline routing::Site RoutingSite() {
-  using kestrelline::Effect;
   const auto cls = [](Effect effect, double deadline, double window) {
     kestrelline::ClassSettings c;
     c.effect = effect;
