--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -16,11 +16,11 @@
 #include <variant>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace {
 
-using namespace brackenspoke;
+using namespace kestrelline;
 using WallClock = std::chrono::steady_clock;
 
 Settings SettingsOf() {
--- a/examples/minimal.cpp
+++ b/examples/minimal.cpp
@@ -5,10 +5,10 @@
 #include <variant>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 int main() {
-  using namespace brackenspoke;
+  using namespace kestrelline;
   using std::chrono::milliseconds;
 
   Settings settings;
--- a/src/adapter/codec.h
+++ b/src/adapter/codec.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Frames of the simulator's wire: little-endian, packed. Reads batches of events, writes replies of actions.
-#ifndef BRACKENSPOKE_ADAPTER_CODEC_H_
-#define BRACKENSPOKE_ADAPTER_CODEC_H_
+#ifndef KESTRELLINE_ADAPTER_CODEC_H_
+#define KESTRELLINE_ADAPTER_CODEC_H_
 
 #include <cstdint>
 #include <iosfwd>
@@ -13,9 +13,9 @@
 #include <variant>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
-namespace brackenspoke::adapter {
+namespace kestrelline::adapter {
 
 // The input breaks the framing or a field; what() is one line.
 class MalformedInput : public std::runtime_error {
@@ -60,6 +60,6 @@
   std::string body_;
 };
 
-}  // namespace brackenspoke::adapter
+}  // namespace kestrelline::adapter
 
-#endif  // BRACKENSPOKE_ADAPTER_CODEC_H_
+#endif  // KESTRELLINE_ADAPTER_CODEC_H_
--- a/src/adapter/settings.h
+++ b/src/adapter/settings.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Reads the path=value settings of the simulator's wire.
-#ifndef BRACKENSPOKE_ADAPTER_SETTINGS_H_
-#define BRACKENSPOKE_ADAPTER_SETTINGS_H_
+#ifndef KESTRELLINE_ADAPTER_SETTINGS_H_
+#define KESTRELLINE_ADAPTER_SETTINGS_H_
 
 #include <stdexcept>
 #include <string_view>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
-namespace brackenspoke::adapter {
+namespace kestrelline::adapter {
 
 // A needed key is absent, or a key holds what it must not; what() names the key.
 class BadSettings : public std::runtime_error {
@@ -20,6 +20,6 @@
 // Unknown keys are ignored; an absent optional key has its documented meaning.
 Settings ParseSettings(std::string_view text);
 
-}  // namespace brackenspoke::adapter
+}  // namespace kestrelline::adapter
 
-#endif  // BRACKENSPOKE_ADAPTER_SETTINGS_H_
+#endif  // KESTRELLINE_ADAPTER_SETTINGS_H_
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The life of a request, and the module as a whole. The types, events and actions are in
-// include/brackenspoke/balancer.h; the other decisions in src/policy, each in a file that is named after it.
+// include/kestrelline/balancer.h; the other decisions in src/policy, each in a file that is named after it.
 //
 // The ordinary path is gRFC A50 outlier detection (failure percentage) and, among the servers in service, a
 // pick of the one with the least hinted work of this proxy's own in flight. Whatever departs from that is
@@ -18,7 +18,7 @@
 #include "policy/cold_start.h"
 #include "policy/picking.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 namespace {
 
 constexpr int kYoung = 10;              // outcomes; before, what is asked stands for what is served
@@ -537,4 +537,4 @@
   impl_->Handle(now, event, actions);
 }
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
--- a/src/fleet/class_losses.h
+++ b/src/fleet/class_losses.h
@@ -20,14 +20,14 @@
 #include <cstdint>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::fleet {
 
 class ClassLosses {
  public:
-  using Duration = brackenspoke::Duration;
-  using TimePoint = brackenspoke::TimePoint;
+  using Duration = kestrelline::Duration;
+  using TimePoint = kestrelline::TimePoint;
 
   static constexpr Duration kMemory{8000};     // what was seen counts by 1/e after this
   static constexpr double kLeastLost = 1.5;    // two, the first of them a little faded
--- a/src/fleet/pick_index.h
+++ b/src/fleet/pick_index.h
@@ -17,9 +17,9 @@
 #include <cstdint>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
 #include "fleet/least_work.h"
 #include "fleet/table.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::fleet {
 
@@ -28,8 +28,8 @@
 
 class PickIndex {
  public:
-  using Duration = brackenspoke::Duration;
-  using TimePoint = brackenspoke::TimePoint;
+  using Duration = kestrelline::Duration;
+  using TimePoint = kestrelline::TimePoint;
   enum Side : std::uint8_t { kHome, kAway };
 
   explicit PickIndex(Duration memory) : memory_(memory) {}
--- a/src/handover/last_byte.h
+++ b/src/handover/last_byte.h
@@ -17,14 +17,10 @@
 #include <array>
 #include <cstddef>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::handover {
 
-using brackenspoke::Duration;
-using brackenspoke::Effect;
-using brackenspoke::TimePoint;
-
 class LastByte {
  public:
   static constexpr std::array kWaits{Duration(0.25), Duration(0.5), Duration(1), Duration(2)};
--- a/src/measures.h
+++ b/src/measures.h
@@ -2,8 +2,8 @@
 //
 // What the decision module counts with: a random source, averages, memories and the record of a
 // request. No decisions.
-#ifndef BRACKENSPOKE_SRC_MEASURES_H_
-#define BRACKENSPOKE_SRC_MEASURES_H_
+#ifndef KESTRELLINE_SRC_MEASURES_H_
+#define KESTRELLINE_SRC_MEASURES_H_
 
 #include <algorithm>
 #include <cmath>
@@ -16,9 +16,9 @@
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 // Deterministic from its seed alone; the standard distributions differ between libraries.
 class Random {
@@ -246,6 +246,6 @@
   }
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
-#endif  // BRACKENSPOKE_SRC_MEASURES_H_
+#endif  // KESTRELLINE_SRC_MEASURES_H_
--- a/src/plugin/api.h
+++ b/src/plugin/api.h
@@ -17,13 +17,10 @@
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::plugin {
 
-using brackenspoke::Duration;
-using brackenspoke::TimePoint;
-
 // The number that a plug-in says it is written for: `api = 1`.
 inline constexpr int kApiVersion = 1;
 
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // How much this proxy has in flight, and what it turns away: limits of the whole proxy, shares of tenants.
-#ifndef BRACKENSPOKE_SRC_POLICY_ADMISSION_H_
-#define BRACKENSPOKE_SRC_POLICY_ADMISSION_H_
+#ifndef KESTRELLINE_SRC_POLICY_ADMISSION_H_
+#define KESTRELLINE_SRC_POLICY_ADMISSION_H_
 
 #include "policy/state.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 constexpr double kQueueShare = 0.33;   // of the aim that an attempt may take, in the mean
 constexpr double kChance = 1;          // deviations of the number in flight that are no overload
@@ -122,6 +122,6 @@
   std::vector<double> tokens_;  // of tenants
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
-#endif  // BRACKENSPOKE_SRC_POLICY_ADMISSION_H_
+#endif  // KESTRELLINE_SRC_POLICY_ADMISSION_H_
--- a/src/policy/attempts.h
+++ b/src/policy/attempts.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Whether a request may have another attempt, how long one may take, and the budget of repeats.
-#ifndef BRACKENSPOKE_SRC_POLICY_ATTEMPTS_H_
-#define BRACKENSPOKE_SRC_POLICY_ATTEMPTS_H_
+#ifndef KESTRELLINE_SRC_POLICY_ATTEMPTS_H_
+#define KESTRELLINE_SRC_POLICY_ATTEMPTS_H_
 
 #include "policy/state.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 constexpr double kRetryRatio = 0.1;    // repeats a first send earns: bounds a storm to a tenth
 constexpr double kRetryBurst = 20;     // repeats in store
@@ -96,6 +96,6 @@
   double tokens_ = kRetryBurst;
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
-#endif  // BRACKENSPOKE_SRC_POLICY_ATTEMPTS_H_
+#endif  // KESTRELLINE_SRC_POLICY_ATTEMPTS_H_
--- a/src/policy/ejection.h
+++ b/src/policy/ejection.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // When a server is taken out of service, and until when.
-#ifndef BRACKENSPOKE_SRC_POLICY_EJECTION_H_
-#define BRACKENSPOKE_SRC_POLICY_EJECTION_H_
+#ifndef KESTRELLINE_SRC_POLICY_EJECTION_H_
+#define KESTRELLINE_SRC_POLICY_EJECTION_H_
 
 #include "measures.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 // In A50's terms.
 constexpr Duration kInterval{2000};          // counts reset: long enough for the volume floor at 2 requests/s
@@ -104,6 +104,6 @@
   }
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
-#endif  // BRACKENSPOKE_SRC_POLICY_EJECTION_H_
+#endif  // KESTRELLINE_SRC_POLICY_EJECTION_H_
--- a/src/policy/estimates.h
+++ b/src/policy/estimates.h
@@ -2,15 +2,15 @@
 //
 // What the module takes from answers and arrivals: how crowded servers are, rates, the time that clients
 // give. Averages, no decisions.
-#ifndef BRACKENSPOKE_SRC_POLICY_ESTIMATES_H_
-#define BRACKENSPOKE_SRC_POLICY_ESTIMATES_H_
+#ifndef KESTRELLINE_SRC_POLICY_ESTIMATES_H_
+#define KESTRELLINE_SRC_POLICY_ESTIMATES_H_
 
 #include <algorithm>
 #include <cmath>
 
 #include "measures.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 constexpr double kSameTime = 0.04;         // part by which times of tries may differ and still be the same
 constexpr int kFirmVotes = 10;             // below, nothing is made of it: clients may differ widely
@@ -105,6 +105,6 @@
   double answers_ = 0, served_ = 0, asked_ = 0;
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
-#endif  // BRACKENSPOKE_SRC_POLICY_ESTIMATES_H_
+#endif  // KESTRELLINE_SRC_POLICY_ESTIMATES_H_
--- a/src/policy/picking.h
+++ b/src/policy/picking.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Which server a request goes to, of those that this proxy uses.
-#ifndef BRACKENSPOKE_SRC_POLICY_PICKING_H_
-#define BRACKENSPOKE_SRC_POLICY_PICKING_H_
+#ifndef KESTRELLINE_SRC_POLICY_PICKING_H_
+#define KESTRELLINE_SRC_POLICY_PICKING_H_
 
 #include "fleet/affinity.h"
 #include "policy/cold_start.h"
 #include "policy/used_servers.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 using kestrelline::fleet::kNobody;
 using kestrelline::fleet::PickIndex;
@@ -223,6 +223,6 @@
   double lost_home_ = 0, lost_away_ = 0;  // share of worth lost at servers of the own zone and of others
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
-#endif  // BRACKENSPOKE_SRC_POLICY_PICKING_H_
+#endif  // KESTRELLINE_SRC_POLICY_PICKING_H_
--- a/src/policy/used_servers.h
+++ b/src/policy/used_servers.h
@@ -3,8 +3,8 @@
 // The servers that this proxy uses, and the index of them where they are many. Which these are is decided by
 // fleet/subset.h and by how many this proxy's traffic can judge; here they are kept, in step with the list
 // and with what is in service.
-#ifndef BRACKENSPOKE_SRC_POLICY_USED_SERVERS_H_
-#define BRACKENSPOKE_SRC_POLICY_USED_SERVERS_H_
+#ifndef KESTRELLINE_SRC_POLICY_USED_SERVERS_H_
+#define KESTRELLINE_SRC_POLICY_USED_SERVERS_H_
 
 #include <utility>
 #include <vector>
@@ -12,7 +12,7 @@
 #include "fleet/pick_index.h"
 #include "policy/state.h"
 
-namespace brackenspoke {
+namespace kestrelline {
 
 // Large fleets: docs/design/scale.md.
 constexpr std::size_t kLookedAt = 64;  // servers that are looked at one by one; of more, this many by chance
@@ -157,6 +157,6 @@
   std::size_t judged_ = 0;    // servers that this proxy's traffic can judge
 };
 
-}  // namespace brackenspoke
+}  // namespace kestrelline
 
-#endif  // BRACKENSPOKE_SRC_POLICY_USED_SERVERS_H_
+#endif  // KESTRELLINE_SRC_POLICY_USED_SERVERS_H_
--- a/src/proxy/backends.h
+++ b/src/proxy/backends.h
@@ -2,8 +2,8 @@
 //
 // Attempts at backends and the pool of connections that carries them. It decides nothing: each Send is one
 // attempt on one connection and ends in exactly one result.
-#ifndef BRACKENSPOKE_PROXY_BACKENDS_H_
-#define BRACKENSPOKE_PROXY_BACKENDS_H_
+#ifndef KESTRELLINE_PROXY_BACKENDS_H_
+#define KESTRELLINE_PROXY_BACKENDS_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -18,11 +18,11 @@
 
 #include "bodies/budget.h"
 #include "body_source.h"
-#include "brackenspoke/balancer.h"
 #include "framing.h"
+#include "kestrelline/balancer.h"
 #include "upload.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 struct AttemptResult {
   Outcome outcome = Outcome::kUnknown;
@@ -123,6 +123,6 @@
   std::size_t open_ = 0, opened_ = 0;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
-#endif  // BRACKENSPOKE_PROXY_BACKENDS_H_
+#endif  // KESTRELLINE_PROXY_BACKENDS_H_
--- a/src/proxy/body_source.h
+++ b/src/proxy/body_source.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A body that comes in pieces, each asked for: who takes them slowly slows their sender and nobody else.
-#ifndef BRACKENSPOKE_PROXY_BODY_SOURCE_H_
-#define BRACKENSPOKE_PROXY_BODY_SOURCE_H_
+#ifndef KESTRELLINE_PROXY_BODY_SOURCE_H_
+#define KESTRELLINE_PROXY_BODY_SOURCE_H_
 
 #include <functional>
 #include <string>
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 class BodySource {
  public:
@@ -26,6 +26,6 @@
   virtual void Drop() = 0;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
-#endif  // BRACKENSPOKE_PROXY_BODY_SOURCE_H_
+#endif  // KESTRELLINE_PROXY_BODY_SOURCE_H_
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The side of the clients: accepts connections, reads requests, writes the one answer to each.
-#ifndef BRACKENSPOKE_PROXY_CLIENTS_H_
-#define BRACKENSPOKE_PROXY_CLIENTS_H_
+#ifndef KESTRELLINE_PROXY_CLIENTS_H_
+#define KESTRELLINE_PROXY_CLIENTS_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -21,7 +21,7 @@
 #include "lifecycle/life.h"
 #include "management/figures.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 // Where the one answer to a request goes.
 class Responder {
@@ -110,6 +110,6 @@
   std::function<void()> stopped_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CLIENTS_H_
+#endif  // KESTRELLINE_PROXY_CLIENTS_H_
--- a/src/proxy/clock.h
+++ b/src/proxy/clock.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The module's clock on this machine's steady one.
-#ifndef BRACKENSPOKE_PROXY_CLOCK_H_
-#define BRACKENSPOKE_PROXY_CLOCK_H_
+#ifndef KESTRELLINE_PROXY_CLOCK_H_
+#define KESTRELLINE_PROXY_CLOCK_H_
 
 #include <algorithm>
 #include <chrono>
 #include <cmath>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 using Steady = std::chrono::steady_clock;
 
@@ -38,6 +38,6 @@
   Duration unix_origin_ = std::chrono::system_clock::now().time_since_epoch();
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CLOCK_H_
+#endif  // KESTRELLINE_PROXY_CLOCK_H_
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a proxy is told at its start: environment and configuration file, checked.
-#ifndef BRACKENSPOKE_PROXY_CONFIG_H_
-#define BRACKENSPOKE_PROXY_CONFIG_H_
+#ifndef KESTRELLINE_PROXY_CONFIG_H_
+#define KESTRELLINE_PROXY_CONFIG_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <chrono>
@@ -14,10 +14,10 @@
 #include <string_view>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 #include "members.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 // what() is one line that says what is missing or wrong.
 class BadConfig : public std::runtime_error {
@@ -69,6 +69,6 @@
 // replaced since, goes before it.
 Config ReloadConfig(const Environment& env);
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CONFIG_H_
+#endif  // KESTRELLINE_PROXY_CONFIG_H_
--- a/src/proxy/connection.h
+++ b/src/proxy/connection.h
@@ -2,8 +2,8 @@
 //
 // One connection to a backend and the attempt on it, if any. Once closed it is never used again, so that an
 // answer which comes after its attempt's time-out has nowhere to go.
-#ifndef BRACKENSPOKE_PROXY_CONNECTION_H_
-#define BRACKENSPOKE_PROXY_CONNECTION_H_
+#ifndef KESTRELLINE_PROXY_CONNECTION_H_
+#define KESTRELLINE_PROXY_CONNECTION_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -18,7 +18,7 @@
 #include "backends.h"
 #include "clock.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 class Connection : public std::enable_shared_from_this<Connection>, public BodySource {
  public:
@@ -116,6 +116,6 @@
   bool local_ = false;     // no server is to blame for the end, but this process
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CONNECTION_H_
+#endif  // KESTRELLINE_PROXY_CONNECTION_H_
--- a/src/proxy/descriptors.h
+++ b/src/proxy/descriptors.h
@@ -7,12 +7,12 @@
 // quarter of its share is kept for it) may be borrowed; what is borrowed counts against the lender, so that
 // the two together never hold more than the sum of the shares. The lender gets it back as connections end:
 // clients are sent away after each answer while their places run short.
-#ifndef BRACKENSPOKE_PROXY_DESCRIPTORS_H_
-#define BRACKENSPOKE_PROXY_DESCRIPTORS_H_
+#ifndef KESTRELLINE_PROXY_DESCRIPTORS_H_
+#define KESTRELLINE_PROXY_DESCRIPTORS_H_
 
 #include <cstddef>
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 class DescriptorShares {
  public:
@@ -43,6 +43,6 @@
   std::size_t clients_, backends_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
-#endif  // BRACKENSPOKE_PROXY_DESCRIPTORS_H_
+#endif  // KESTRELLINE_PROXY_DESCRIPTORS_H_
--- a/src/proxy/members.h
+++ b/src/proxy/members.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The list of backends in discovery's JSON form, and the numbers that the decision module knows them by.
-#ifndef BRACKENSPOKE_PROXY_MEMBERS_H_
-#define BRACKENSPOKE_PROXY_MEMBERS_H_
+#ifndef KESTRELLINE_PROXY_MEMBERS_H_
+#define KESTRELLINE_PROXY_MEMBERS_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
@@ -13,9 +13,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 struct Member {
   std::string id;
@@ -60,6 +60,6 @@
   std::unordered_map<ServerId, std::string> taken_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
-#endif  // BRACKENSPOKE_PROXY_MEMBERS_H_
+#endif  // KESTRELLINE_PROXY_MEMBERS_H_
--- a/src/proxy/request_views.h
+++ b/src/proxy/request_views.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A request as routes and as plug-ins see it.
-#ifndef BRACKENSPOKE_PROXY_REQUEST_VIEWS_H_
-#define BRACKENSPOKE_PROXY_REQUEST_VIEWS_H_
+#ifndef KESTRELLINE_PROXY_REQUEST_VIEWS_H_
+#define KESTRELLINE_PROXY_REQUEST_VIEWS_H_
 
 #include <iterator>
 #include <string_view>
@@ -12,7 +12,7 @@
 #include "plugin/api.h"
 #include "routing/table.h"
 
-namespace brackenspoke::proxy {
+namespace kestrelline::proxy {
 
 // An empty value is one too: its data is never null.
 inline std::string_view View(boost::beast::string_view text) {
@@ -43,6 +43,6 @@
 kestrelline::plugin::RequestView PluginView(const HttpRequest& message, const Config& config,
                                             int request_class, int tenant, Duration left);
 
-}  // namespace brackenspoke::proxy
+}  // namespace kestrelline::proxy
 
-#endif  // BRACKENSPOKE_PROXY_REQUEST_VIEWS_H_
+#endif  // KESTRELLINE_PROXY_REQUEST_VIEWS_H_
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -10,10 +10,6 @@
 namespace kestrelline::routing {
 namespace {
 
-using brackenspoke::ClassSettings;
-using brackenspoke::Effect;
-using brackenspoke::Outcome;
-using brackenspoke::RouteLimits;
 using operator_file::Diagnostics;
 using operator_file::Shown;
 
--- a/src/routing/spec.h
+++ b/src/routing/spec.h
@@ -10,12 +10,11 @@
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 #include "operator/diagnostics.h"
 
 namespace kestrelline::routing {
 
-using brackenspoke::Duration;
 using operator_file::At;
 using operator_file::Position;
 using Names = std::vector<At<std::string>>;
@@ -68,7 +67,7 @@
 
 // What the platform says of this installation.
 struct Site {
-  brackenspoke::Settings settings;
+  kestrelline::Settings settings;
   std::vector<std::string> classes, tenants, zones;  // names, by index
 };
 
--- a/src/sim/words.h
+++ b/src/sim/words.h
@@ -7,13 +7,13 @@
 #include <string>
 #include <string_view>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::sim {
 
-std::string_view NameOf(brackenspoke::Outcome outcome);
-std::string InWords(const brackenspoke::Event& event);
-std::string InWords(const brackenspoke::Action& action);
+std::string_view NameOf(kestrelline::Outcome outcome);
+std::string InWords(const kestrelline::Event& event);
+std::string InWords(const kestrelline::Action& action);
 
 }  // namespace kestrelline::sim
 
--- a/tests/concert/parts_test.cpp
+++ b/tests/concert/parts_test.cpp
@@ -6,11 +6,11 @@
 
 #include <random>
 
-#include "brackenspoke/balancer.h"
 #include "concert/pool.h"
 #include "concert/settings.h"
 #include "concert/voter.h"
 #include "concert/wire.h"
+#include "kestrelline/balancer.h"
 
 namespace kestrelline::concert {
 namespace {
@@ -104,9 +104,8 @@
 }
 
 // Requests of one tenant that are let in over a second, where those over its quota are worth nothing.
-int LetIn(const std::vector<brackenspoke::Share>& shares) {
-  using namespace brackenspoke;
-  brackenspoke::Settings s;
+int LetIn(const std::vector<kestrelline::Share>& shares) {
+  kestrelline::Settings s;
   s.balancers = 5;
   s.over_share_worth = 0;
   s.tenants = {{100}};  // a second, of all proxies
@@ -142,9 +141,6 @@
 }
 
 TEST(ConcertModule, AShareHoldsUntilItsEndAndWhatIsNoneSaysNothing) {
-  using brackenspoke::Duration;
-  using brackenspoke::Share;
-  using brackenspoke::TimePoint;
   const TimePoint never(Duration(1e9)), middle(Duration(2502));
   EXPECT_NEAR(LetIn({}), 60, 3);                          // a fifth of 100, for 3 s
   EXPECT_NEAR(LetIn({Share{0.5, never, 0.05}}), 150, 4);  // half
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A Balancer under test, its clock, and short ways to say what happens.
-#ifndef BRACKENSPOKE_TESTS_HARNESS_H_
-#define BRACKENSPOKE_TESTS_HARNESS_H_
+#ifndef KESTRELLINE_TESTS_HARNESS_H_
+#define KESTRELLINE_TESTS_HARNESS_H_
 
 #include <map>
 #include <optional>
@@ -11,9 +11,9 @@
 #include <variant>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "kestrelline/balancer.h"
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 inline TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
@@ -124,6 +124,6 @@
   std::map<RequestId, int> attempts_;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
-#endif  // BRACKENSPOKE_TESTS_HARNESS_H_
+#endif  // KESTRELLINE_TESTS_HARNESS_H_
--- a/tests/hex.h
+++ b/tests/hex.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef BRACKENSPOKE_TESTS_HEX_H_
-#define BRACKENSPOKE_TESTS_HEX_H_
+#ifndef KESTRELLINE_TESTS_HEX_H_
+#define KESTRELLINE_TESTS_HEX_H_
 
 #include <string>
 #include <string_view>
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 // Bytes from hexadecimal digits; blanks are for the reader.
 inline std::string Hex(std::string_view text) {
@@ -19,6 +19,6 @@
   return bytes;
 }
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
-#endif  // BRACKENSPOKE_TESTS_HEX_H_
+#endif  // KESTRELLINE_TESTS_HEX_H_
--- a/tests/plugin/tagging_test.cpp
+++ b/tests/plugin/tagging_test.cpp
@@ -18,9 +18,6 @@
 namespace kestrelline::plugin {
 namespace {
 
-using brackenspoke::ClassSettings;
-using brackenspoke::Effect;
-using brackenspoke::Group;
 using testing::kCertify;
 using testing::kConvert;
 using testing::kPreview;
--- a/tests/sample_settings.h
+++ b/tests/sample_settings.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef BRACKENSPOKE_TESTS_SAMPLE_SETTINGS_H_
-#define BRACKENSPOKE_TESTS_SAMPLE_SETTINGS_H_
+#ifndef KESTRELLINE_TESTS_SAMPLE_SETTINGS_H_
+#define KESTRELLINE_TESTS_SAMPLE_SETTINGS_H_
 
-namespace brackenspoke::testing {
+namespace kestrelline::testing {
 
 inline constexpr char kSampleSettings[] = R"(
 balancers=2
@@ -40,6 +40,6 @@
 zone=0
 )";
 
-}  // namespace brackenspoke::testing
+}  // namespace kestrelline::testing
 
-#endif  // BRACKENSPOKE_TESTS_SAMPLE_SETTINGS_H_
+#endif  // KESTRELLINE_TESTS_SAMPLE_SETTINGS_H_
