--- a/src/control_sim/simulated_proxy.h
+++ b/src/control_sim/simulated_proxy.h
@@ -26,7 +26,7 @@
   bool Take(Time now, const wire::Publication& publication, std::uint64_t echo) {
     subscription_.Take(now, publication, subscription_.ComposedAfter(echo));
     const bool first = gate_.version() == 0;
-    return gate_.Take(publication.version, !publication.configuration.empty(), subscription_.fresh()) &&
+    return gate_.Offer(publication.version, !publication.configuration.empty(), subscription_.fresh()) &&
            first;
   }
   data_plane::Subscription& subscription() { return subscription_; }
--- a/src/data_plane/configuration_follower.cpp
+++ b/src/data_plane/configuration_follower.cpp
@@ -17,7 +17,7 @@
       contents = TakePatches(publication);
     }
   }
-  return gate_.Take(publication.version, contents, fresh) ? newest_ : nullptr;
+  return gate_.Offer(publication.version, contents, fresh) ? newest_ : nullptr;
 }
 
 bool ConfigurationFollower::TakeWhole(const wire::Publication& publication) {
--- a/src/data_plane/subscription.cpp
+++ b/src/data_plane/subscription.cpp
@@ -80,7 +80,7 @@
   return version > known_version() || !Enforced(Safeguard::kNeverBack);
 }
 
-bool ConfigurationGate::Take(std::uint64_t version, bool contents, bool fresh) {
+bool ConfigurationGate::Offer(std::uint64_t version, bool contents, bool fresh) {
   if (contents && IsNews(version)) {
     told_version_ = version;
     waits_ = true;
--- a/src/data_plane/subscription.h
+++ b/src/data_plane/subscription.h
@@ -87,7 +87,7 @@
   // Takes what was told: the sender's version, and whether its contents came; `fresh` tells whether that is
   // proven to be recent. True if the newest contents are to be put in force now. Contents that are not proven
   // yet are kept: they are not told twice.
-  bool Take(std::uint64_t version, bool contents, bool fresh);
+  bool Offer(std::uint64_t version, bool contents, bool fresh);
   // Of the configuration in force; 0 before the first.
   std::uint64_t version() const { return version_; }
   // The newest version whose contents are here, in force or not: what need not be told again.
--- a/tests/control_sim/safeguards_test.cpp
+++ b/tests/control_sim/safeguards_test.cpp
@@ -251,8 +251,8 @@
 TEST(Safeguards, AProxyNeverGoesBack) {
   const auto scenario = [](std::uint64_t) -> std::string {
     data_plane::ConfigurationGate gate;
-    if (!gate.Take(7, /*contents=*/true, /*fresh=*/true)) return "seven was not put in force";
-    return !gate.Take(5, /*contents=*/true, /*fresh=*/true) && gate.version() == 7 ? "" : "went back";
+    if (!gate.Offer(7, /*contents=*/true, /*fresh=*/true)) return "seven was not put in force";
+    return !gate.Offer(5, /*contents=*/true, /*fresh=*/true) && gate.version() == 7 ? "" : "went back";
   };
   MustNeed(Safeguard::kNeverBack, scenario, 1);
 }
