--- a/src/control_sim/simulated_proxy.h
+++ b/src/control_sim/simulated_proxy.h
@@ -24,7 +24,7 @@
 
   // Puts what it may in force; true if that is the first of this life.
   bool Take(Time now, const wire::Publication& publication, std::uint64_t echo) {
-    subscription_.Take(now, publication, subscription_.ComposedAfter(echo));
+    subscription_.HandlePublication(now, publication, subscription_.ComposedAfter(echo));
     const bool first = gate_.version() == 0;
     return gate_.Offer(publication.version, !publication.configuration.empty(), subscription_.fresh()) &&
            first;
--- a/src/data_plane/subscriber.cpp
+++ b/src/data_plane/subscriber.cpp
@@ -104,7 +104,7 @@
 
 void Subscriber::Take(const wire::Publication& publication) {
   const auto composed_after = subscription_.ComposedAfter(connection_->echo());
-  subscription_.Take(Now(), publication, composed_after);
+  subscription_.HandlePublication(Now(), publication, composed_after);
   std::optional<steady_clock::time_point> at;
   if (composed_after) at = steady_clock::time_point(*composed_after);
   on_publication_(publication, at);
--- a/src/data_plane/subscription.cpp
+++ b/src/data_plane/subscription.cpp
@@ -57,7 +57,8 @@
   std::shuffle(relays_.begin(), relays_.end(), random_);
 }
 
-void Subscription::Take(Time now, const wire::Publication& publication, std::optional<Time> composed_after) {
+void Subscription::HandlePublication(Time now, const wire::Publication& publication,
+                                     std::optional<Time> composed_after) {
   refused_in_a_row_ = 0;
   relays_.clear();
   heard_at_ = now;
--- a/src/data_plane/subscription.h
+++ b/src/data_plane/subscription.h
@@ -54,7 +54,7 @@
   // When the probe was sent that came back with this echo. What follows it was composed after that time.
   std::optional<Time> ComposedAfter(std::uint64_t echo) const { return probes_.SentAt(echo); }
 
-  void Take(Time now, const wire::Publication& publication, std::optional<Time> composed_after);
+  void HandlePublication(Time now, const wire::Publication& publication, std::optional<Time> composed_after);
   void Take(const wire::Referral& referral);
 
   // Whether what was told last is proven to be recent.
