--- a/src/control_sim/world_traffic.cpp
+++ b/src/control_sim/world_traffic.cpp
@@ -231,7 +231,7 @@
   if (now_ < proxy.frozen_until) return;
   if (Chance(0.5)) TakeWaiting(proxy.waiting);
   data_plane::Subscription& subscription = proxy.proxy->subscription();
-  const bool may_try = subscription.MayTryAgain(now_);
+  const bool may_try = subscription.MayRetry(now_);
   if (proxy.proxy->peer.empty() || (may_try && subscription.ShouldLeave(now_))) {
     Connect(index);
   } else if (const auto probe = subscription.NextProbe(now_)) {
--- a/src/data_plane/generation_flow.cpp
+++ b/src/data_plane/generation_flow.cpp
@@ -76,7 +76,7 @@
       co_return;
     }
     if (read_) AfterHandOver(end, attempt);
-    if (!MayTryAgain(end, *target->backend)) break;
+    if (!MayRetry(end, *target->backend)) break;
   }
   if (read_) FreeHandle(*read_);
   co_await GiveUp();
--- a/src/data_plane/request_flow.cpp
+++ b/src/data_plane/request_flow.cpp
@@ -128,7 +128,7 @@
       ++may_have_run_;
       co_return co_await PassOn(attempt);
     }
-    if (!MayTryAgain(end, *pick.backend)) co_return co_await GiveUp();
+    if (!MayRetry(end, *pick.backend)) co_return co_await GiveUp();
   }
   co_await GiveUp();
 }
@@ -196,7 +196,7 @@
   return true;
 }
 
-bool RequestFlow::MayTryAgain(AttemptEnd end, const Backend& backend) {
+bool RequestFlow::MayRetry(AttemptEnd end, const Backend& backend) {
   excluded_.push_back(&backend);
   const bool may_have_run = end == AttemptEnd::kBroken || end == AttemptEnd::kTimedOut;
   if (may_have_run) ++may_have_run_;
--- a/src/data_plane/request_flow.h
+++ b/src/data_plane/request_flow.h
@@ -54,7 +54,7 @@
   // Events of its answer go on to the client.
   void NoteEvents();
   // Whether it may be sent again after an attempt without an answer; that backend is done without.
-  bool MayTryAgain(AttemptEnd end, const Backend& backend);
+  bool MayRetry(AttemptEnd end, const Backend& backend);
   bool MayRunAgain() const;
   // Before an arrival: whether the budget bears it.
   bool PayForArrival();
--- a/src/data_plane/subscriber.cpp
+++ b/src/data_plane/subscriber.cpp
@@ -38,7 +38,7 @@
 
 void Subscriber::Tick() {
   const milliseconds now = Now();
-  if (stopped_ || !subscription_.MayTryAgain(now)) return;
+  if (stopped_ || !subscription_.MayRetry(now)) return;
   if (connecting_) {
     if (subscription_.ConnectingTooLong(now)) Next();
     return;
--- a/src/data_plane/subscription.h
+++ b/src/data_plane/subscription.h
@@ -41,7 +41,7 @@
   std::optional<std::string> BeginAttempt(Time now);
   // While the connection is being made: whether that takes too long.
   bool ConnectingTooLong(Time now) const { return now - attempt_began_ >= kConnectPatience; }
-  bool MayTryAgain(Time now) const { return now - attempt_began_ >= kBetweenTries; }
+  bool MayRetry(Time now) const { return now - attempt_began_ >= kBetweenTries; }
   // What was told before is needed again: the present subscription is left as soon as another may begin.
   void Renew() { renew_ = true; }
   // The one that is subscribed to.
