--- a/src/data_plane/attempt.cpp
+++ b/src/data_plane/attempt.cpp
@@ -8,111 +8,113 @@
 
 using namespace http;
 
-constexpr milliseconds kConnectPatience{350};
-constexpr unsigned kMisdirected = 421;
-constexpr unsigned kUnavailable = 503;
-constexpr unsigned kServerErrors = 500;
+constexpr milliseconds kConnectTimeout{350};
+constexpr unsigned kStatusMisdirected = 421;
+constexpr unsigned kStatusUnavailable = 503;
+constexpr unsigned kFirstServerError = 500;
 
 }  // namespace
 
 Attempt::Attempt(EdgeState& state, BackendPtr backend) : state_(state), backend_(std::move(backend)) {}
 
 Attempt::~Attempt() {
-  if (in_flight_ && connection_) connection_->Abort();  // the backend stops with its connection
-  Land();
+  if (in_flight_ && connection_) connection_->Abort();  // closing the connection makes the backend stop
+  LeaveInFlight();
 }
 
-void Attempt::Land() {
+void Attempt::LeaveInFlight() {
   if (!std::exchange(in_flight_, false)) return;
   --backend_->in_flight;
 }
 
-Awaitable<AttemptEnd> Attempt::Run(const std::string& head, const std::string& body,
-                                   const std::string& request_id, steady_clock::time_point until) {
-  connection_ = state_.pool.TakeIdle(backend_->info.id);
+Awaitable<AttemptResult> Attempt::Run(const std::string& head, const std::string& body,
+                                      const std::string& request_id, steady_clock::time_point deadline) {
+  connection_ = state_.pool.AcquireIdle(backend_->info.id);
   if (!connection_) {
     connection_ = state_.pool.Create(backend_->info.address);
     const error_code failed =
-        co_await connection_->Connect(std::min(until, steady_clock::now() + kConnectPatience));
+        co_await connection_->Connect(std::min(deadline, steady_clock::now() + kConnectTimeout));
     if (failed || aborted_) {
       if (!aborted_) RecordFailure();
-      co_return AttemptEnd::kNotSent;
+      co_return AttemptResult::kNotSent;
     }
   }
   in_flight_ = true;
   ++backend_->in_flight;
-  error_code error = co_await connection_->Send(head, body, until);
-  if (!error) error = co_await connection_->ReadHead(request_id, until);
+  error_code error = co_await connection_->Send(head, body, deadline);
+  if (!error) error = co_await connection_->ReadHead(request_id, deadline);
   if (error) {
     if (!aborted_) RecordFailure();
     connection_->Abort();
-    Land();
-    co_return error == beast::error::timeout ? AttemptEnd::kTimedOut : AttemptEnd::kBroken;
+    LeaveInFlight();
+    co_return error == beast::error::timeout ? AttemptResult::kTimedOut : AttemptResult::kConnectionLost;
   }
-  NoteLoad();
+  UpdateLoad();
   co_return Classify();
 }
 
-void Attempt::NoteLoad() {
+void Attempt::UpdateLoad() {
   const std::string_view load = head()["Backend-Load"];
   if (load.empty() || !ParseLoad(load, backend_->load)) return;
-  backend_->load.own = backend_->in_flight;
-  backend_->load.at = DecisionTime();
+  backend_->load.own_requests = backend_->in_flight;
+  backend_->load.reported_at = DecisionTime();
 }
 
-AttemptEnd Attempt::Classify() {
+AttemptResult Attempt::Classify() {
   const unsigned status = head().result_int();
-  if (status == kMisdirected) {
+  if (status == kStatusMisdirected) {
     const std::string_view instance = head()["Instance-Id"];
-    if (!instance.empty() && instance != backend_->info.id) backend_->displaced = true;
-    NoteRefusal(status);
-    return AttemptEnd::kNotExecuted;
+    if (!instance.empty() && instance != backend_->info.id) backend_->address_reused = true;
+    RecordRejection(status);
+    return AttemptResult::kNotExecuted;
   }
   if (head().count("Not-Executed") > 0) {
-    NoteRefusal(status);
-    return AttemptEnd::kNotExecuted;
+    RecordRejection(status);
+    return AttemptResult::kNotExecuted;
   }
-  backend_->NoteAcceptance();
-  if (status >= kServerErrors) {
+  backend_->ResetBackoff();
+  if (status >= kFirstServerError) {
     RecordFailure();
   } else {
     RecordSuccess();
   }
-  return AttemptEnd::kAnswered;
+  return AttemptResult::kResponded;
 }
 
-void Attempt::NoteRefusal(unsigned status) {
-  // 503 with places free speaks of something else than load: the KV cache that it was to fetch, or its stage.
-  const bool full = backend_->load.known && backend_->load.running >= backend_->load.slots;
-  refused_ = status != kUnavailable || full ? AttemptRefusal::kBusy : AttemptRefusal::kOther;
-  backend_->NoteRefusal(DecisionTime());
+void Attempt::RecordRejection(unsigned status) {
+  // A 503 from a backend with free slots has another cause than load: the KV cache that it should fetch, or
+  // its stage.
+  const bool no_free_slot = backend_->load.known && backend_->load.running >= backend_->load.slots;
+  rejection_ =
+      status != kStatusUnavailable || no_free_slot ? RejectionReason::kOverloaded : RejectionReason::kOther;
+  backend_->RecordRejection(DecisionTime());
 }
 
-Awaitable<error_code> Attempt::ReadPiece(std::string& piece, steady_clock::time_point until) {
-  const error_code error = co_await connection_->ReadPiece(piece, until);
+Awaitable<error_code> Attempt::ReadChunk(std::string& chunk, steady_clock::time_point deadline) {
+  const error_code error = co_await connection_->ReadChunk(chunk, deadline);
   if (error) {
     if (!aborted_) RecordFailure();
     connection_->Abort();
-    Land();
+    LeaveInFlight();
   }
   co_return error;
 }
 
 Awaitable<error_code> Attempt::ReadBody(std::string& body, std::size_t limit,
-                                        steady_clock::time_point until) {
-  std::string piece;
+                                        steady_clock::time_point deadline) {
+  std::string chunk;
   do {
-    const error_code error = co_await ReadPiece(piece, until);
+    const error_code error = co_await ReadChunk(chunk, deadline);
     if (error) co_return error;
-    body += piece;
+    body += chunk;
     if (body.size() > limit) co_return asio::error::message_size;
-  } while (!piece.empty());
+  } while (!chunk.empty());
   co_return error_code();
 }
 
 void Attempt::Finish() {
-  Land();
-  if (connection_ && connection_->whole()) state_.pool.Return(backend_->info.id, connection_);
+  LeaveInFlight();
+  if (connection_ && connection_->complete()) state_.pool.Release(backend_->info.id, connection_);
 }
 
 void Attempt::Abort() {
--- a/src/data_plane/attempt.h
+++ b/src/data_plane/attempt.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One sending of a request to one backend, up to the head of its answer.
+// One attempt to send a request to one backend, up to the response head. The body is read afterwards with
+// ReadChunk() or ReadBody(). One coroutine at a time.
 #ifndef KESTRELLINE_DATA_PLANE_ATTEMPT_H_
 #define KESTRELLINE_DATA_PLANE_ATTEMPT_H_
 
@@ -12,16 +13,16 @@
 
 namespace kestrelline::data_plane {
 
-enum class AttemptEnd {
-  kAnswered,     // the head of an answer is there; it has run, or is running
-  kNotExecuted,  // the backend says that it has not run and will not
-  kNotSent,      // no byte reached the backend
-  kBroken,       // may have run: the connection broke, or what came is no answer
-  kTimedOut,     // may have run: nothing came in time
+enum class AttemptResult {
+  kResponded,       // a response head arrived; the request has run or is running
+  kNotExecuted,     // the backend states that it has not run the request and will not
+  kNotSent,         // no byte reached the backend
+  kConnectionLost,  // may have run: the connection failed, or the bytes received are no valid response
+  kTimedOut,        // may have run: no response before the deadline
 };
 
-// Why a backend did not run a request, as far as its answer tells.
-enum class AttemptRefusal { kNone, kBusy, kOther };
+// Why a backend did not run a request, as far as its response says.
+enum class RejectionReason { kNone, kOverloaded, kOther };
 
 class Attempt {
  public:
@@ -30,14 +31,16 @@
   Attempt(const Attempt&) = delete;
   Attempt& operator=(const Attempt&) = delete;
 
-  // `head` is the request's, complete. Counts towards the backend's health.
-  Awaitable<AttemptEnd> Run(const std::string& head, const std::string& body, const std::string& request_id,
-                            steady_clock::time_point until);
-  // The next bytes of the body, empty at its end. An error means that the answer is not whole.
-  Awaitable<error_code> ReadPiece(std::string& piece, steady_clock::time_point until);
-  // The whole of a body up to `limit` bytes.
-  Awaitable<error_code> ReadBody(std::string& body, std::size_t limit, steady_clock::time_point until);
-  // After the whole answer: keeps the connection for others where that is possible.
+  // Sends the request and reads the response head. `head` is complete, with its blank line. The outcome
+  // counts towards the health of the backend.
+  Awaitable<AttemptResult> Run(const std::string& head, const std::string& body,
+                               const std::string& request_id, steady_clock::time_point deadline);
+  // Reads the next bytes of the body; `chunk` is empty at its end. An error means that the response is
+  // truncated.
+  Awaitable<error_code> ReadChunk(std::string& chunk, steady_clock::time_point deadline);
+  // Reads the whole body; fails with message_size if it is longer than `limit` bytes.
+  Awaitable<error_code> ReadBody(std::string& body, std::size_t limit, steady_clock::time_point deadline);
+  // Call after the whole response was read: returns the connection to the pool if it can be reused.
   void Finish();
   void Abort();
   void RecordFailure();
@@ -46,22 +49,22 @@
   Backend& backend() { return *backend_; }
   const BackendPtr& backend_ptr() const { return backend_; }
   const http::bhttp::response<http::bhttp::buffer_body>& head() const { return connection_->head(); }
-  // After kNotExecuted.
-  AttemptRefusal Refused() const { return refused_; }
-  bool has_stamp() const { return head().count("Server-Stamp") > 0; }
+  // Valid after AttemptResult::kNotExecuted.
+  RejectionReason rejection() const { return rejection_; }
+  bool has_server_stamp() const { return head().count("Server-Stamp") > 0; }
 
  private:
-  AttemptEnd Classify();
-  void NoteLoad();
-  void NoteRefusal(unsigned status);
-  void Land();
+  AttemptResult Classify();
+  void UpdateLoad();
+  void RecordRejection(unsigned status);
+  void LeaveInFlight();
 
   EdgeState& state_;
   BackendPtr backend_;
   BackendConnectionPtr connection_;
   bool in_flight_ = false;
   bool aborted_ = false;
-  AttemptRefusal refused_ = AttemptRefusal::kNone;
+  RejectionReason rejection_ = RejectionReason::kNone;
 };
 
 }  // namespace kestrelline::data_plane
--- a/src/data_plane/backend.h
+++ b/src/data_plane/backend.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a proxy knows of one backend. No I/O, no clock.
+// State that a proxy keeps for each backend: load, health, backoff and cached prefixes. No I/O, no clock.
 #ifndef KESTRELLINE_DATA_PLANE_BACKEND_H_
 #define KESTRELLINE_DATA_PLANE_BACKEND_H_
 
@@ -19,26 +19,26 @@
 using brackenspoke::OutlierDetector;
 using brackenspoke::TimePoint;
 
-// What the backend said of its load in its last answer.
+// Load that the backend reported in its latest response.
 struct LoadHint {
   int running = 0;
   int waiting = 0;
   int slots = 0;
-  int own = 0;  // of those, requests of this proxy
-  TimePoint at{};
+  int own_requests = 0;  // requests of this proxy among those
+  TimePoint reported_at{};
   bool known = false;
 };
 
-// "running,waiting,slots"; nothing is changed if it can't be read.
+// Parses "running,waiting,slots". On malformed input it returns false and leaves `hint` unchanged.
 bool ParseLoad(std::string_view text, LoadHint& hint);
 
-// Parts of prompts that a backend has read for this proxy, and when it last used them.
-class KnownParts {
+// Prompt prefixes that a backend has processed for this proxy, with the time of their last use.
+class PrefixCacheIndex {
  public:
-  static constexpr std::size_t kMost = 768;  // the oldest half is forgotten beyond this
+  static constexpr std::size_t kMaxEntries = 768;  // beyond this, the least recently used half is evicted
 
-  void Note(std::uint64_t chain, TimePoint now);
-  bool Has(std::uint64_t chain, TimePoint since) const;
+  void Touch(std::uint64_t prefix_hash, TimePoint now);
+  bool Contains(std::uint64_t prefix_hash, TimePoint since) const;
 
  private:
   std::unordered_map<std::uint64_t, TimePoint> used_;
@@ -47,26 +47,26 @@
 struct Backend {
   wire::Instance info;
   OutlierDetector::Host health;
-  bool listed = true;      // on the newest list
-  bool displaced = false;  // another instance answered at its address
-  int in_flight = 0;       // requests of this proxy that are not answered yet
-  // After a refusal it is left alone for a while, longer after each in a row. Refusals tell of load or of a
-  // stage that changes, not of health.
-  TimePoint avoid_until{};
-  int refusals = 0;  // in a row
+  bool listed = true;           // on the newest list
+  bool address_reused = false;  // another instance answered at this address
+  int in_flight = 0;            // requests of this proxy without a complete response
+  // After a rejection the backend is avoided for a backoff that grows with each consecutive rejection.
+  // Rejections indicate load or a changing stage, so they do not count as failures.
+  TimePoint backoff_until{};
+  int consecutive_rejections = 0;
   LoadHint load;
-  KnownParts parts;
-  double reading_ms = 0;  // prompts that this proxy sent there and that are not read yet
-  // The same of other proxies, and their requests that are not answered yet, as the control plane told.
-  double others_reading_ms = 0;
+  PrefixCacheIndex cached_prefixes;
+  double pending_prefill_ms = 0;  // prefill work that this proxy has sent there and that has not finished
+  // The same for all other proxies, and their in-flight requests, as reported by the control plane.
+  double others_prefill_ms = 0;
   int others_running = 0;
-  std::uint32_t reported_reading_ms = 0;  // in this proxy's last report
+  std::uint32_t reported_prefill_ms = 0;  // values in the latest report of this proxy
   std::uint32_t reported_running = 0;
   std::uint64_t id_hash = 0;
 
-  bool Serves() const { return listed && !info.draining && !displaced; }
-  void NoteRefusal(TimePoint now);
-  void NoteAcceptance() { refusals = 0; }
+  bool InService() const { return listed && !info.draining && !address_reused; }
+  void RecordRejection(TimePoint now);
+  void ResetBackoff() { consecutive_rejections = 0; }
 };
 using BackendPtr = std::shared_ptr<Backend>;
 
--- a/src/data_plane/backend_connection.cpp
+++ b/src/data_plane/backend_connection.cpp
@@ -15,11 +15,11 @@
 
 using namespace http;
 
-constexpr int kMostPassedOver = 2;        // answers to earlier requests
-constexpr milliseconds kIdle{4000};       // where the backend does not tell
-constexpr milliseconds kIdleMargin{700};  // given up this much before the backend would
+constexpr int kMaxSkippedResponses = 2;            // late responses to earlier requests
+constexpr milliseconds kDefaultIdleTimeout{4000};  // if the backend announces no Keep-Alive timeout
+constexpr milliseconds kIdleTimeoutMargin{700};    // closed this long before the backend would close it
 
-// `timeout=N` of a Keep-Alive header, in seconds.
+// Parses `timeout=N` of a Keep-Alive header; N is in seconds.
 std::optional<milliseconds> KeepAliveTimeout(std::string_view text) {
   constexpr std::string_view kField = "timeout=";
   const std::size_t at = text.find(kField);
@@ -35,89 +35,91 @@
 BackendConnection::BackendConnection(asio::io_context& io, std::string address)
     : stream_(io), address_(std::move(address)) {}
 
-Awaitable<error_code> BackendConnection::Connect(steady_clock::time_point until) {
+Awaitable<error_code> BackendConnection::Connect(steady_clock::time_point deadline) {
   const auto endpoint = node::ParseEndpoint(address_);
   if (!endpoint) co_return asio::error::invalid_argument;
-  co_return co_await http::Connect(stream_, *endpoint, until);
+  co_return co_await http::Connect(stream_, *endpoint, deadline);
 }
 
 Awaitable<error_code> BackendConnection::Send(const std::string& head, const std::string& body,
-                                              steady_clock::time_point until) {
-  usable_ = false;
-  answer_has_no_body_ = head.starts_with("HEAD ");
+                                              steady_clock::time_point deadline) {
+  reusable_ = false;
+  response_has_no_body_ = head.starts_with("HEAD ");
   const std::array<asio::const_buffer, 2> buffers = {asio::buffer(head), asio::buffer(body)};
-  stream_.expires_at(until);
+  stream_.expires_at(deadline);
   const auto [error, written] = co_await asio::async_write(stream_, buffers, kTuple);
   co_return error;
 }
 
 Awaitable<error_code> BackendConnection::ReadHead(const std::string& request_id,
-                                                  steady_clock::time_point until) {
-  int passed_over = 0;
-  while (passed_over <= kMostPassedOver) {
+                                                  steady_clock::time_point deadline) {
+  int skipped = 0;
+  while (skipped <= kMaxSkippedResponses) {
     parser_.emplace();
-    parser_->skip(answer_has_no_body_);
-    parser_->header_limit(static_cast<std::uint32_t>(kLongestHeader));
+    parser_->skip(response_has_no_body_);
+    parser_->header_limit(static_cast<std::uint32_t>(kMaxHeaderBytes));
     parser_->body_limit(boost::none);
-    stream_.expires_at(until);
+    stream_.expires_at(deadline);
     const auto [error, read] = co_await bhttp::async_read_header(stream_, buffer_, *parser_, kTuple);
     if (error) co_return error;
     const bool interim = parser_->get().result_int() < 200;
     if (interim) continue;
     const std::string_view id = parser_->get()["Request-Id"];
     if (id == request_id) co_return error_code();
-    std::string piece;
+    std::string chunk;
     do {
-      const error_code failed = co_await ReadPiece(piece, until);
+      const error_code failed = co_await ReadChunk(chunk, deadline);
       if (failed) co_return failed;
-    } while (!piece.empty());
-    ++passed_over;
+    } while (!chunk.empty());
+    ++skipped;
   }
   co_return asio::error::invalid_argument;
 }
 
-Awaitable<error_code> BackendConnection::ReadPiece(std::string& piece, steady_clock::time_point until) {
-  piece.clear();
-  while (!parser_->is_done() && piece.empty()) {
-    piece_.resize(kPieceSize);
+Awaitable<error_code> BackendConnection::ReadChunk(std::string& chunk, steady_clock::time_point deadline) {
+  chunk.clear();
+  while (!parser_->is_done() && chunk.empty()) {
+    chunk_.resize(kReadChunkBytes);
     auto& body = parser_->get().body();
-    body.data = piece_.data();
-    body.size = piece_.size();
-    stream_.expires_at(until);
+    body.data = chunk_.data();
+    body.size = chunk_.size();
+    stream_.expires_at(deadline);
     auto [error, read] = co_await bhttp::async_read_some(stream_, buffer_, *parser_, kTuple);
     if (error == bhttp::error::need_buffer) error = {};
     if (error) co_return error;
-    piece.assign(piece_.data(), piece_.size() - body.size);
+    chunk.assign(chunk_.data(), chunk_.size() - body.size);
   }
-  if (parser_->is_done()) NoteIdleTime();
+  if (parser_->is_done()) UpdateIdleDeadline();
   co_return error_code();
 }
 
-void BackendConnection::NoteIdleTime() {
-  usable_ = parser_->get().keep_alive() && buffer_.size() == 0;
-  const auto told = KeepAliveTimeout(parser_->get()[bhttp::field::keep_alive]);
-  idle_until_ = steady_clock::now() + (told ? *told - kIdleMargin : kIdle);
+void BackendConnection::UpdateIdleDeadline() {
+  reusable_ = parser_->get().keep_alive() && buffer_.size() == 0;
+  const auto announced = KeepAliveTimeout(parser_->get()[bhttp::field::keep_alive]);
+  idle_deadline_ = steady_clock::now() + (announced ? *announced - kIdleTimeoutMargin : kDefaultIdleTimeout);
 }
 
-bool BackendConnection::Reusable() const { return usable_ && whole() && idle_until_ > steady_clock::now(); }
+bool BackendConnection::Reusable() const {
+  return reusable_ && complete() && idle_deadline_ > steady_clock::now();
+}
 
-bool BackendConnection::Quiet() {
+bool BackendConnection::IsOpenAndSilent() {
   return stream_.socket().is_open() && Peek(stream_.socket()) == Peeked::kNothing;
 }
 
 void BackendConnection::Abort() {
-  usable_ = false;
+  reusable_ = false;
   stream_.close();
 }
 
-BackendConnectionPtr ConnectionPool::TakeIdle(const std::string& instance) {
+BackendConnectionPtr ConnectionPool::AcquireIdle(const std::string& instance) {
   const auto found = idle_.find(instance);
   if (found == idle_.end()) return nullptr;
   auto& idle = found->second;
   while (!idle.empty()) {
     BackendConnectionPtr connection = std::move(idle.back());
     idle.pop_back();
-    if (connection->Reusable() && connection->Quiet()) return connection;
+    if (connection->Reusable() && connection->IsOpenAndSilent()) return connection;
   }
   return nullptr;
 }
@@ -126,18 +128,18 @@
   return std::make_shared<BackendConnection>(io_, address);
 }
 
-void ConnectionPool::Return(const std::string& instance, BackendConnectionPtr connection) {
+void ConnectionPool::Release(const std::string& instance, BackendConnectionPtr connection) {
   if (!connection->Reusable()) return;
   auto& idle = idle_[instance];
-  if (idle.size() >= kMostIdle) idle.pop_front();
+  if (idle.size() >= kMaxIdlePerBackend) idle.pop_front();
   idle.push_back(std::move(connection));
 }
 
 void ConnectionPool::Tick() {
   const auto now = steady_clock::now();
   for (auto& [instance, idle] : idle_) {
-    std::erase_if(idle,
-                  [now](const BackendConnectionPtr& connection) { return connection->idle_until() <= now; });
+    std::erase_if(
+        idle, [now](const BackendConnectionPtr& connection) { return connection->idle_deadline() <= now; });
   }
   std::erase_if(idle_, [](const auto& entry) { return entry.second.empty(); });
 }
--- a/src/data_plane/backend_table.cpp
+++ b/src/data_plane/backend_table.cpp
@@ -6,8 +6,8 @@
 namespace kestrelline::data_plane {
 namespace {
 
-constexpr Duration kInterval{4000};
-constexpr Duration kLoadsAreOld{900};
+constexpr Duration kEjectionInterval{4000};
+constexpr Duration kMaxLoadSummaryAge{900};
 
 }  // namespace
 
@@ -25,7 +25,7 @@
       backend = std::make_shared<Backend>();
       backend->id_hash = hashing::Fnv1a(instance.id);
     } else if (StageOf(backend->info) != StageOf(instance)) {
-      backend->health = {};  // it is counted in another group from now on
+      backend->health = {};  // from now on it is counted in another group
     }
     backend->info = instance;
     backend->listed = true;
@@ -33,14 +33,14 @@
   }
   std::erase_if(by_id_, [](const auto& entry) { return !entry.second->listed; });
   for (auto& [key, group] : groups) {
-    const auto before = groups_.find(key);
-    if (before != groups_.end()) group.health = before->second.health;
+    const auto previous = groups_.find(key);
+    if (previous != groups_.end()) group.health = previous->second.health;
     group.health.thin = true;
-    group.health.interval = kInterval;
+    group.health.interval = kEjectionInterval;
     group.health.hosts = 0;
     group.health.ejected = 0;
     for (const BackendPtr& backend : group.backends) {
-      group.health.hosts += backend->Serves();
+      group.health.hosts += backend->InService();
       group.health.ejected += backend->health.ejected;
     }
   }
@@ -49,7 +49,7 @@
 
 void BackendTable::Tick(TimePoint now) {
   const bool interval_over = now >= interval_ends_;
-  if (interval_over) interval_ends_ = now + kInterval;
+  if (interval_over) interval_ends_ = now + kEjectionInterval;
   for (auto& [key, group] : groups_) {
     if (interval_over) OutlierDetector::EndInterval(group.health);
     for (const BackendPtr& backend : group.backends) {
@@ -74,29 +74,31 @@
 std::vector<wire::BackendLoad> BackendTable::ReportLoads() {
   std::vector<wire::BackendLoad> loads;
   for (const auto& [id, backend] : by_id_) {
-    backend->reported_reading_ms = static_cast<std::uint32_t>(backend->reading_ms);
+    backend->reported_prefill_ms = static_cast<std::uint32_t>(backend->pending_prefill_ms);
     backend->reported_running = static_cast<std::uint32_t>(backend->in_flight);
-    if (backend->reported_reading_ms == 0 && backend->reported_running == 0) continue;
-    loads.push_back({backend->id_hash, backend->reported_reading_ms, backend->reported_running});
+    if (backend->reported_prefill_ms == 0 && backend->reported_running == 0) continue;
+    loads.push_back({backend->id_hash, backend->reported_prefill_ms, backend->reported_running});
   }
   return loads;
 }
 
-void BackendTable::TakeLoads(const wire::LoadSummary& summary, TimePoint now) {
+void BackendTable::ApplyLoadSummary(const wire::LoadSummary& summary, TimePoint now) {
   std::unordered_map<std::uint64_t, const wire::BackendLoad*> by_hash;
   for (const wire::BackendLoad& load : summary.loads) by_hash[load.backend] = &load;
   for (const auto& [id, backend] : by_id_) {
     const auto found = by_hash.find(backend->id_hash);
     if (found == by_hash.end() && !summary.whole) continue;
-    const wire::BackendLoad all = found == by_hash.end() ? wire::BackendLoad{} : *found->second;
+    const wire::BackendLoad total = found == by_hash.end() ? wire::BackendLoad{} : *found->second;
     const auto others = [](std::uint32_t sum, std::uint32_t own) { return sum > own ? sum - own : 0; };
-    backend->others_reading_ms = others(all.reading_ms, backend->reported_reading_ms);
-    backend->others_running = static_cast<int>(others(all.running, backend->reported_running));
+    backend->others_prefill_ms = others(total.reading_ms, backend->reported_prefill_ms);
+    backend->others_running = static_cast<int>(others(total.running, backend->reported_running));
   }
-  loads_at_ = now;
+  loads_updated_at_ = now;
 }
 
-bool BackendTable::KnowsLoads(TimePoint now) const { return now - loads_at_ < kLoadsAreOld; }
+bool BackendTable::HasRecentLoads(TimePoint now) const {
+  return now - loads_updated_at_ < kMaxLoadSummaryAge;
+}
 
 bool BackendTable::IsSplit(const std::string& service) const {
   return Find(service, Stage::kPrefill) != nullptr || Find(service, Stage::kDecode) != nullptr;
--- a/src/data_plane/backend_table.h
+++ b/src/data_plane/backend_table.h
@@ -1,8 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The backends that a proxy knows, by service and stage, with the health of each group. No I/O, no clock.
+// The backends known to a proxy, grouped by service and stage, with outlier ejection per group. No I/O, no
+// clock.
 //
-// A backend keeps its state for as long as its id is listed; a new instance at an old address begins anew.
+// A backend keeps its state as long as its id is listed; a new instance at a known address starts with fresh
+// state.
 #ifndef KESTRELLINE_DATA_PLANE_BACKEND_TABLE_H_
 #define KESTRELLINE_DATA_PLANE_BACKEND_TABLE_H_
 
@@ -18,8 +20,8 @@
 enum class Stage { kAny, kPrefill, kDecode };
 Stage StageOf(const wire::Instance& instance);
 
-// Backends that may stand in for each other, and their ejection state (gRFC A50, by answers of this proxy
-// alone).
+// Interchangeable backends with their outlier ejection state (gRFC A50). It is based on responses to this
+// proxy only.
 struct Group {
   std::vector<BackendPtr> backends;
   OutlierDetector::Fleet health;
@@ -30,25 +32,26 @@
   explicit BackendTable(std::uint64_t seed) : random_(seed) {}
 
   void Update(const wire::InstanceList& list);
-  // Ends ejections whose time is over, and intervals.
+  // Ends expired ejections and measurement intervals.
   void Tick(TimePoint now);
 
-  // Counts an answer, or its want, and ejects the backend if that is what its counts ask for.
-  // True if it was ejected by this.
+  // Counts a response or its absence, and ejects the backend if its counts demand it. Returns true if this
+  // call ejected it.
   bool Record(Backend& backend, bool success, TimePoint now);
 
-  // The group of a service's stage; null if there is none.
+  // The backends of one stage of a service; null if there are none.
   const Group* Find(const std::string& service, Stage stage) const;
-  // Whether the service has backends of either stage.
+  // Whether the service has separate prefill or decode backends.
   bool IsSplit(const std::string& service) const;
   std::size_t size() const { return by_id_.size(); }
 
-  // The work of this proxy that other proxies should know of; remembers what it told.
+  // The work of this proxy, for other proxies. Remembers the reported values, so that ApplyLoadSummary() can
+  // subtract them.
   std::vector<wire::BackendLoad> ReportLoads();
-  // The work of all proxies.
-  void TakeLoads(const wire::LoadSummary& summary, TimePoint now);
-  // Whether the work of others is known well enough to go by.
-  bool KnowsLoads(TimePoint now) const;
+  // Takes the total load of all proxies.
+  void ApplyLoadSummary(const wire::LoadSummary& summary, TimePoint now);
+  // Whether the load of other proxies is recent enough to use.
+  bool HasRecentLoads(TimePoint now) const;
 
  private:
   using Key = std::pair<std::string, Stage>;
@@ -56,7 +59,7 @@
   std::unordered_map<std::string, BackendPtr> by_id_;
   std::map<Key, Group> groups_;
   TimePoint interval_ends_{};
-  TimePoint loads_at_{Duration(-1e9)};  // long ago
+  TimePoint loads_updated_at_{Duration(-1e9)};  // far in the past: no summary yet
   brackenspoke::Random random_;
 };
 
--- a/src/data_plane/client_connection.cpp
+++ b/src/data_plane/client_connection.cpp
@@ -13,13 +13,14 @@
 
 using namespace http;
 
-constexpr milliseconds kWritePatience{5000};  // for a client that does not read
-constexpr std::size_t kWriteSlice = 64 * 1024;
+constexpr milliseconds kWriteTimeout{5000};  // for a client that does not read
+constexpr std::size_t kWriteSliceBytes = 64 * 1024;
 const asio::socket_base::send_buffer_size kSendBuffer(128 * 1024);
-constexpr std::size_t kFirstRead = 4096;
-// For bytes behind the last request. Less than the time after which a request that was read counts as lost.
-constexpr milliseconds kLinger{150};
-constexpr milliseconds kBodyPatience{10000};
+constexpr std::size_t kInitialReadBytes = 4096;
+// How long to drain bytes that follow the last request. Shorter than the time after which an unanswered
+// request counts as lost.
+constexpr milliseconds kLingerTimeout{150};
+constexpr milliseconds kBodyTimeout{10000};
 
 std::string ChunkHead(std::size_t size) {
   std::array<char, 24> text{};
@@ -30,7 +31,7 @@
 }  // namespace
 
 ClientConnection::ClientConnection(Tcp::socket socket)
-    : stream_(std::move(socket)), reading_timer_(stream_.get_executor()) {
+    : stream_(std::move(socket)), read_timer_(stream_.get_executor()) {
   error_code ignored;
   stream_.socket().set_option(Tcp::no_delay(true), ignored);
 }
@@ -42,47 +43,47 @@
   while (buffer_.size() == 0) {
     idle_since_ = steady_clock::now();
     stream_.expires_after(limits.idle_timeout);
-    const auto [error, count] = co_await stream_.async_read_some(buffer_.prepare(kFirstRead), kTuple);
-    if (error) co_return ReadResult{ReadEnd::kClosed, {}};
+    const auto [error, count] = co_await stream_.async_read_some(buffer_.prepare(kInitialReadBytes), kTuple);
+    if (error) co_return ReadResult{ReadOutcome::kClosed, {}};
     buffer_.commit(count);
     DropEmptyLines();
     serving_ = buffer_.size() > 0;
   }
   bhttp::request_parser<bhttp::string_body> parser;
-  const error_code error = co_await ReadWhole(parser, limits);
-  reading_timer_.cancel();
-  reading_timed_out_.reset();
+  const error_code error = co_await ReadFullRequest(parser, limits);
+  read_timer_.cancel();
+  read_timed_out_.reset();
   if (error) {
-    const bool tell = IsProtocolError(error) || error == beast::error::timeout;
-    co_return ReadResult{tell ? ReadEnd::kMalformed : ReadEnd::kClosed, StatusOf(error)};
+    const bool respond = IsProtocolError(error) || error == beast::error::timeout;
+    co_return ReadResult{respond ? ReadOutcome::kMalformed : ReadOutcome::kClosed, StatusOf(error)};
   }
   request_ = parser.release();
   ++requests_read_;
   chunked_ = request_.version() >= 11;
-  last_ = last_ || !request_.keep_alive();
-  pieces_begun_ = false;
+  close_after_response_ = close_after_response_ || !request_.keep_alive();
+  stream_begun_ = false;
   answered_ = false;
-  held_head_.clear();
-  co_return ReadResult{ReadEnd::kRequest, {}};
+  pending_head_.clear();
+  co_return ReadResult{ReadOutcome::kRequest, {}};
 }
 
-Awaitable<error_code> ClientConnection::ReadWhole(bhttp::request_parser<bhttp::string_body>& parser,
-                                                  const configuration::Limits& limits) {
+Awaitable<error_code> ClientConnection::ReadFullRequest(bhttp::request_parser<bhttp::string_body>& parser,
+                                                        const configuration::Limits& limits) {
   parser.header_limit(static_cast<std::uint32_t>(limits.max_header_bytes));
   parser.body_limit(limits.max_body_bytes);
   stream_.expires_never();
-  CancelReadingAfter(limits.header_timeout);
+  StartReadTimeout(limits.header_timeout);
   auto [error, read] = co_await bhttp::async_read_header(stream_, buffer_, parser, kTuple);
-  if (!error && !parser.is_done()) error = co_await TellToGoOn(parser);
+  if (!error && !parser.is_done()) error = co_await SendContinue(parser);
   if (!error && !parser.is_done()) {
-    CancelReadingAfter(kBodyPatience);
+    StartReadTimeout(kBodyTimeout);
     std::tie(error, read) = co_await bhttp::async_read(stream_, buffer_, parser, kTuple);
   }
-  if (error && *reading_timed_out_) error = beast::error::timeout;
+  if (error && *read_timed_out_) error = beast::error::timeout;
   co_return error;
 }
 
-// Before a request line they are ignored (RFC 9112, 2.2).
+// Empty lines before a request line are ignored (RFC 9112, 2.2).
 void ClientConnection::DropEmptyLines() {
   const auto bytes = buffer_.cdata();
   const auto* const text = static_cast<const char*>(bytes.data());
@@ -91,46 +92,51 @@
   buffer_.consume(empty);
 }
 
-void ClientConnection::CancelReadingAfter(milliseconds patience) {
-  reading_timed_out_ = std::make_shared<bool>(false);
-  reading_timer_.expires_after(patience);
-  reading_timer_.async_wait(
-      [this, timed_out = std::weak_ptr(reading_timed_out_)](const error_code& cancelled) {
-        const std::shared_ptr<bool> reading = timed_out.lock();
-        if (cancelled || !reading) return;  // `this` may be gone
-        *reading = true;
-        stream_.cancel();
-      });
+void ClientConnection::StartReadTimeout(milliseconds timeout) {
+  read_timed_out_ = std::make_shared<bool>(false);
+  read_timer_.expires_after(timeout);
+  read_timer_.async_wait([this, timed_out = std::weak_ptr(read_timed_out_)](const error_code& cancelled) {
+    const std::shared_ptr<bool> read_state = timed_out.lock();
+    if (cancelled || !read_state) return;  // `this` may be destroyed
+    *read_state = true;
+    stream_.cancel();
+  });
 }
 
-// A client that waits for 100 before it sends the body gets it; the body's limit has been checked.
-Awaitable<error_code> ClientConnection::TellToGoOn(const bhttp::request_parser<bhttp::string_body>& parser) {
+// Sends 100 Continue to a client that waits for it before the body. The body size limit has already been
+// checked.
+Awaitable<error_code> ClientConnection::SendContinue(
+    const bhttp::request_parser<bhttp::string_body>& parser) {
   const std::string_view expected = parser.get()[bhttp::field::expect];
   if (!beast::iequals({expected.data(), expected.size()}, "100-continue")) co_return error_code();
   co_return co_await Write("HTTP/1.1 100 Continue\r\n\r\n");
 }
 
-std::string ClientConnection::ConnectionFields() const { return last_ ? "Connection: close\r\n" : ""; }
+std::string ClientConnection::ConnectionFields() const {
+  return close_after_response_ ? "Connection: close\r\n" : "";
+}
 
-// In slices: a client that reads slowly is waited for as long as it reads.
+// Writes in slices, so that the timeout applies to each slice: a slow client is served as long as it keeps
+// reading.
 Awaitable<error_code> ClientConnection::Write(std::string bytes) {
   error_code failed;
-  // The kernel tells of progress in thirds of its buffer, which would grow to megabytes.
-  if (bytes.size() > kWriteSlice) stream_.socket().set_option(kSendBuffer, failed);
+  // The kernel reports progress in steps of a third of the send buffer, which would otherwise grow to
+  // megabytes.
+  if (bytes.size() > kWriteSliceBytes) stream_.socket().set_option(kSendBuffer, failed);
   failed = {};
-  for (std::size_t at = 0; at < bytes.size() && !failed; at += kWriteSlice) {
-    const std::size_t size = std::min(kWriteSlice, bytes.size() - at);
-    stream_.expires_after(kWritePatience);
+  for (std::size_t offset = 0; offset < bytes.size() && !failed; offset += kWriteSliceBytes) {
+    const std::size_t size = std::min(kWriteSliceBytes, bytes.size() - offset);
+    stream_.expires_after(kWriteTimeout);
     const auto [error, written] =
-        co_await asio::async_write(stream_, asio::buffer(bytes.data() + at, size), kTuple);
+        co_await asio::async_write(stream_, asio::buffer(bytes.data() + offset, size), kTuple);
     failed = error;
   }
   stream_.expires_never();
-  if (failed) broken_ = last_ = true;
+  if (failed) broken_ = close_after_response_ = true;
   co_return failed;
 }
 
-Awaitable<error_code> ClientConnection::WriteWhole(std::string head, std::string_view body) {
+Awaitable<error_code> ClientConnection::WriteResponse(std::string head, std::string_view body) {
   head += ConnectionFields();
   const bool has_body = request_.method() != bhttp::verb::head;
   if (has_body) head += "Content-Length: " + std::to_string(body.size()) + "\r\n";
@@ -141,56 +147,56 @@
   co_return failed;
 }
 
-void ClientConnection::BeginPieces(std::string head) {
-  if (!chunked_) last_ = true;
+void ClientConnection::BeginStream(std::string head) {
+  if (!chunked_) close_after_response_ = true;
   head += ConnectionFields();
   if (chunked_) head += "Transfer-Encoding: chunked\r\n";
-  held_head_ = head + "\r\n";
+  pending_head_ = head + "\r\n";
 }
 
-Awaitable<error_code> ClientConnection::WritePiece(std::string_view piece) {
-  pieces_begun_ = true;
-  std::string bytes = std::exchange(held_head_, {});
-  if (chunked_) bytes += ChunkHead(piece.size());
-  bytes += piece;
+Awaitable<error_code> ClientConnection::WriteChunk(std::string_view chunk) {
+  stream_begun_ = true;
+  std::string bytes = std::exchange(pending_head_, {});
+  if (chunked_) bytes += ChunkHead(chunk.size());
+  bytes += chunk;
   if (chunked_) bytes += "\r\n";
   co_return co_await Write(std::move(bytes));
 }
 
-Awaitable<error_code> ClientConnection::WriteEnd() {
-  pieces_begun_ = true;
-  std::string bytes = std::exchange(held_head_, {});
+Awaitable<error_code> ClientConnection::EndStream() {
+  stream_begun_ = true;
+  std::string bytes = std::exchange(pending_head_, {});
   if (chunked_) bytes += "0\r\n\r\n";
   const error_code failed = co_await Write(std::move(bytes));
   answered_ = !failed;
   co_return failed;
 }
 
-void ClientConnection::Watch(std::function<void()> on_gone) {
+void ClientConnection::WatchForDisconnect(std::function<void()> on_disconnect) {
   watch_ = std::make_shared<WatchState>();
-  watch_->on_gone = std::move(on_gone);
-  WaitForEnd();
+  watch_->on_disconnect = std::move(on_disconnect);
+  WaitForDisconnect();
 }
 
-void ClientConnection::WaitForEnd() {
+void ClientConnection::WaitForDisconnect() {
   stream_.socket().async_wait(Tcp::socket::wait_read, [this, watch = watch_](const error_code& error) {
-    if (!watch->active || error) return;  // `this` may be gone where the watch is not active
+    if (!watch->active || error) return;  // `this` may be destroyed if the watch is inactive
     const Peeked peeked = Peek(stream_.socket());
-    if (peeked == Peeked::kNothing) return WaitForEnd();
-    if (peeked == Peeked::kBytes) return;  // the next request is there already: the client is too
-    watch->gone = true;
-    watch->on_gone();
+    if (peeked == Peeked::kNothing) return WaitForDisconnect();
+    if (peeked == Peeked::kBytes) return;  // a pipelined request arrived, so the client is still connected
+    watch->disconnected = true;
+    watch->on_disconnect();
   });
 }
 
-void ClientConnection::Unwatch() {
+void ClientConnection::StopWatching() {
   if (!watch_) return;
   watch_->active = false;
-  if (watch_->gone) CloseAfterWhatWasRead();
+  if (watch_->disconnected) CloseAfterBufferedRequests();
 }
 
 void ClientConnection::Close() {
-  last_ = true;
+  close_after_response_ = true;
   if (watch_) watch_->active = false;
   error_code ignored;
   stream_.socket().shutdown(Tcp::socket::shutdown_send, ignored);
@@ -198,9 +204,9 @@
 }
 
 Awaitable<void> ClientConnection::CloseGracefully() {
-  serving_ = true;  // not idle: its last bytes are still on their way
+  serving_ = true;  // not idle: the last bytes are still being sent
   if (stream_.socket().is_open() && (buffer_.size() > 0 || Peek(stream_.socket()) == Peeked::kBytes)) {
-    co_await EndSendingAndDrain(stream_, kLinger);
+    co_await EndSendingAndDrain(stream_, kLingerTimeout);
   }
   Close();
 }
--- a/src/data_plane/client_connection.h
+++ b/src/data_plane/client_connection.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A client's connection: reads requests, writes answers whole or in pieces, notices when the client leaves.
+// A client connection: reads requests, writes buffered or streamed responses, and detects that the client
+// disconnects.
 #ifndef KESTRELLINE_DATA_PLANE_CLIENT_CONNECTION_H_
 #define KESTRELLINE_DATA_PLANE_CLIENT_CONNECTION_H_
 
@@ -26,79 +27,81 @@
  public:
   explicit ClientConnection(http::Tcp::socket socket);
 
-  enum class ReadEnd { kRequest, kClosed, kMalformed };
+  enum class ReadOutcome { kRequest, kClosed, kMalformed };
   struct ReadResult {
-    ReadEnd end = ReadEnd::kClosed;
-    http::bhttp::status status =
-        http::bhttp::status::bad_request;  // what a malformed request is answered with
+    ReadOutcome outcome = ReadOutcome::kClosed;
+    // The status to answer a malformed request with.
+    http::bhttp::status status = http::bhttp::status::bad_request;
   };
   Awaitable<ReadResult> ReadRequest(const configuration::Limits& limits);
   ClientRequest& request() { return request_; }
 
-  // One write, whole. `head` ends without its blank line; length and connection are added here.
-  Awaitable<error_code> WriteWhole(std::string head, std::string_view body);
-  // An answer in pieces: the head goes with the first of them.
-  Awaitable<error_code> WritePiece(std::string_view piece);
-  Awaitable<error_code> WriteEnd();
-  void BeginPieces(std::string head);
-  bool pieces_begun() const { return pieces_begun_; }
+  // Writes a complete response. `head` ends without its blank line; Content-Length and Connection are added
+  // here.
+  Awaitable<error_code> WriteResponse(std::string head, std::string_view body);
+  // Streamed response. The head is sent together with the first chunk.
+  Awaitable<error_code> WriteChunk(std::string_view chunk);
+  Awaitable<error_code> EndStream();
+  void BeginStream(std::string head);
+  bool stream_begun() const { return stream_begun_; }
 
-  // While a request is served: `on_gone` is called once if the client leaves.
-  void Watch(std::function<void()> on_gone);
-  void Unwatch();
-  bool gone() const { return watch_ && watch_->gone; }
+  // While a request is served: calls `on_disconnect` once if the client disconnects.
+  void WatchForDisconnect(std::function<void()> on_disconnect);
+  void StopWatching();
+  bool disconnected() const { return watch_ && watch_->disconnected; }
 
-  // Whether this answer is the connection's last.
-  void set_last(bool last) { last_ = last_ || last; }
-  // The same, unless a further request was read together with this one: it is answered first.
-  void CloseAfterWhatWasRead() { set_last(buffer_.size() == 0); }
-  bool last() const { return last_; }
-  // The present request has got its whole answer, as far as the socket took it.
+  // Whether the connection closes after this response.
+  void set_close_after_response(bool close) { close_after_response_ = close_after_response_ || close; }
+  // The same, unless a pipelined request is already buffered, which is answered first.
+  void CloseAfterBufferedRequests() { set_close_after_response(buffer_.size() == 0); }
+  bool closes_after_response() const { return close_after_response_; }
+  // The whole response to the current request was handed to the socket.
   bool answered() const { return answered_; }
-  // Nothing more can be written.
+  // A write failed; nothing more can be written.
   bool broken() const { return broken_; }
   bool serving() const { return serving_; }
-  // The requests that were read, the present one included.
+  // Number of requests read, including the current one.
   std::size_t requests_read() const { return requests_read_; }
-  // Nothing can follow on it: what was read with this request and not served yet is dropped.
+  // Closes immediately. Pipelined requests that were read but not served are dropped.
   void Close();
-  // Closes so that an answer on its way still arrives, although bytes came that nobody reads.
+  // Closes in such a way that the last response still arrives, although unread bytes remain in the receive
+  // buffer.
   Awaitable<void> CloseGracefully();
-  // When it began to wait for a request; nothing while one is read or served.
+  // When it began to wait for a request; empty while one is being read or served.
   std::optional<steady_clock::time_point> idle_since() const;
-  // Closes at once if no request is being read or served.
+  // Closes the connection unless a request is being read or served.
   void CloseIfIdle();
 
  private:
   struct WatchState {
-    std::function<void()> on_gone;
-    bool gone = false;
+    std::function<void()> on_disconnect;
+    bool disconnected = false;
     bool active = true;
   };
   Awaitable<error_code> Write(std::string bytes);
-  // Reads the request that has begun to come. Past its time the reading is cancelled, and the client can
-  // still be told.
-  Awaitable<error_code> ReadWhole(http::bhttp::request_parser<http::bhttp::string_body>& parser,
-                                  const configuration::Limits& limits);
+  // Reads a request whose first bytes are buffered. On timeout only the read is cancelled, so that an error
+  // can still be sent to the client.
+  Awaitable<error_code> ReadFullRequest(http::bhttp::request_parser<http::bhttp::string_body>& parser,
+                                        const configuration::Limits& limits);
   void DropEmptyLines();
-  void CancelReadingAfter(milliseconds patience);
-  Awaitable<error_code> TellToGoOn(const http::bhttp::request_parser<http::bhttp::string_body>& parser);
-  void WaitForEnd();
+  void StartReadTimeout(milliseconds timeout);
+  Awaitable<error_code> SendContinue(const http::bhttp::request_parser<http::bhttp::string_body>& parser);
+  void WaitForDisconnect();
   std::string ConnectionFields() const;
 
   http::beast::tcp_stream stream_;
   http::beast::flat_buffer buffer_{http::kLongestParsed};
-  http::asio::steady_timer reading_timer_;
+  http::asio::steady_timer read_timer_;
   ClientRequest request_;
   std::shared_ptr<WatchState> watch_;
-  std::string held_head_;
+  std::string pending_head_;
   std::size_t requests_read_ = 0;
-  bool pieces_begun_ = false;
-  bool last_ = false;
+  bool stream_begun_ = false;
+  bool close_after_response_ = false;
   bool serving_ = false;
   bool answered_ = false;
   bool broken_ = false;
-  std::shared_ptr<bool> reading_timed_out_;  // while a request is read
+  std::shared_ptr<bool> read_timed_out_;  // set while a request is read
   steady_clock::time_point idle_since_ = steady_clock::now();
   bool chunked_ = true;
 };
--- a/src/data_plane/configuration_follower.cpp
+++ b/src/data_plane/configuration_follower.cpp
@@ -5,22 +5,22 @@
 
 namespace kestrelline::data_plane {
 
-configuration::ConfigurationPtr ConfigurationFollower::Take(const wire::Publication& publication,
-                                                            bool fresh) {
+configuration::ConfigurationPtr ConfigurationFollower::Apply(const wire::Publication& publication,
+                                                             bool fresh) {
   error_.clear();
-  bool contents = false;
-  if (!publication.configuration.empty()) lacks_base_ = false;
-  if (gate_.IsNews(publication.version)) {
+  bool has_contents = false;
+  if (!publication.configuration.empty()) missing_base_ = false;
+  if (gate_.IsNewer(publication.version)) {
     if (!publication.configuration.empty()) {
-      contents = TakeWhole(publication);
+      has_contents = ApplyWhole(publication);
     } else if (!publication.configuration_patches.empty()) {
-      contents = TakePatches(publication);
+      has_contents = ApplyPatches(publication);
     }
   }
-  return gate_.Offer(publication.version, contents, fresh) ? newest_ : nullptr;
+  return gate_.Offer(publication.version, has_contents, fresh) ? newest_ : nullptr;
 }
 
-bool ConfigurationFollower::TakeWhole(const wire::Publication& publication) {
+bool ConfigurationFollower::ApplyWhole(const wire::Publication& publication) {
   configuration::ParseResult parsed = configuration::Parse(publication.configuration);
   error_ = parsed.error;
   if (!parsed.configuration) return false;
@@ -31,9 +31,9 @@
   return true;
 }
 
-bool ConfigurationFollower::TakePatches(const wire::Publication& publication) {
+bool ConfigurationFollower::ApplyPatches(const wire::Publication& publication) {
   if (!newest_ || publication.configuration_base != newest_->version) {
-    lacks_base_ = true;
+    missing_base_ = true;
     return false;
   }
   configuration::ConfigurationPtr next = newest_;
@@ -43,14 +43,14 @@
     if (parsed.patch) patched = parsed.patch->ApplyTo(*next);
     if (!patched.configuration) {
       error_ = parsed.error + patched.error;
-      lacks_base_ = true;
+      missing_base_ = true;
       return false;
     }
     next = std::move(patched.configuration);
   }
   if (next->version != publication.version) {
     error_ = "patches lead to version " + std::to_string(next->version);
-    lacks_base_ = true;
+    missing_base_ = true;
     return false;
   }
   std::uint64_t from = newest_->version;
--- a/src/data_plane/configuration_follower.h
+++ b/src/data_plane/configuration_follower.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Follows the configuration that a proxy is told of, whole or by patches, decides what is put in force, and
-// keeps what the proxy passes on to others. No I/O, no clock.
+// Tracks the configuration that a proxy receives, either whole or as patches, and decides which version takes
+// effect. Also keeps the text and the patches that the proxy relays to other proxies. No I/O, no clock.
 #ifndef KESTRELLINE_DATA_PLANE_CONFIGURATION_FOLLOWER_H_
 #define KESTRELLINE_DATA_PLANE_CONFIGURATION_FOLLOWER_H_
 
@@ -20,23 +20,24 @@
 
 class ConfigurationFollower {
  public:
-  // Takes what was told; `fresh` tells whether that is proven to be recent. Returns the configuration to put
+  // Processes a publication; `fresh` says whether it is proven to be recent. Returns the configuration to put
   // in force now, or null.
-  configuration::ConfigurationPtr Take(const wire::Publication& publication, bool fresh);
-  // The version whose contents need not be told again; 0 once patches came that build on another one.
-  std::uint64_t told_version() const { return lacks_base_ ? 0 : gate_.known_version(); }
-  // Patches came that build on a version that is not here; ends with the next whole configuration.
-  bool lacks_base() const { return lacks_base_; }
+  configuration::ConfigurationPtr Apply(const wire::Publication& publication, bool fresh);
+  // The version to subscribe with, whose contents need not be sent again. 0 after patches arrived for another
+  // base version.
+  std::uint64_t held_version() const { return missing_base_ ? 0 : gate_.known_version(); }
+  // Patches arrived whose base version is not here; reset by the next whole configuration.
+  bool missing_base() const { return missing_base_; }
   std::uint64_t version_in_force() const { return gate_.version(); }
-  // The text of the newest configuration. Patches that came since the last call are applied to it only now.
+  // The text of the newest configuration. Applies patches received since the last call.
   std::shared_ptr<const std::string> Text();
   const distribution::ConfigurationHistory& history() const { return history_; }
-  // Why the last configuration was not taken; empty if it was.
+  // Why the latest configuration was rejected; empty if it was accepted.
   const std::string& error() const { return error_; }
 
  private:
-  bool TakeWhole(const wire::Publication& publication);
-  bool TakePatches(const wire::Publication& publication);
+  bool ApplyWhole(const wire::Publication& publication);
+  bool ApplyPatches(const wire::Publication& publication);
 
   ConfigurationGate gate_;
   configuration::ConfigurationPtr newest_;
@@ -44,7 +45,7 @@
   std::vector<std::string> patches_since_text_;
   distribution::ConfigurationHistory history_;
   std::string error_;
-  bool lacks_base_ = false;
+  bool missing_base_ = false;
 };
 
 }  // namespace kestrelline::data_plane
--- a/src/data_plane/drain_schedule.h
+++ b/src/data_plane/drain_schedule.h
@@ -1,20 +1,21 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a proxy that is to stop (SIGTERM) still does, and until when. No I/O, no clock.
+// Decides what a proxy does between SIGTERM and its exit. No I/O, no clock.
 //
-// A request is taken only if it can be answered before the process ends. The process is killed `grace` after
-// SIGTERM, so the schedule counts back from there:
+// A request is admitted only if it can be answered before the process exits. The process is killed `grace`
+// after SIGTERM, so the schedule counts back from that time:
 //
-//   SIGTERM       serve_on_until          conclude_at       exit_at   SIGKILL
-//      |  takes whole     |  takes what ends   |   answers     |         |
-//      |  answers; streams|  by conclude_at    |   what is open|         |
-//      |  that end by     |                    |               |         |
-//      |  conclude_at     |                    |               |         |
+//   SIGTERM       accept_until         finalize_at        exit_at   SIGKILL
+//      |  admits buffered |  admits requests   |  finalizes    |         |
+//      |  responses, and  |  that end by       |  what is      |         |
+//      |  streams that end|  finalize_at       |  still open   |         |
+//      |  by finalize_at  |                    |               |         |
 //
-// A whole answer that has not come by the conclusion is replaced by an error. A stream that has begun would
-// be cut at the exit, however far its backend has come; so it must end in time by its own bounds.
+// A buffered response that has not arrived by finalize_at is replaced by an error. A started stream would be
+// truncated at the exit, whatever its backend's progress; so it is only admitted if its own deadline ends
+// before that.
 //
-// New connections come until the platform has seen two refusals, a second apart, of the readiness address.
+// New connections are accepted until the platform has seen two failed readiness checks, a second apart.
 #ifndef KESTRELLINE_DATA_PLANE_DRAIN_SCHEDULE_H_
 #define KESTRELLINE_DATA_PLANE_DRAIN_SCHEDULE_H_
 
@@ -24,10 +25,10 @@
 
 namespace kestrelline::data_plane {
 
-// How an answer goes on to the client.
-enum class AnswerForm {
-  kWhole,   // once all of it has come
-  kStream,  // event by event
+// How a response is forwarded to the client.
+enum class ResponseMode {
+  kBuffered,  // in one piece, after all of it arrived
+  kStreamed,  // event by event
 };
 
 class DrainSchedule {
@@ -35,70 +36,73 @@
   using Clock = std::chrono::steady_clock;
   using milliseconds = std::chrono::milliseconds;
 
-  // Two questions of the platform, a second apart, and some time for connections under way. Well below the
-  // 3 s within which the operators excuse work that outlasts the process: SIGTERM may be noticed late.
-  static constexpr milliseconds kServeOn{2600};
-  // From the exit to SIGKILL.
+  // Two readiness checks of the platform, a second apart, and time for connections already under way. Well
+  // below the 3 s within which the operators excuse work that outlasts the process, because SIGTERM may be
+  // noticed late.
+  static constexpr milliseconds kAcceptAfterSigterm{2600};
+  // Time between the exit and SIGKILL.
   static constexpr milliseconds kExitMargin{350};
-  // For the last answers to be written.
-  static constexpr milliseconds kConcluding{300};
-  // What these two take of the grace at the most: work that outlasts the process is excused in its last
-  // sixth.
-  static constexpr int kLargestShare = 6;
-  // The answers of a conclusion that came late are written for this long, up to this much before SIGKILL.
-  static constexpr milliseconds kLastAnswers{100};
+  // Time to write the final responses.
+  static constexpr milliseconds kFinalizeMargin{300};
+  // The two margins above take at most 1 / kMaxMarginDivisor of the grace period: work cut off by the exit is
+  // only excused in its last sixth.
+  static constexpr int kMaxMarginDivisor = 6;
+  // If finalization starts late, its responses are still written for this long, but not closer than this to
+  // SIGKILL.
+  static constexpr milliseconds kLateFinalizeTime{100};
 
   explicit DrainSchedule(milliseconds grace) : grace_(grace) {}
 
-  // SIGTERM came. Another one changes nothing.
+  // Call on SIGTERM. Further calls have no effect.
   void Begin(Clock::time_point now) {
-    if (!began_) began_ = now;
+    if (!sigterm_at_) sigterm_at_ = now;
   }
-  bool begun() const { return began_.has_value(); }
-  Clock::time_point began() const { return began_.value_or(Clock::time_point::max()); }
+  bool draining() const { return sigterm_at_.has_value(); }
+  Clock::time_point sigterm_at() const { return sigterm_at_.value_or(Clock::time_point::max()); }
 
-  // Whether new connections are accepted and idle ones kept.
-  bool ServesOn(Clock::time_point now) const { return !began_ || now < ServeOnUntil(); }
-  // Whether a request that is whole now is taken on; `latest_end` is when it is given up at the latest.
-  bool Admits(Clock::time_point now, Clock::time_point latest_end, AnswerForm form) const {
-    if (!began_ || latest_end <= ConcludeAt()) return true;
-    return ServesOn(now) && form == AnswerForm::kWhole;
+  // Whether new connections are accepted and idle ones are kept open.
+  bool AcceptsConnections(Clock::time_point now) const { return !sigterm_at_ || now < AcceptUntil(); }
+  // Whether a request read completely at `now` is admitted; `latest_end` is its deadline.
+  bool Admits(Clock::time_point now, Clock::time_point latest_end, ResponseMode mode) const {
+    if (!sigterm_at_ || latest_end <= FinalizeAt()) return true;
+    return AcceptsConnections(now) && mode == ResponseMode::kBuffered;
   }
-  // When work on a request ends at the latest. What has no answer by the conclusion is answered then; a
-  // stream that has begun may go on until the exit.
-  Clock::time_point Bound(Clock::time_point latest_end) const {
-    return began_ ? std::min(latest_end, ExitAt()) : latest_end;
+  // Limits the deadline of a request. Requests without a response are answered at finalize_at; a started
+  // stream may continue until the exit.
+  Clock::time_point LimitDeadline(Clock::time_point latest_end) const {
+    return sigterm_at_ ? std::min(latest_end, ExitAt()) : latest_end;
   }
-  // Whether what is open is to be answered now, with an error if need be.
-  bool Concludes(Clock::time_point now) const { return began_ && now >= ConcludeAt(); }
-  // What was open has been told to conclude; its answers are still to be written.
-  void NoteConclusion(Clock::time_point now) {
-    if (!concluded_) concluded_ = now;
+  // Whether open requests must be answered now, with an error if necessary.
+  bool ShouldFinalize(Clock::time_point now) const { return sigterm_at_ && now >= FinalizeAt(); }
+  // Open requests were told to finish; their responses are still being written.
+  void RecordFinalization(Clock::time_point now) {
+    if (!finalized_at_) finalized_at_ = now;
   }
-  // Whether the process ends now, whatever is open. A process that was held up gives a late conclusion its
-  // time, as far as there is any: answers are written after the tick that concludes, never in it.
-  bool Exits(Clock::time_point now) const {
-    if (!began_ || now < ExitAt() || !concluded_ || now <= *concluded_) return false;
-    return now >= *concluded_ + kLastAnswers || now >= *began_ + grace_ - kLastAnswers;
+  // Whether the process exits now, regardless of open requests. If finalization was late because the process
+  // was stalled, it gets its time as far as there is any: responses are written after the tick that
+  // finalizes, never in it.
+  bool ShouldExit(Clock::time_point now) const {
+    if (!sigterm_at_ || now < ExitAt() || !finalized_at_ || now <= *finalized_at_) return false;
+    return now >= *finalized_at_ + kLateFinalizeTime || now >= *sigterm_at_ + grace_ - kLateFinalizeTime;
   }
 
  private:
-  // A part of the margins, which are cut down together where the grace is short.
-  milliseconds Margin(milliseconds part) const {
-    constexpr milliseconds kWhole = kExitMargin + kConcluding;
-    return std::min(part, part * (grace_ / kLargestShare).count() / kWhole.count());
+  // Scales a margin down if the grace period is short.
+  milliseconds Margin(milliseconds margin) const {
+    constexpr milliseconds kTotal = kExitMargin + kFinalizeMargin;
+    return std::min(margin, margin * (grace_ / kMaxMarginDivisor).count() / kTotal.count());
   }
-  Clock::time_point ExitAt() const { return *began_ + grace_ - Margin(kExitMargin); }
-  Clock::time_point ConcludeAt() const { return ExitAt() - Margin(kConcluding); }
-  // Half of the time is left to finish what was taken.
-  Clock::time_point ServeOnUntil() const {
-    const milliseconds until_conclusion = std::chrono::duration_cast<milliseconds>(ConcludeAt() - *began_);
-    return *began_ + std::min(kServeOn, until_conclusion / 2);
+  Clock::time_point ExitAt() const { return *sigterm_at_ + grace_ - Margin(kExitMargin); }
+  Clock::time_point FinalizeAt() const { return ExitAt() - Margin(kFinalizeMargin); }
+  // At least half of the remaining time is kept for finishing admitted requests.
+  Clock::time_point AcceptUntil() const {
+    const milliseconds until_finalize = std::chrono::duration_cast<milliseconds>(FinalizeAt() - *sigterm_at_);
+    return *sigterm_at_ + std::min(kAcceptAfterSigterm, until_finalize / 2);
   }
 
   milliseconds grace_;
-  std::optional<Clock::time_point> began_;
-  std::optional<Clock::time_point> concluded_;
+  std::optional<Clock::time_point> sigterm_at_;
+  std::optional<Clock::time_point> finalized_at_;
 };
 
 }  // namespace kestrelline::data_plane
--- a/src/data_plane/edge_node.cpp
+++ b/src/data_plane/edge_node.cpp
@@ -15,33 +15,33 @@
 using namespace http;
 using invariants::Invariant;
 
-constexpr milliseconds kTick{50};
-constexpr milliseconds kRepeatLoadsEvery{500};  // where they don't change
-// What a proxy may send of its work, and more for each that it passes on for; bytes a second.
+constexpr milliseconds kTickInterval{50};
+constexpr milliseconds kLoadReportRepeatInterval{500};  // if unchanged
+// Bandwidth limit for load reports in bytes per second: own report, and extra for each proxy relayed for.
 constexpr double kReportBytesPerSecond = 10000;
 constexpr double kChildReportBytesPerSecond = 2000;
-constexpr milliseconds kListTooOld{1800};
-constexpr milliseconds kBetweenOwnReadings{1000};
+constexpr milliseconds kMaxListAge{1800};
+constexpr milliseconds kDirectReadInterval{1000};
 
-// How long the budget of bytes is used up by a report.
+// How long a report uses up the bandwidth limit.
 milliseconds TimeToSend(const wire::LoadReport& report) {
   const double bytes = distribution::LoadFeed::kMessageBytes +
                        distribution::LoadFeed::kLoadBytes * static_cast<double>(report.loads.size());
   const double children = std::max(1u, report.proxies) - 1.0;
   const double budget = kReportBytesPerSecond + kChildReportBytesPerSecond * children;
-  return std::min(kRepeatLoadsEvery, milliseconds(static_cast<int>(1000 * bytes / budget)));
+  return std::min(kLoadReportRepeatInterval, milliseconds(static_cast<int>(1000 * bytes / budget)));
 }
 
-// A client is on the list for as long as its connection is served, however that ends.
-class ListedClient {
+// Keeps a client registered while its connection is served, on every way out of the scope.
+class RegisteredClient {
  public:
-  ListedClient(EdgeNode::Clients clients, ClientConnection& client)
+  RegisteredClient(EdgeNode::Clients clients, ClientConnection& client)
       : clients_(std::move(clients)), client_(client) {
     clients_->insert(&client_);
   }
-  ~ListedClient() { clients_->erase(&client_); }
-  ListedClient(const ListedClient&) = delete;
-  ListedClient& operator=(const ListedClient&) = delete;
+  ~RegisteredClient() { clients_->erase(&client_); }
+  RegisteredClient(const RegisteredClient&) = delete;
+  RegisteredClient& operator=(const RegisteredClient&) = delete;
 
  private:
   EdgeNode::Clients clients_;
@@ -57,15 +57,15 @@
       subscriber_(
           io, settings_,
           [this] {
-            return Subscriber::Have{configuration_.told_version(), list_.told_revision()};
+            return Subscriber::HeldState{configuration_.held_version(), list_.newest_revision()};
           },
           [this](const wire::Publication& publication,
                  std::optional<steady_clock::time_point> composed_after) {
-            Take(publication, composed_after);
+            HandlePublication(publication, composed_after);
           },
           [this](const wire::LoadSummary& summary) {
-            state_.backends.TakeLoads(summary, DecisionTime());
-            told_loads_.Take(summary);
+            state_.backends.ApplyLoadSummary(summary, DecisionTime());
+            load_mirror_.Take(summary);
             publisher_.SendToAll(summary);
           },
           traffic_),
@@ -76,8 +76,8 @@
       reader_(io, settings.cloud.value_or(node::Endpoint{})),
       tick_(io),
       started_(steady_clock::now()) {
-  const auto files = static_cast<std::size_t>(std::max<std::int64_t>(settings.limits.max_fds, 512));
-  most_clients_ = (files - kFilesKeptBack) / 2;
+  const auto max_files = static_cast<std::size_t>(std::max<std::int64_t>(settings.limits.max_fds, 512));
+  max_clients_ = (max_files - kReservedDescriptors) / 2;
 }
 
 std::error_code EdgeNode::Start() {
@@ -87,7 +87,7 @@
   if (!settings_.front) return std::make_error_code(std::errc::invalid_argument);
   if (const std::error_code error = OpenAcceptor(acceptor_, *settings_.front)) return error;
   const auto on_child = [this](mesh::Connection& connection, wire::Message message) {
-    OnChild(connection, std::move(message));
+    OnChildMessage(connection, std::move(message));
   };
   const auto on_closed = [this](mesh::Connection& connection) { publisher_.Forget(connection); };
   if (const std::error_code error = mesh_.Listen(on_child, on_closed)) return error;
@@ -97,7 +97,7 @@
   return {};
 }
 
-bool EdgeNode::Ready() const { return !state_.drain.begun() && state_.routes && know_backends_; }
+bool EdgeNode::Ready() const { return !state_.drain.draining() && state_.routes && backends_known_; }
 
 Awaitable<ApiResponse> EdgeNode::Readiness(ApiRequest request) {
   if (request.target() == "/-/invariants") {
@@ -114,41 +114,41 @@
     auto [error, socket] = co_await acceptor_.async_accept(kTuple);
     if (error) {
       if (!acceptor_.is_open()) co_return;
-      asio::steady_timer pause(io_, milliseconds(20));  // out of descriptors, perhaps
+      asio::steady_timer pause(io_, milliseconds(20));  // possibly out of file descriptors
       co_await pause.async_wait(kTuple);
       continue;
     }
-    if (clients_->size() >= most_clients_ && !CloseLongestIdle()) continue;
+    if (clients_->size() >= max_clients_ && !CloseLongestIdle()) continue;
     asio::co_spawn(io_, Serve(std::move(socket)), asio::detached);
   }
 }
 
-// Makes room for a new connection; false if all that are open have a request under way.
+// Makes room for a new connection. Returns false if every open connection is serving a request.
 bool EdgeNode::CloseLongestIdle() {
-  ClientConnection* longest = nullptr;
+  ClientConnection* longest_idle = nullptr;
   for (ClientConnection* client : *clients_) {
     const auto since = client->idle_since();
-    if (since && (longest == nullptr || *since < *longest->idle_since())) longest = client;
+    if (since && (longest_idle == nullptr || *since < *longest_idle->idle_since())) longest_idle = client;
   }
-  if (longest == nullptr) return false;
-  longest->CloseIfIdle();
+  if (longest_idle == nullptr) return false;
+  longest_idle->CloseIfIdle();
   return true;
 }
 
 Awaitable<void> EdgeNode::Serve(Tcp::socket socket) {
   ClientConnection client(std::move(socket));
-  const ListedClient listed(clients_, client);
+  const RegisteredClient registration(clients_, client);
   while (true) {
     const configuration::Limits limits =
         state_.routes ? state_.routes->configuration().limits : configuration::Limits{};
     const auto result = co_await client.ReadRequest(limits);
-    if (result.end == ClientConnection::ReadEnd::kClosed) break;
-    if (result.end == ClientConnection::ReadEnd::kMalformed) {
-      client.set_last(true);
+    if (result.outcome == ClientConnection::ReadOutcome::kClosed) break;
+    if (result.outcome == ClientConnection::ReadOutcome::kMalformed) {
+      client.set_close_after_response(true);
       const auto status = static_cast<unsigned>(result.status);
       std::string head = "HTTP/1.1 " + std::to_string(status) + " ";
       head += std::string_view(bhttp::obsolete_reason(result.status));
-      co_await client.WriteWhole(head + "\r\n", "");
+      co_await client.WriteResponse(head + "\r\n", "");
       break;
     }
     {
@@ -159,13 +159,13 @@
                                  "request_id=" + std::string(client.request()["Request-Id"]));
       }
     }
-    if (client.last()) break;
+    if (client.closes_after_response()) break;
   }
   co_await client.CloseGracefully();
 }
 
 void EdgeNode::ScheduleTick() {
-  tick_.expires_after(kTick);
+  tick_.expires_after(kTickInterval);
   tick_.async_wait([this](const error_code& cancelled) {
     if (cancelled) return;
     tick_before_last_ = std::exchange(last_tick_, steady_clock::now());
@@ -174,37 +174,37 @@
     state_.open_requests.Tick();
     subscriber_.Tick();
     ReportLoads();
-    if (state_.drain.begun()) TickDrain();
+    if (state_.drain.draining()) TickDrain();
     const auto now = steady_clock::now();
-    if (settings_.cloud && !reading_ && now - std::max(list_.read_at(), started_) > kListTooOld &&
-        now >= next_own_reading_) {
-      reading_ = true;
-      asio::co_spawn(io_, ReadListIfForgotten(), asio::detached);
+    if (settings_.cloud && !reading_list_ && now - std::max(list_.read_at(), started_) > kMaxListAge &&
+        now >= next_direct_read_at_) {
+      reading_list_ = true;
+      asio::co_spawn(io_, ReadListDirectly(), asio::detached);
     }
     ScheduleTick();
   });
 }
 
-// Its own work, and that of the proxies which this one passes on to.
+// Reports the load of this proxy and of the proxies that it relays for.
 void EdgeNode::ReportLoads() {
   const auto now = steady_clock::now();
-  if (now < may_report_loads_) return;
+  if (now < load_report_allowed_at_) return;
   const auto now_ms = std::chrono::duration_cast<milliseconds>(now.time_since_epoch());
   children_.ReportFromMember(now_ms, settings_.ip,
                              {state_.backends.ReportLoads(), state_.demand.Demands(DecisionTime(now)), 1});
   children_.Forget(now_ms);
   wire::LoadReport report = children_.Everywhere();
-  if (report.loads == reported_loads_ && now < next_load_report_) return;
-  next_load_report_ = now + kRepeatLoadsEvery;
-  may_report_loads_ = now + TimeToSend(report);
+  if (report.loads == reported_loads_ && now < load_report_due_at_) return;
+  load_report_due_at_ = now + kLoadReportRepeatInterval;
+  load_report_allowed_at_ = now + TimeToSend(report);
   subscriber_.Report(report);
   reported_loads_ = std::move(report.loads);
 }
 
-void EdgeNode::OnChild(mesh::Connection& connection, wire::Message message) {
+void EdgeNode::OnChildMessage(mesh::Connection& connection, wire::Message message) {
   if (const auto* subscribe = std::get_if<wire::Subscribe>(&message.body)) {
     if (publisher_.Subscribe(connection, message.sender, *subscribe, CurrentlyPublished()))
-      connection.Send(mesh_.Encode(told_loads_.Whole()));
+      connection.Send(mesh_.Encode(load_mirror_.Whole()));
   } else if (const auto* probe = std::get_if<wire::Probe>(&message.body)) {
     publisher_.NoteProbe(connection, *probe);
   } else if (auto* report = std::get_if<wire::LoadReport>(&message.body)) {
@@ -215,64 +215,66 @@
 
 distribution::Published EdgeNode::CurrentlyPublished() {
   const auto since = std::chrono::duration_cast<milliseconds>(
-      steady_clock::now() - told_after_.value_or(steady_clock::time_point()));
+      steady_clock::now() - last_composed_after_.value_or(steady_clock::time_point()));
   distribution::Published published;
   published.version = configuration_.version_in_force();
   if (published.version > 0) published.configuration = [this] { return configuration_.Text(); };
   published.configurations = &configuration_.history();
-  if (told_.certain && told_after_) published.age = milliseconds(told_.age_ms) + since;
-  published.instances = list_.told();
+  if (last_publication_.certain && last_composed_after_)
+    published.age = milliseconds(last_publication_.age_ms) + since;
+  published.instances = list_.newest_list();
   published.lists = &list_.history();
-  published.instances_age = milliseconds(told_.instances_age_ms) + since;
-  published.proxies = told_.proxies;
-  published.control_peers = told_.control_peers;
-  published.hops = told_.hops + 1;
+  published.instances_age = milliseconds(last_publication_.instances_age_ms) + since;
+  published.proxies = last_publication_.proxies;
+  published.control_peers = last_publication_.control_peers;
+  published.hops = last_publication_.hops + 1;
   return published;
 }
 
-// To the proxies that found no room at a member. Far from the members nothing is passed on: a ring of proxies
-// that tell each other old news would count its hops up to this.
-void EdgeNode::PassOn() {
-  constexpr std::uint32_t kMostHops = 8;
-  if (told_.hops < kMostHops) publisher_.Publish(CurrentlyPublished());
+// Relays publications to proxies that were referred here. The hop limit stops a cycle of proxies that relay
+// outdated publications to one another.
+void EdgeNode::RelayPublication() {
+  constexpr std::uint32_t kMaxHops = 8;
+  if (last_publication_.hops < kMaxHops) publisher_.Publish(CurrentlyPublished());
 }
 
-// Nobody passes the list on: this proxy reads it itself, at times that differ from other proxies'.
-Awaitable<void> EdgeNode::ReadListIfForgotten() {
-  const auto spread = milliseconds(static_cast<std::int64_t>(state_.random.Below(400)));
-  next_own_reading_ = steady_clock::now() + kBetweenOwnReadings + spread;
+// Reads the list directly from the platform while no control plane member sends it. A random delay spreads
+// the reads of different proxies.
+Awaitable<void> EdgeNode::ReadListDirectly() {
+  const auto random_delay = milliseconds(static_cast<std::int64_t>(state_.random.Below(400)));
+  next_direct_read_at_ = steady_clock::now() + kDirectReadInterval + random_delay;
   auto instances = co_await reader_.Read();
-  reading_ = false;
+  reading_list_ = false;
   if (!instances) co_return;
   wire::InstanceList list;
   list.instances = std::move(*instances);
   state_.backends.Update(list);
-  know_backends_ = true;
-  list_.TakeOwnReading(steady_clock::now());
+  backends_known_ = true;
+  list_.UseDirectRead(steady_clock::now());
 }
 
-void EdgeNode::Take(const wire::Publication& publication,
-                    std::optional<steady_clock::time_point> composed_after) {
-  told_ = publication;
-  told_.configuration.clear();
-  told_.configuration_patches.clear();
-  told_.instances = nullptr;
-  told_.list_changes.reset();
-  told_after_ = composed_after;
+void EdgeNode::HandlePublication(const wire::Publication& publication,
+                                 std::optional<steady_clock::time_point> composed_after) {
+  last_publication_ = publication;
+  last_publication_.configuration.clear();
+  last_publication_.configuration_patches.clear();
+  last_publication_.instances = nullptr;
+  last_publication_.list_changes.reset();
+  last_composed_after_ = composed_after;
   if (publication.proxies > 0)
     state_.budget.set_proxies(static_cast<int>(publication.proxies), DecisionTime());
-  TakeConfiguration(publication);
-  if (const auto list = list_.Take(publication, composed_after)) {
+  ApplyConfiguration(publication);
+  if (const auto list = list_.Apply(publication, composed_after)) {
     state_.backends.Update(*list);
-    know_backends_ = true;
+    backends_known_ = true;
   }
-  const bool lacks_list = list_.TakeLacksBase();
-  if (configuration_.lacks_base() || lacks_list) return subscriber_.Renew();
-  PassOn();
+  const bool missing_list = list_.ConsumeMissingBase();
+  if (configuration_.missing_base() || missing_list) return subscriber_.Renew();
+  RelayPublication();
 }
 
-void EdgeNode::TakeConfiguration(const wire::Publication& publication) {
-  const auto next = configuration_.Take(publication, subscriber_.fresh());
+void EdgeNode::ApplyConfiguration(const wire::Publication& publication) {
+  const auto next = configuration_.Apply(publication, subscriber_.fresh());
   if (!configuration_.error().empty()) {
     spdlog::error("configuration version={} refused: {}", publication.version, configuration_.error());
   }
@@ -282,8 +284,8 @@
 }
 
 void EdgeNode::Drain(std::function<void()> done) {
-  if (state_.drain.begun()) return;
-  state_.drain.Begin(tick_before_last_);  // the signal came after that, however late it is noticed
+  if (state_.drain.draining()) return;
+  state_.drain.Begin(tick_before_last_);  // SIGTERM arrived after that tick, however late it is noticed
   drained_ = std::move(done);
   spdlog::info("draining connections={} open_requests={}", clients_->size(),
                state_.open_requests.Entries().size());
@@ -291,45 +293,46 @@
 
 void EdgeNode::TickDrain() {
   const auto now = steady_clock::now();
-  if (state_.drain.ServesOn(now)) return;
+  if (state_.drain.AcceptsConnections(now)) return;
   if (acceptor_.is_open()) {
     AcceptQueued();
     acceptor_.close();
-    return;  // those that were accepted begin to be served before this process may end
+    return;  // connections accepted above must start being served before the process may exit
   }
   for (ClientConnection* client : std::set<ClientConnection*>(*clients_)) client->CloseIfIdle();
-  if (state_.drain.Concludes(now)) ConcludeOpenRequests();
-  if ((!clients_->empty() && !state_.drain.Exits(now)) || !drained_) return;
+  if (state_.drain.ShouldFinalize(now)) FinalizeOpenRequests();
+  if ((!clients_->empty() && !state_.drain.ShouldExit(now)) || !drained_) return;
   LogUnanswered();
   spdlog::info("drained requests={} answered={} refused={} failed={} cut={} unanswered={} violations={}",
                state_.counters.requests, state_.counters.answered, state_.counters.refused,
-               state_.counters.failed, state_.counters.cut, state_.open_requests.Entries().size(),
+               state_.counters.failed, state_.counters.truncated, state_.open_requests.Entries().size(),
                state_.violations.total());
   std::exchange(drained_, nullptr)();
 }
 
-// The connections that the kernel has taken and this process has not: their clients have sent their requests.
+// Accepts connections still queued in the kernel: their clients have already sent requests.
 void EdgeNode::AcceptQueued() {
   error_code none_left;
   acceptor_.non_blocking(true, none_left);
-  while (!none_left && clients_->size() < most_clients_) {
+  while (!none_left && clients_->size() < max_clients_) {
     Tcp::socket socket = acceptor_.accept(none_left);
     if (!none_left) asio::co_spawn(io_, Serve(std::move(socket)), asio::detached);
   }
 }
 
-void EdgeNode::ConcludeOpenRequests() {
-  state_.drain.NoteConclusion(steady_clock::now());
-  for (const OpenRequests::Handle& request : state_.open_requests.Entries()) request->conclude();
+void EdgeNode::FinalizeOpenRequests() {
+  state_.drain.RecordFinalization(steady_clock::now());
+  for (const OpenRequests::Handle& request : state_.open_requests.Entries()) request->finalize();
 }
 
-// What the end of this process takes from clients: when each such request was read, and on which connection.
+// Logs the requests lost at exit, with the time of reading and their position on the connection.
 void EdgeNode::LogUnanswered() {
   for (const OpenRequests::Handle& request : state_.open_requests.Entries()) {
-    spdlog::warn("unanswered at exit {}", LogFields(*request, steady_clock::now(), state_.drain.began()));
-    const bool may_outlast =
-        request->stage == RequestStage::kAnswerBegun && state_.drain.ServesOn(request->read_at);
-    if (!may_outlast) {
+    spdlog::warn("unanswered at exit {}",
+                 LogFields(*request, steady_clock::now(), state_.drain.sigterm_at()));
+    const bool excused =
+        request->stage == RequestStage::kResponseBegun && state_.drain.AcceptsConnections(request->read_at);
+    if (!excused) {
       state_.violations.Report(Invariant::kAnsweredBeforeExit,
                                "request_id=" + request->id + " stage=" + Name(request->stage));
     }
--- a/src/data_plane/edge_node.h
+++ b/src/data_plane/edge_node.h
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A process of the data plane: takes clients' connections, follows the control plane, says whether it is
-// ready.
+// The data plane process: accepts client connections, follows the control plane, and reports its readiness.
 #ifndef KESTRELLINE_DATA_PLANE_EDGE_NODE_H_
 #define KESTRELLINE_DATA_PLANE_EDGE_NODE_H_
 
@@ -28,14 +27,16 @@
 
 class EdgeNode {
  public:
-  // Shared with the connections, which may outlive the node when the process ends.
+  // Shared with the connection coroutines, which may outlive the node at process exit.
   using Clients = std::shared_ptr<std::set<ClientConnection*>>;
-  static constexpr std::size_t kFilesKeptBack = 256;  // of the descriptors, for all but clients and backends
+  // File descriptors reserved for everything but clients and backends.
+  static constexpr std::size_t kReservedDescriptors = 256;
 
   EdgeNode(http::asio::io_context& io, const node::Settings& settings, std::uint64_t seed);
 
   std::error_code Start();
-  // Not ready from now on; `done` is called once all that was read is answered, or the time for it is over.
+  // Starts to drain: not ready from now on. Calls `done` when all requests read are answered or the grace
+  // period is over.
   void Drain(std::function<void()> done);
 
  private:
@@ -47,16 +48,16 @@
   void ReportLoads();
   void TickDrain();
   void AcceptQueued();
-  void ConcludeOpenRequests();
+  void FinalizeOpenRequests();
   void LogUnanswered();
-  // `composed_after`: a time after which the sender composed it, by the own clock; nothing if that is
-  // unknown.
-  void Take(const wire::Publication& publication, std::optional<steady_clock::time_point> composed_after);
-  void TakeConfiguration(const wire::Publication& publication);
-  void OnChild(mesh::Connection& connection, wire::Message message);
+  // `composed_after` is a local time after which the sender composed the publication; empty if unknown.
+  void HandlePublication(const wire::Publication& publication,
+                         std::optional<steady_clock::time_point> composed_after);
+  void ApplyConfiguration(const wire::Publication& publication);
+  void OnChildMessage(mesh::Connection& connection, wire::Message message);
   distribution::Published CurrentlyPublished();
-  void PassOn();
-  Awaitable<void> ReadListIfForgotten();
+  void RelayPublication();
+  Awaitable<void> ReadListDirectly();
   bool Ready() const;
 
   http::asio::io_context& io_;
@@ -65,29 +66,29 @@
   const std::shared_ptr<mesh::Traffic> traffic_ = std::make_shared<mesh::Traffic>();
   Subscriber subscriber_;
   mesh::Mesh mesh_;
-  distribution::Publisher publisher_;  // to proxies that found no room at a member
+  distribution::Publisher publisher_;  // to proxies that were referred here by members at capacity
   distribution::LoadBoard children_;
   http::ApiServer ready_server_;
   http::Tcp::acceptor acceptor_;
   discovery::ListReader reader_;
   http::asio::steady_timer tick_;
   const Clients clients_ = std::make_shared<std::set<ClientConnection*>>();
-  std::size_t most_clients_ = 0;
+  std::size_t max_clients_ = 0;
 
   steady_clock::time_point started_;
   steady_clock::time_point last_tick_ = steady_clock::now();
   steady_clock::time_point tick_before_last_ = last_tick_;
   ConfigurationFollower configuration_;
-  wire::Publication told_;                              // the latest, without its contents
-  std::optional<steady_clock::time_point> told_after_;  // when it can have been composed at the earliest
+  wire::Publication last_publication_;                           // without its contents
+  std::optional<steady_clock::time_point> last_composed_after_;  // earliest time at which it was composed
   ListSource list_;
-  steady_clock::time_point next_own_reading_{};
+  steady_clock::time_point next_direct_read_at_{};
   std::vector<wire::BackendLoad> reported_loads_;
-  steady_clock::time_point next_load_report_{};  // though nothing changed
-  steady_clock::time_point may_report_loads_{};
-  distribution::LoadMirror told_loads_;
-  bool reading_ = false;
-  bool know_backends_ = false;
+  steady_clock::time_point load_report_due_at_{};  // due even if nothing changed
+  steady_clock::time_point load_report_allowed_at_{};
+  distribution::LoadMirror load_mirror_;
+  bool reading_list_ = false;
+  bool backends_known_ = false;
 
   std::function<void()> drained_;
 };
--- a/src/data_plane/edge_state.h
+++ b/src/data_plane/edge_state.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What all requests of a proxy share. One thread.
+// State shared by all requests of a proxy. Used by a single thread.
 #ifndef KESTRELLINE_DATA_PLANE_EDGE_STATE_H_
 #define KESTRELLINE_DATA_PLANE_EDGE_STATE_H_
 
@@ -19,14 +19,14 @@
 
 namespace kestrelline::data_plane {
 
-// Counted since the start; logged from time to time.
+// Totals since the start of the process; logged at the end of the drain.
 struct Counters {
   std::uint64_t requests = 0;
   std::uint64_t answered = 0;
   std::uint64_t refused = 0;
   std::uint64_t failed = 0;
-  std::uint64_t cut = 0;  // answers broken off
-  std::uint64_t client_gone = 0;
+  std::uint64_t truncated = 0;  // truncated responses
+  std::uint64_t client_disconnects = 0;
   std::uint64_t retries = 0;
   std::uint64_t ejections = 0;
 };
@@ -45,7 +45,7 @@
 
   http::asio::io_context& io;
   const node::Settings& settings;
-  configuration::RouteTablePtr routes;  // swapped whole; null before the first configuration
+  configuration::RouteTablePtr routes;  // replaced as a whole; null before the first configuration
   ConnectionPool pool;
   BackendTable backends;
   Placement placement;
@@ -58,7 +58,7 @@
   invariants::Violations violations;
 };
 
-// The present, as the decisions count it.
+// Converts the steady clock to the time type of the decision code.
 inline TimePoint DecisionTime(steady_clock::time_point now = steady_clock::now()) {
   return TimePoint(std::chrono::duration_cast<Duration>(now.time_since_epoch()));
 }
--- a/src/data_plane/engine_estimate.h
+++ b/src/data_plane/engine_estimate.h
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How fast the engines of a service read prompts, learned from this proxy's own answers. No I/O, no clock.
+// Estimates how fast the engines of a service process prompts (prefill), from response times seen by this
+// proxy. No I/O, no clock.
 //
-// The time of a reading is taken for
+// The model of the prefill time is
 //   fixed_ms + ms_per_token * tokens + ms_per_million_pairs * pairs
-// with the tokens that were not cached, and the pairs of tokens that attend to one another. The figures
-// follow from recursive least squares. Two things disturb an observation, and both are known only in part:
-// other work at the backend makes it longer, and cached parts make it shorter. So what is longer than
-// expected counts less than what is shorter, and of the numbers of leading parts that may have been cached
-// the one that fits best is assumed.
+// with the tokens that were not cached, and the pairs of tokens that attend to each other. The coefficients
+// are fitted by recursive least squares. Two partly unknown effects disturb each observation: other work at
+// the backend makes it longer, and cached prefixes make it shorter. So observations above the expectation get
+// a lower weight than those below it, and the number of cached leading blocks is assumed to be the one that
+// fits best.
 #ifndef KESTRELLINE_DATA_PLANE_ENGINE_ESTIMATE_H_
 #define KESTRELLINE_DATA_PLANE_ENGINE_ESTIMATE_H_
 
@@ -20,37 +21,38 @@
 
 namespace kestrelline::data_plane {
 
-struct ReadingFigures {
-  double fixed_ms = 20;            // whatever the prompt's length
-  double ms_per_token = 1.0 / 64;  // of the tokens that are read
+struct PrefillCost {
+  double fixed_ms = 20;            // independent of the prompt length
+  double ms_per_token = 1.0 / 64;  // per token that is not cached
   double ms_per_million_pairs = 0.5;
 
-  // Of the reading itself, without `fixed_ms`: it is what occupies the engine.
+  // The prefill computation itself, without `fixed_ms`: the time for which it occupies the engine.
   double WorkMs(double tokens, double cached) const;
 };
 
-// The first `cached` tokens of `tokens` are not read; the others attend to all before them.
+// Attention pairs in millions. The first `cached` of `tokens` tokens are not processed; each of the others
+// attends to all tokens before it.
 double MillionPairs(double tokens, double cached);
 
 class EngineEstimate {
  public:
-  explicit EngineEstimate(ReadingFigures first = {});
+  explicit EngineEstimate(PrefillCost initial = {});
 
-  const ReadingFigures& figures() const { return figures_; }
-  // A prompt was read in `elapsed_ms`, of which `wait_ms` were expected to pass before it began.
+  const PrefillCost& cost() const { return cost_; }
+  // Records a prefill that took `elapsed_ms`, of which `wait_ms` was the expected queueing time.
   void Observe(const Prompt& prompt, double wait_ms, double elapsed_ms);
 
  private:
-  static constexpr std::size_t kFigures = 3;
-  using Vector = std::array<double, kFigures>;
+  static constexpr std::size_t kCoefficients = 3;
+  using Vector = std::array<double, kCoefficients>;
 
-  // How many leading tokens were cached, by the number of parts that explains the time best.
-  double LikelyCached(const Prompt& prompt, double reading_ms) const;
-  void Update(const Vector& inputs, double reading_ms, double noise_ms);
+  // The number of cached leading tokens that explains the time best, over all numbers of leading blocks.
+  double LikelyCached(const Prompt& prompt, double prefill_ms) const;
+  void Update(const Vector& inputs, double prefill_ms, double noise_ms);
 
-  ReadingFigures figures_;
-  Vector weights_;                           // the figures, in units in which they are about 1
-  std::array<Vector, kFigures> covariance_;  // of the weights, up to a factor
+  PrefillCost cost_;
+  Vector weights_;                                // coefficients, scaled to about 1
+  std::array<Vector, kCoefficients> covariance_;  // of the weights, up to a factor
 };
 
 }  // namespace kestrelline::data_plane
--- a/src/data_plane/generation_flow.cpp
+++ b/src/data_plane/generation_flow.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Requests to services with engines: who reads the prompt, who generates, what follows a stream that broke.
+// Requests to services with engines: selection of prefill and decode backends, KV cache hand-over, and
+// resumption of truncated streams.
 #include <utility>
 
 #include "data_plane/request_flow.h"
@@ -11,13 +12,14 @@
 
 using namespace http;
 
-constexpr std::size_t kLongestReceipt = 64 * 1024;
-// A prompt that is not read after this much more than it should take is read elsewhere.
-constexpr double kPrefillPatienceFactor = 3;
-constexpr double kPrefillPatienceMs = 1200;
-constexpr milliseconds kFreePatience{500};
+constexpr std::size_t kMaxPrefillResponse = 64 * 1024;
+// If a prefill takes longer than kPrefillTimeoutFactor times the estimate plus kPrefillTimeoutMarginMs,
+// another backend is tried.
+constexpr double kPrefillTimeoutFactor = 3;
+constexpr double kPrefillTimeoutMarginMs = 1200;
+constexpr milliseconds kReleaseTimeout{500};
 
-// The handle in what a prefill backend says once it has read a prompt; nothing if it says something else.
+// Parses the KV cache handle from the response of a prefill backend; empty if there is none.
 std::optional<std::string> ParseHandle(const std::string& body) {
   const json::Owned root = json::Load(body);
   const json_t* handle = root ? json_object_get(root.get(), "kv_handle") : nullptr;
@@ -25,19 +27,19 @@
   return json_string_value(handle);
 }
 
-steady_clock::time_point In(double ms) {
+steady_clock::time_point DeadlineIn(double ms) {
   return steady_clock::now() + std::chrono::duration_cast<steady_clock::duration>(Duration(ms));
 }
 
-Awaitable<void> Free(EdgeState& state, BackendPtr source, std::string handle) {
+Awaitable<void> SendRelease(EdgeState& state, BackendPtr source, std::string handle) {
   const std::string head = "DELETE /-/kv-handle/" + handle + " HTTP/1.1\r\nHost: " + source->info.address +
                            "\r\nExpect-Instance: " + source->info.id + "\r\nContent-Length: 0\r\n\r\n";
   Attempt attempt(state, source);
-  const auto until = steady_clock::now() + kFreePatience;
-  const AttemptEnd end = co_await attempt.Run(head, "", "", until);
-  if (end != AttemptEnd::kAnswered) co_return;
+  const auto deadline = steady_clock::now() + kReleaseTimeout;
+  const AttemptResult result = co_await attempt.Run(head, "", "", deadline);
+  if (result != AttemptResult::kResponded) co_return;
   std::string ignored;
-  co_await attempt.ReadBody(ignored, kLongestReceipt, until);
+  co_await attempt.ReadBody(ignored, kMaxPrefillResponse, deadline);
   attempt.Finish();
 }
 
@@ -48,128 +50,134 @@
   return "Priority: " + std::to_string(std::clamp(route_->priority, 0, kLeastUrgent)) + "\r\n";
 }
 
-void RequestFlow::FreeHandle(const ReadPrompt& prompt) {
-  asio::co_spawn(state_.io, Free(state_, prompt.source, prompt.handle), asio::detached);
+void RequestFlow::ReleaseHandle(const PrefilledPrompt& prompt) {
+  asio::co_spawn(state_.io, SendRelease(state_, prompt.source, prompt.handle), asio::detached);
 }
 
 Awaitable<void> RequestFlow::RunGeneration() {
-  for (int tries = 0; tries < kMostSends && !client_.gone() && !OutOfTime(); ++tries) {
+  for (int attempts = 0; attempts < kMaxAttempts && !client_.disconnected() && !OutOfTime(); ++attempts) {
     const auto target = co_await NextTarget();
-    if (client_.gone()) break;
+    if (client_.disconnected()) break;
     if (!target) continue;
-    if (!target->backend || !PayForArrival()) break;
-    std::optional<ReadingUnderWay> reading;
-    if (target->reading_ms > 0) reading.emplace(target->backend, prompt_, target->reading_ms, DecisionTime());
+    if (!target->backend || !AcquireRetryBudget()) break;
+    std::optional<PendingPrefill> pending;
+    if (target->prefill_ms > 0) pending.emplace(target->backend, prompt_, target->prefill_ms, DecisionTime());
     Attempt attempt(state_, target->backend);
     const TimePoint sent_at = DecisionTime();
-    const AttemptEnd end = co_await SendToRun(attempt, target->fields);
-    reading.reset();
-    if (end == AttemptEnd::kAnswered) {
-      const bool handed_over = read_.has_value();
-      read_.reset();  // taken
-      ++may_have_run_;
-      co_await PassOn(attempt);
+    const AttemptResult result = co_await SendToExecute(attempt, target->fields);
+    pending.reset();
+    if (result == AttemptResult::kResponded) {
+      const bool handed_over = prefilled_.has_value();
+      prefilled_.reset();  // the decode backend has taken the KV cache
+      ++possible_executions_;
+      co_await ForwardResponse(attempt);
       if (handed_over) {
-        state_.demand.NoteGeneration(service_, static_cast<double>(prompt_.output_tokens),
-                                     (DecisionTime() - sent_at).count());
+        state_.demand.RecordGeneration(service_, static_cast<double>(prompt_.output_tokens),
+                                       (DecisionTime() - sent_at).count());
       }
       co_return;
     }
-    if (read_) AfterHandOver(end, attempt);
-    if (!MayRetry(end, *target->backend)) break;
+    if (prefilled_) HandleFailedHandOver(result, attempt);
+    if (!MayRetry(result, *target->backend)) break;
   }
-  if (read_) FreeHandle(*read_);
+  if (prefilled_) ReleaseHandle(*prefilled_);
   co_await GiveUp();
 }
 
-// A prompt that was read goes on where it is cheapest; one that was not is read apart, or where it will be
-// generated.
+// Chooses the next backend. After a prefill, picks the cheapest decode backend. Otherwise compares a separate
+// prefill with prefill and decode on the same backend.
 Awaitable<std::optional<RequestFlow::Target>> RequestFlow::NextTarget() {
   const TimePoint now = DecisionTime();
-  if (!read_) {
-    const Pick whole = state_.placement.PickWhole(service_, prompt_, excluded_, now);
-    const Pick reader = state_.placement.PickPrefill(service_, prompt_, excluded_, now);
-    if (arrivals_.empty() && reader.backend) {
-      state_.demand.Count(service_, reader.work_ms, static_cast<double>(prompt_.output_tokens), now);
+  if (!prefilled_) {
+    const Pick combined = state_.placement.PickCombined(service_, prompt_, excluded_, now);
+    const Pick prefill = state_.placement.PickPrefill(service_, prompt_, excluded_, now);
+    if (retry_account_.empty() && prefill.backend) {
+      state_.demand.Count(service_, prefill.work_ms, static_cast<double>(prompt_.output_tokens), now);
     }
-    // A request that tells no prompt has nothing to be read apart: a prefill backend would run it.
-    const bool apart =
-        prompt_.tokens > 0 && reader.backend && whole.backend && reader.cost_ms < whole.cost_ms;
-    if (!apart || !PayForArrival()) co_return Target{whole.backend, whole.work_ms, PriorityField()};
-    read_ = co_await Prefill(reader);
-    if (!read_) {
-      excluded_.push_back(reader.backend.get());
-      if (may_have_run_ > 0 && !MayRunAgain()) co_return Target{};
+    // Without prompt information there is nothing to prefill separately: a prefill backend would execute the
+    // request.
+    const bool separate =
+        prompt_.tokens > 0 && prefill.backend && combined.backend && prefill.cost_ms < combined.cost_ms;
+    if (!separate || !AcquireRetryBudget())
+      co_return Target{combined.backend, combined.work_ms, PriorityField()};
+    prefilled_ = co_await Prefill(prefill);
+    if (!prefilled_) {
+      excluded_.push_back(prefill.backend.get());
+      if (possible_executions_ > 0 && !MayExecuteAgain()) co_return Target{};
       co_return std::nullopt;
     }
   }
-  const Pick decode = state_.placement.PickDecode(service_, *read_->source, excluded_, DecisionTime());
+  const Pick decode = state_.placement.PickDecode(service_, *prefilled_->source, excluded_, DecisionTime());
   co_return Target{
       decode.backend, 0,
-      PriorityField() + "Kv-From: " + read_->source->info.address + "/" + read_->handle + "\r\n"};
+      PriorityField() + "Kv-From: " + prefilled_->source->info.address + "/" + prefilled_->handle + "\r\n"};
 }
 
-// Whether the memory is still to be had, and whose fault it is if not.
-void RequestFlow::AfterHandOver(AttemptEnd end, const Attempt& attempt) {
-  if (end == AttemptEnd::kNotSent) return;
-  if (end != AttemptEnd::kNotExecuted) {
-    read_.reset();  // it may have been taken
+// After a failed hand-over: decides whether the KV cache is still available, and which backend caused the
+// failure.
+void RequestFlow::HandleFailedHandOver(AttemptResult result, const Attempt& attempt) {
+  if (result == AttemptResult::kNotSent) return;
+  if (result != AttemptResult::kNotExecuted) {
+    prefilled_.reset();  // the KV cache may already have been fetched
     return;
   }
-  const bool refused_for_load = attempt.Refused() != AttemptRefusal::kOther;
-  if (refused_for_load) return;
-  // There was room, so the memory could not be had: the source lost it, or its link is slow.
-  if (state_.backends.Record(*read_->source, false, DecisionTime())) ++state_.counters.ejections;
-  excluded_.push_back(read_->source.get());
-  read_.reset();
+  const bool rejected_for_load = attempt.rejection() != RejectionReason::kOther;
+  if (rejected_for_load) return;
+  // The decode backend had free slots, so it could not fetch the KV cache: the source lost it, or its link is
+  // slow.
+  if (state_.backends.Record(*prefilled_->source, false, DecisionTime())) ++state_.counters.ejections;
+  excluded_.push_back(prefilled_->source.get());
+  prefilled_.reset();
 }
 
-Awaitable<std::optional<RequestFlow::ReadPrompt>> RequestFlow::Prefill(Pick pick) {
-  const TimePoint began = DecisionTime();
-  const ReadingUnderWay reading(pick.backend, prompt_, pick.work_ms, began);
+Awaitable<std::optional<RequestFlow::PrefilledPrompt>> RequestFlow::Prefill(Pick pick) {
+  const TimePoint started_at = DecisionTime();
+  const PendingPrefill pending(pick.backend, prompt_, pick.work_ms, started_at);
   Attempt attempt(state_, pick.backend);
-  const auto until = std::min(give_up_at_, In(pick.ready_ms * kPrefillPatienceFactor + kPrefillPatienceMs));
+  const auto deadline =
+      std::min(give_up_at_, DeadlineIn(pick.ready_ms * kPrefillTimeoutFactor + kPrefillTimeoutMarginMs));
   const std::string fields = "Serving-Stage: prefill\r\n" + PriorityField();
-  const AttemptEnd end = co_await Send(attempt, fields, until);
-  if (end == AttemptEnd::kNotSent) co_return std::nullopt;
-  if (end != AttemptEnd::kAnswered) {
-    arrivals_.NoteReading(false);
+  const AttemptResult result = co_await Send(attempt, fields, deadline);
+  if (result == AttemptResult::kNotSent) co_return std::nullopt;
+  if (result != AttemptResult::kResponded) {
+    retry_account_.RecordPrefill(false);
     co_return std::nullopt;
   }
   std::string body;
   active_ = &attempt;
-  const error_code error = co_await attempt.ReadBody(body, kLongestReceipt, until);
+  const error_code error = co_await attempt.ReadBody(body, kMaxPrefillResponse, deadline);
   active_ = nullptr;
-  const bool read = !error && attempt.head().result() == bhttp::status::ok;
-  arrivals_.NoteReading(read);
+  const bool prefilled = !error && attempt.head().result() == bhttp::status::ok;
+  retry_account_.RecordPrefill(prefilled);
   if (!error) attempt.Finish();
-  if (!read) co_return std::nullopt;
+  if (!prefilled) co_return std::nullopt;
   auto handle = ParseHandle(body);
   if (!handle) {
-    ++may_have_run_;  // whatever this was, it was no reading
+    ++possible_executions_;  // the response is not that of a prefill, so the request may have run
     co_return std::nullopt;
   }
-  state_.placement.NoteReading(service_, prompt_, pick, (DecisionTime() - began).count());
-  co_return ReadPrompt{pick.backend, std::move(*handle)};
+  state_.placement.RecordPrefill(service_, prompt_, pick, (DecisionTime() - started_at).count());
+  co_return PrefilledPrompt{pick.backend, std::move(*handle)};
 }
 
-// A stream that may be resumed goes on at another backend, after its last whole event.
+// Continues a resumable stream at another backend, after the last complete event.
 Awaitable<void> RequestFlow::ResumeStream() {
-  while (!client_.gone() && route_->resumable && MayRunAgain() && !OutOfTime() && PayForArrival()) {
+  while (!client_.disconnected() && route_->resumable && MayExecuteAgain() && !OutOfTime() &&
+         AcquireRetryBudget()) {
     const TimePoint now = DecisionTime();
-    const Pick pick = state_.placement.PickWhole(service_, prompt_, excluded_, now);
+    const Pick pick = state_.placement.PickCombined(service_, prompt_, excluded_, now);
     if (!pick.backend) break;
-    ReadingUnderWay reading(pick.backend, prompt_, pick.work_ms, now);
+    PendingPrefill pending(pick.backend, prompt_, pick.work_ms, now);
     std::string fields = PriorityField();
     if (!events_.last_id().empty()) fields += "Last-Event-Id: " + events_.last_id() + "\r\n";
     Attempt attempt(state_, pick.backend);
-    const AttemptEnd end = co_await SendToRun(attempt, fields);
-    reading.End();
+    const AttemptResult result = co_await SendToExecute(attempt, fields);
+    pending.End();
     excluded_.push_back(pick.backend.get());
-    if (end == AttemptEnd::kNotSent || end == AttemptEnd::kNotExecuted) continue;
-    ++may_have_run_;
-    if (end != AttemptEnd::kAnswered || attempt.head().result() != bhttp::status::ok) continue;
-    if (co_await PassOnStream(attempt)) co_return;
+    if (result == AttemptResult::kNotSent || result == AttemptResult::kNotExecuted) continue;
+    ++possible_executions_;
+    if (result != AttemptResult::kResponded || attempt.head().result() != bhttp::status::ok) continue;
+    if (co_await ForwardStream(attempt)) co_return;
   }
   co_await GiveUp();
 }
--- a/src/data_plane/list_source.h
+++ b/src/data_plane/list_source.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which list of backends a proxy goes by: the control plane's, or one that it read from the platform itself
-// while nobody told it any. The control plane's newest list is kept meanwhile, as changes build on it, and
-// counts again once it is known to have been read later than the own one. No I/O, no clock.
+// Selects the backend list that a proxy uses: the newest from the control plane, or one read directly from
+// the platform while the control plane is silent. The newest control plane list is kept in that time as the
+// base for incremental changes. It is used again once it is known to have been read later than the direct
+// read. No I/O, no clock.
 #ifndef KESTRELLINE_DATA_PLANE_LIST_SOURCE_H_
 #define KESTRELLINE_DATA_PLANE_LIST_SOURCE_H_
 
@@ -20,28 +21,29 @@
  public:
   using Time = std::chrono::steady_clock::time_point;
 
-  // Takes what a publication tells of the list; it was composed after that time, by the own clock. Returns
-  // the list to go by from now on, or null where that stays as it is.
-  wire::InstanceListPtr Take(const wire::Publication& publication, std::optional<Time> composed_after);
-  // The proxy goes by a list that it has read at that time.
-  void TakeOwnReading(Time at);
+  // Processes the list in a publication that was composed after `composed_after` (local clock). Returns the
+  // list to use from now on, or null if the current one stays.
+  wire::InstanceListPtr Apply(const wire::Publication& publication, std::optional<Time> composed_after);
+  // The proxy uses a list that it read directly at `at`.
+  void UseDirectRead(Time at);
 
-  // The control plane's newest; null before the first.
-  wire::InstanceListPtr told() const { return history_.newest(); }
-  std::uint64_t told_revision() const { return told() ? told()->revision : 0; }
+  // The newest list from the control plane; null before the first.
+  wire::InstanceListPtr newest_list() const { return history_.newest(); }
+  std::uint64_t newest_revision() const { return newest_list() ? newest_list()->revision : 0; }
   const distribution::ListHistory& history() const { return history_; }
-  // When the list that the proxy goes by was read at the earliest.
+  // Earliest time at which the list in use was read.
   Time read_at() const { return read_at_; }
-  // Changes came of a list that is not here: the subscription must begin anew. Told once.
-  bool TakeLacksBase() { return std::exchange(lacks_base_, false); }
+  // True once after changes arrived whose base list is not here: the proxy must subscribe again to get the
+  // whole list.
+  bool ConsumeMissingBase() { return std::exchange(missing_base_, false); }
 
  private:
-  wire::InstanceListPtr Whole(const wire::Publication& publication);
+  wire::InstanceListPtr ResolveList(const wire::Publication& publication);
 
-  distribution::ListHistory history_;  // of the control plane's lists
-  std::uint64_t in_use_ = 0;           // its revision; 0: none, or an own reading
+  distribution::ListHistory history_;  // of control plane lists
+  std::uint64_t in_use_ = 0;           // revision of the list in use; 0: none, or a direct read
   Time read_at_{};
-  bool lacks_base_ = false;
+  bool missing_base_ = false;
 };
 
 }  // namespace kestrelline::data_plane
--- a/src/data_plane/open_requests.h
+++ b/src/data_plane/open_requests.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The requests that this proxy has read and not answered in full yet. What is left of them when the process
-// ends is what its clients lose.
+// Registry of requests that this proxy has read and not answered completely. Those left at process exit are
+// lost to their clients.
 #ifndef KESTRELLINE_DATA_PLANE_OPEN_REQUESTS_H_
 #define KESTRELLINE_DATA_PLANE_OPEN_REQUESTS_H_
 
@@ -17,36 +17,36 @@
 
 namespace kestrelline::data_plane {
 
-// How far a request has come.
+// Progress of a request.
 enum class RequestStage {
-  kRead,         // whole, and sent to no backend
-  kPassedOn,     // a backend has it, or may have it
-  kAnswerBegun,  // the client has got a part of its answer
+  kRead,           // read completely, not sent to any backend
+  kForwarded,      // sent, or possibly sent, to a backend
+  kResponseBegun,  // the client has received part of the response
 };
 const char* Name(RequestStage stage);
 
 struct OpenRequest {
-  std::string id;  // Request-Id, as the client sent it
+  std::string id;  // Request-Id from the client
   std::chrono::steady_clock::time_point read_at;
-  std::size_t earlier_on_connection = 0;  // requests that were read on the same connection before
+  std::size_t earlier_on_connection = 0;  // number of requests read before on the same connection
   RequestStage stage = RequestStage::kRead;
-  std::int64_t output_tokens = 0;  // that its `Token-Count` announces
-  // Events of its answer, as they went on to the client.
+  std::int64_t output_tokens = 0;  // from the `Token-Count` header
+  // Events forwarded to the client.
   std::optional<std::chrono::steady_clock::time_point> first_event_at = std::nullopt;
   std::optional<std::chrono::steady_clock::time_point> last_event_at = std::nullopt;
-  int events = 0;  // those that came together count as one
-  // Answers it now, with an error if there is nothing else; an answer that has begun goes on.
-  std::function<void()> conclude;
+  int events = 0;  // events forwarded together count as one
+  // Answers the request now, with an error if there is no response. A started response continues.
+  std::function<void()> finalize;
 };
 
-// Log fields of a request that is not answered in full, such as `request_id=r1 stage=read
-// read_after_term_ms=12 ...`; times in ms, -1 for what did not happen.
+// Log fields of a request that is not answered completely, such as `request_id=r1 stage=read
+// read_after_term_ms=12 ...`. Times are in ms; -1 if the event did not happen.
 std::string LogFields(const OpenRequest& request, std::chrono::steady_clock::time_point now,
                       std::chrono::steady_clock::time_point term_at);
 
 class OpenRequests {
  public:
-  // Owned by the request's flow: a flow may outlive this registry, when the process ends.
+  // Owned by the request's RequestFlow, which may outlive this registry at process exit.
   using Handle = std::shared_ptr<OpenRequest>;
 
   Handle Add(OpenRequest request) {
@@ -54,7 +54,7 @@
     entries_.push_back(handle);
     return handle;
   }
-  // The earliest first.
+  // Oldest first.
   std::vector<Handle> Entries() {
     std::vector<Handle> open;
     for (const std::weak_ptr<OpenRequest>& entry : entries_) {
@@ -62,7 +62,7 @@
     }
     return open;
   }
-  // Forgets those that have ended.
+  // Removes finished requests.
   void Tick() {
     std::erase_if(entries_, [](const std::weak_ptr<OpenRequest>& entry) { return entry.expired(); });
   }
--- a/src/data_plane/placement.h
+++ b/src/data_plane/placement.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Picks backends: the least cost among those in service, ties at random. Costs are times in milliseconds. No
-// I/O, no clock.
+// Backend selection: the cheapest backend in service, with random tie-breaking. Costs are in milliseconds,
+// except in PickPlain(). No I/O, no clock.
 #ifndef KESTRELLINE_DATA_PLANE_PLACEMENT_H_
 #define KESTRELLINE_DATA_PLANE_PLACEMENT_H_
 
@@ -15,29 +15,29 @@
 
 namespace kestrelline::data_plane {
 
-// Backends that this try does without.
+// Backends that the current attempt must not use.
 using Excluded = std::vector<const Backend*>;
 
 struct Pick {
   BackendPtr backend;   // null: none is in service
-  double cost_ms = 0;   // as it compares
-  double work_ms = 0;   // the reading itself
-  double wait_ms = 0;   // until it should begin
-  double ready_ms = 0;  // until the prompt should have been read
+  double cost_ms = 0;   // for comparison
+  double work_ms = 0;   // estimated prefill time
+  double wait_ms = 0;   // estimated time until the prefill starts
+  double ready_ms = 0;  // estimated time until the prefill is finished
 };
 
-// What is worth how much, in milliseconds. docs/design/placement.md has the reasons for the figures. How fast
-// engines read is learned (EngineEstimate).
+// Cost model in milliseconds. docs/design/placement.md explains the values. The prefill speed of engines is
+// learned (EngineEstimate).
 struct PlacementCosts {
-  double decode_share = 0.5;        // a decode backend reads prompts at this part of the pace
-  double running_ms = 0.6;          // what one more running request is worth
-  double other_zone_ms = 4;         // request and answer cross between zones
-  double move_other_zone_ms = 14;   // the KV cache crosses between zones
-  double hand_over_ms = 30;         // reading at one backend and generating at another, against one for both
-  double full_ms = 250;             // all slots are taken
-  double again_ms_per_token = 0.2;  // shared parts that another backend has are read once more
-  double stream_share = 0.3;        // what a delay of each running stream of a backend is worth
-  double parts_kept_ms = 20000;     // a part that was used this recently is taken to be cached
+  double decode_prefill_speed = 0.5;      // prefill speed of a decode backend, relative to a prefill backend
+  double per_running_ms = 0.6;            // per running request
+  double other_zone_ms = 4;               // request and response cross between zones
+  double kv_transfer_other_zone_ms = 14;  // the KV cache crosses between zones
+  double hand_over_ms = 30;               // extra cost of prefill and decode on different backends
+  double no_free_slot_ms = 250;           // all slots are taken
+  double recompute_ms_per_token = 0.2;    // shared blocks cached elsewhere that are processed again
+  double stream_delay_weight = 0.3;       // weight of the delay of each running stream
+  double cache_ttl_ms = 20000;            // a block used within this time is assumed to be cached
 };
 
 class Placement {
@@ -45,47 +45,48 @@
   Placement(const BackendTable& table, std::string zone, PlacementCosts costs, std::uint64_t seed)
       : table_(table), zone_(std::move(zone)), costs_(costs), random_(seed) {}
 
-  // For services without engine stages.
+  // For services without engine stages. The cost is in slots: load per slot, plus a quarter for another zone.
   Pick PickPlain(const std::string& service, const Excluded& excluded, TimePoint now);
-  // Who reads the prompt.
+  // Backend for a separate prefill.
   Pick PickPrefill(const std::string& service, const Prompt& prompt, const Excluded& excluded, TimePoint now);
-  // Who goes on from what `source` has read.
+  // Backend that generates from the KV cache of `source`.
   Pick PickDecode(const std::string& service, const Backend& source, const Excluded& excluded, TimePoint now);
-  // Who reads and generates by itself.
-  Pick PickWhole(const std::string& service, const Prompt& prompt, const Excluded& excluded, TimePoint now);
-  // The prompt of that pick was read apart in this time.
-  void NoteReading(const std::string& service, const Prompt& prompt, const Pick& pick, double elapsed_ms);
-  // How fast the service's engines read.
-  const ReadingFigures& FiguresOf(const std::string& service) { return estimates_[service].figures(); }
+  // Backend that does both prefill and decode.
+  Pick PickCombined(const std::string& service, const Prompt& prompt, const Excluded& excluded,
+                    TimePoint now);
+  // Records that the separate prefill of `pick` took `elapsed_ms`.
+  void RecordPrefill(const std::string& service, const Prompt& prompt, const Pick& pick, double elapsed_ms);
+  // Learned prefill speed of the service's engines.
+  const PrefillCost& PrefillCostOf(const std::string& service) { return estimates_[service].cost(); }
 
  private:
   double WaitMs(const Backend& backend, TimePoint now) const;
-  double Running(const Backend& backend, TimePoint now) const;
-  // The cost of reading the prompt there.
-  struct Reading {
+  double RunningRequests(const Backend& backend, TimePoint now) const;
+  // Estimated prefill of a prompt at one backend.
+  struct PrefillEstimate {
     double work_ms = 0;
-    double again_ms = 0;  // the price of shared parts that are cached elsewhere
+    double recompute_ms = 0;  // penalty for shared blocks that are cached elsewhere
   };
-  Reading ReadingAt(const Backend& backend, const Prompt& prompt, bool preferred,
-                    const ReadingFigures& figures, TimePoint now) const;
+  PrefillEstimate EstimatePrefill(const Backend& backend, const Prompt& prompt, bool preferred,
+                                  const PrefillCost& prefill_cost, TimePoint now) const;
   const Backend* Preferred(const Group& group, const Prompt& prompt) const;
   template <typename Cost>
-  Pick Least(const Group* group, const Excluded& excluded, TimePoint now, Cost cost);
+  Pick PickCheapest(const Group* group, const Excluded& excluded, TimePoint now, Cost cost);
 
   const BackendTable& table_;
   std::string zone_;
   PlacementCosts costs_;
-  std::map<std::string, EngineEstimate> estimates_;  // by service; a few
+  std::map<std::string, EngineEstimate> estimates_;  // by service; only a few
   brackenspoke::Random random_;
 };
 
-// A prompt that is being read somewhere: counts as the backend's work until it ends.
-class ReadingUnderWay {
+// Counts a running prefill as pending work of its backend until End() or destruction.
+class PendingPrefill {
  public:
-  ReadingUnderWay(BackendPtr backend, const Prompt& prompt, double work_ms, TimePoint now);
-  ~ReadingUnderWay() { End(); }
-  ReadingUnderWay(const ReadingUnderWay&) = delete;
-  ReadingUnderWay& operator=(const ReadingUnderWay&) = delete;
+  PendingPrefill(BackendPtr backend, const Prompt& prompt, double work_ms, TimePoint now);
+  ~PendingPrefill() { End(); }
+  PendingPrefill(const PendingPrefill&) = delete;
+  PendingPrefill& operator=(const PendingPrefill&) = delete;
   void End();
 
  private:
--- a/src/data_plane/prompt.cpp
+++ b/src/data_plane/prompt.cpp
@@ -9,11 +9,11 @@
 namespace kestrelline::data_plane {
 namespace {
 
-// No id holds this byte: ids that join to the same text differ.
-constexpr std::string_view kEndOfId = "\xff";
+// A byte that no id contains; separates ids, so that "ab","c" and "a","bc" have different hashes.
+constexpr std::string_view kIdSeparator = "\xff";
 
-std::uint64_t Extend(std::uint64_t chain, std::string_view id) {
-  return hashing::Fnv1a(kEndOfId, hashing::Fnv1a(id, chain));
+std::uint64_t Extend(std::uint64_t prefix_hash, std::string_view id) {
+  return hashing::Fnv1a(kIdSeparator, hashing::Fnv1a(id, prefix_hash));
 }
 
 std::int64_t ToNumber(std::string_view text) {
@@ -34,7 +34,7 @@
 
 std::int64_t Prompt::SharedTokens() const {
   std::int64_t sum = 0;
-  for (std::size_t i = 0; i < SharedParts(); ++i) sum += parts[i].tokens;
+  for (std::size_t i = 0; i < SharedBlocks(); ++i) sum += blocks[i].tokens;
   return sum;
 }
 
@@ -42,15 +42,15 @@
   Prompt prompt;
   prompt.tokens = ToNumber(TakeField(token_count));
   prompt.output_tokens = ToNumber(TakeField(token_count));
-  std::uint64_t chain = hashing::kFnvStart;
+  std::uint64_t prefix_hash = hashing::kFnvStart;
   std::int64_t sum = 0;
-  while (!prompt_prefix.empty() && prompt.parts.size() < kMostParts) {
+  while (!prompt_prefix.empty() && prompt.blocks.size() < kMaxBlocks) {
     const std::string_view field = TakeField(prompt_prefix);
     const std::size_t colon = field.find(':');
     if (colon == std::string_view::npos) continue;
-    chain = Extend(chain, field.substr(0, colon));
-    prompt.parts.push_back({chain, ToNumber(field.substr(colon + 1))});
-    sum += prompt.parts.back().tokens;
+    prefix_hash = Extend(prefix_hash, field.substr(0, colon));
+    prompt.blocks.push_back({prefix_hash, ToNumber(field.substr(colon + 1))});
+    sum += prompt.blocks.back().tokens;
   }
   prompt.tokens = std::max(prompt.tokens, sum);
   return prompt;
--- a/src/data_plane/prompt.h
+++ b/src/data_plane/prompt.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a request's headers tell of its prompt. No I/O.
+// Prompt description parsed from request headers. No I/O.
 #ifndef KESTRELLINE_DATA_PLANE_PROMPT_H_
 #define KESTRELLINE_DATA_PLANE_PROMPT_H_
 
@@ -10,25 +10,26 @@
 
 namespace kestrelline::data_plane {
 
-// A part of the prompt, named by the chain of parts up to it: a cached part serves only after all before it.
-struct PromptPart {
-  std::uint64_t chain = 0;  // hash of the ids of this part and all before it
+// A block of the prompt, identified by the hash of the prefix that ends with it: a cached block is usable
+// only after all blocks before it.
+struct PromptBlock {
+  std::uint64_t prefix_hash = 0;  // hash of the ids of this block and all before it
   std::int64_t tokens = 0;
 };
 
 struct Prompt {
-  std::int64_t tokens = 0;         // of the prompt
-  std::int64_t output_tokens = 0;  // the most that it may generate
-  std::vector<PromptPart> parts;
+  std::int64_t tokens = 0;         // in the prompt
+  std::int64_t output_tokens = 0;  // maximum number to generate
+  std::vector<PromptBlock> blocks;
 
-  // The parts that other requests may share: all but the last.
-  std::size_t SharedParts() const { return parts.empty() ? 0 : parts.size() - 1; }
+  // Number of blocks that other requests may share: all but the last.
+  std::size_t SharedBlocks() const { return blocks.empty() ? 0 : blocks.size() - 1; }
   std::int64_t SharedTokens() const;
 };
 
-inline constexpr std::size_t kMostParts = 64;  // parts beyond these count as the request's own
+inline constexpr std::size_t kMaxBlocks = 64;  // further blocks count as unshared
 
-// From `Token-Count` (IN,OUT) and `Prompt-Prefix` (ID:TOKENS,...); what can't be read counts as absent.
+// Parses `Token-Count` (IN,OUT) and `Prompt-Prefix` (ID:TOKENS,...). Malformed values count as absent.
 Prompt ParsePrompt(std::string_view token_count, std::string_view prompt_prefix);
 
 }  // namespace kestrelline::data_plane
--- a/src/data_plane/request_flow.h
+++ b/src/data_plane/request_flow.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One request of a client, from its route to its last byte: which backends it is sent to, what is tried
-// again, and how it is answered.
+// Handles one client request from routing to the last byte of the response: selects backends, retries, and
+// forwards the response.
 //
-// What keeps the rules: a request that is not idempotent is sent again only where no backend can have run it;
-// 503 is answered only then too; an answer is passed on only from its backend, and ends well only if it is
-// whole.
+// Rules: a request that is not idempotent is sent again only if no backend can have executed it, and 503 is
+// sent only in that case too; a response is forwarded only from the backend that produced it, and ends
+// normally only if it is complete.
 #ifndef KESTRELLINE_DATA_PLANE_REQUEST_FLOW_H_
 #define KESTRELLINE_DATA_PLANE_REQUEST_FLOW_H_
 
@@ -20,72 +20,76 @@
 
 class RequestFlow {
  public:
-  static constexpr std::size_t kLongestAnswer =
-      8 * 1024 * 1024;                  // of those that are read whole before they go on
-  static constexpr int kMostSends = 6;  // attempts of any kind
+  // Size limit of responses that are buffered before they are forwarded.
+  static constexpr std::size_t kMaxBufferedResponse = 8 * 1024 * 1024;
+  // Attempts of any kind, except those that resume a stream. A separate prefill and the decode after it count
+  // as one.
+  static constexpr int kMaxAttempts = 6;
 
   RequestFlow(EdgeState& state, ClientConnection& client);
   RequestFlow(const RequestFlow&) = delete;
   RequestFlow& operator=(const RequestFlow&) = delete;
 
   Awaitable<void> Run();
-  // After Run: the request ended as it may (invariant kEveryRequestEnds).
+  // After Run(): whether the request ended in an allowed way (invariant kEveryRequestEnds).
   bool ended() const;
-  // The process ends: gives up what has no answer yet, which is then answered.
-  void Conclude();
+  // The process is about to exit: aborts the attempt if the response has not started, so that an error is
+  // sent.
+  void Finalize();
 
  private:
-  struct ReadPrompt {
+  struct PrefilledPrompt {
     BackendPtr source;
     std::string handle;
   };
 
-  // The times within which it is to be answered; false if this proxy is stopping and can't keep them.
+  // Sets the deadline of the request. Returns false if this proxy is draining and cannot meet it.
   bool Admit();
   void AnnounceCloseIfStopping();
   Awaitable<void> RunPlain();
   Awaitable<void> RunGeneration();
-  // Lets a prefill backend read the prompt; nothing if none did.
-  Awaitable<std::optional<ReadPrompt>> Prefill(Pick pick);
-  Awaitable<void> PassOn(Attempt& attempt);
-  Awaitable<void> PassOnWhole(Attempt& attempt);
-  Awaitable<bool> PassOnStream(Attempt& attempt);
+  // Runs a separate prefill; empty if it failed.
+  Awaitable<std::optional<PrefilledPrompt>> Prefill(Pick pick);
+  Awaitable<void> ForwardResponse(Attempt& attempt);
+  Awaitable<void> ForwardBuffered(Attempt& attempt);
+  Awaitable<bool> ForwardStream(Attempt& attempt);
   Awaitable<void> ResumeStream();
-  // Events of its answer go on to the client.
-  void NoteEvents();
-  // Whether it may be sent again after an attempt without an answer; that backend is done without.
-  bool MayRetry(AttemptEnd end, const Backend& backend);
-  bool MayRunAgain() const;
-  // Before an arrival: whether the budget bears it.
-  bool PayForArrival();
-  void FreeHandle(const ReadPrompt& prompt);
-  // Who runs the request next, and the fields that go with it; nothing if it can't be sent now.
+  // Records that events were forwarded to the client.
+  void RecordEvents();
+  // After an attempt without a response: excludes the backend and returns whether another attempt is allowed.
+  bool MayRetry(AttemptResult result, const Backend& backend);
+  // Whether the route allows another execution, as far as earlier attempts may have executed the request.
+  bool MayExecuteAgain() const;
+  // Call before an attempt. Returns false if the retry budget is exhausted.
+  bool AcquireRetryBudget();
+  void ReleaseHandle(const PrefilledPrompt& prompt);
+  // The next backend and the header fields to send to it; empty if there is none to send to yet.
   struct Target {
     BackendPtr backend;
-    double reading_ms = 0;  // of the prompt, at the target itself
+    double prefill_ms = 0;  // prefill time, if the target runs the prefill
     std::string fields;
   };
   Awaitable<std::optional<Target>> NextTarget();
-  void AfterHandOver(AttemptEnd end, const Attempt& attempt);
+  void HandleFailedHandOver(AttemptResult result, const Attempt& attempt);
 
-  // A refusal is read to its end.
-  Awaitable<AttemptEnd> Send(Attempt& attempt, const std::string& extra_fields,
-                             steady_clock::time_point until);
-  // The same of an arrival that is to run, which is counted.
-  Awaitable<AttemptEnd> SendToRun(Attempt& attempt, const std::string& extra_fields);
+  // Runs an attempt. Reads the body of a rejection.
+  Awaitable<AttemptResult> Send(Attempt& attempt, const std::string& extra_fields,
+                                steady_clock::time_point deadline);
+  // Runs an attempt that executes the request and counts it for the retry budget.
+  Awaitable<AttemptResult> SendToExecute(Attempt& attempt, const std::string& extra_fields);
   std::string BackendHead(const Backend& backend, const std::string& extra_fields) const;
   std::string PriorityField() const;
 
-  Awaitable<void> Refuse(milliseconds retry_after);
+  Awaitable<void> SendUnavailable(milliseconds retry_after);
   Awaitable<void> GiveUp();
-  Awaitable<void> AnswerError(http::bhttp::status status, const std::string& fields);
+  Awaitable<void> SendError(http::bhttp::status status, const std::string& fields);
 
   bool OutOfTime() const { return steady_clock::now() >= give_up_at_; }
   ClientRequest& request() { return client_.request(); }
 
   EdgeState& state_;
   ClientConnection& client_;
-  const steady_clock::time_point arrived_;
+  const steady_clock::time_point read_at_;
   const OpenRequests::Handle open_;
   configuration::RouteTablePtr routes_;
   const configuration::Route* route_ = nullptr;
@@ -98,10 +102,10 @@
 
   Attempt* active_ = nullptr;
   Excluded excluded_;
-  ArrivalAccount arrivals_;
-  int may_have_run_ = 0;
-  bool cut_ = false;                // an answer that had begun was broken off, by its backend or its time
-  std::optional<ReadPrompt> read_;  // a prompt that was read and not taken yet
+  RetryAccount retry_account_;
+  int possible_executions_ = 0;
+  bool truncated_ = false;  // a started response was truncated by its backend or by the deadline
+  std::optional<PrefilledPrompt> prefilled_;  // a finished prefill whose KV cache was not handed over yet
   EventSplitter events_;
 };
 
--- a/src/data_plane/retry_budget.h
+++ b/src/data_plane/retry_budget.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// This proxy's share of the retry budget that all proxies draw on, by service. No I/O, no clock.
+// This proxy's share of the fleet-wide retry budget, per service. No I/O, no clock.
 //
-// A service may get ratio x requests + minimum extra arrivals in any window. Each proxy counts its own
-// requests, and has an equal part of the minimum. It uses less than its whole share, since windows of
-// different proxies differ.
+// A service may receive ratio x requests + minimum extra attempts in any window. Each proxy counts its own
+// requests and has an equal share of the minimum. It uses only kUsedShare of that, because the windows of
+// different proxies are not aligned.
 #ifndef KESTRELLINE_DATA_PLANE_RETRY_BUDGET_H_
 #define KESTRELLINE_DATA_PLANE_RETRY_BUDGET_H_
 
@@ -16,52 +16,52 @@
 
 namespace kestrelline::data_plane {
 
-struct BudgetTerms {
+struct RetryBudgetSettings {
   double ratio = 0.2;
-  double minimum = 10;  // extra arrivals that all proxies together may always cause
+  double minimum = 10;  // extra attempts always allowed, for all proxies together
   brackenspoke::Duration window{10000};
 };
 
 class RetryBudget {
  public:
-  static constexpr double kUsed = 0.8;  // of the share
-  // After a failover the control plane hears from proxies one by one: a smaller number counts only once it
-  // has been told for this long.
-  static constexpr brackenspoke::Duration kSmallerCountsAfter{20000};
-  // Assumed until the control plane has told how many proxies there are.
-  static constexpr int kProxiesAtFirst = 64;
+  static constexpr double kUsedShare = 0.8;  // fraction of the share that is used
+  // After a failover the control plane discovers the proxies one by one, so a smaller number of proxies takes
+  // effect only after it was reported for this long.
+  static constexpr brackenspoke::Duration kShrinkDelay{20000};
+  // Assumed until the control plane reports the number of proxies.
+  static constexpr int kInitialProxies = 64;
 
-  explicit RetryBudget(BudgetTerms terms) : terms_(terms) {}
+  explicit RetryBudget(RetryBudgetSettings settings) : settings_(settings) {}
 
   void set_proxies(int proxies, brackenspoke::TimePoint now) {
-    const int told = std::max(1, proxies);
-    if (!known_ || told >= proxies_) {
-      proxies_ = told;
-      confirmed_ = now;
-      known_ = true;
-    } else if (now - confirmed_ > kSmallerCountsAfter) {
-      proxies_ = told;
-      confirmed_ = now;
+    const int reported = std::max(1, proxies);
+    if (!proxies_known_ || reported >= proxies_) {
+      proxies_ = reported;
+      confirmed_at_ = now;
+      proxies_known_ = true;
+    } else if (now - confirmed_at_ > kShrinkDelay) {
+      proxies_ = reported;
+      confirmed_at_ = now;
     }
   }
   void CountRequest(const std::string& service, brackenspoke::TimePoint now) {
-    windows_[service].First(now, terms_.window);
+    windows_[service].First(now, settings_.window);
   }
-  // Counts one more arrival beyond the first, if the budget allows it.
-  bool Take(const std::string& service, brackenspoke::TimePoint now) {
+  // Takes budget for one extra attempt; false if there is none left.
+  bool TryAcquire(const std::string& service, brackenspoke::TimePoint now) {
     brackenspoke::RetryBudget budget;
-    budget.share = terms_.ratio * kUsed;
-    budget.window = terms_.window;
-    budget.at_least = static_cast<int>(terms_.minimum * kUsed / proxies_);
+    budget.share = settings_.ratio * kUsedShare;
+    budget.window = settings_.window;
+    budget.at_least = static_cast<int>(settings_.minimum * kUsedShare / proxies_);
     return windows_[service].Take(now, budget);
   }
 
  private:
-  BudgetTerms terms_;
-  int proxies_ = kProxiesAtFirst;
-  bool known_ = false;
-  brackenspoke::TimePoint confirmed_{};
-  std::unordered_map<std::string, brackenspoke::RepeatWindow> windows_;  // a few services
+  RetryBudgetSettings settings_;
+  int proxies_ = kInitialProxies;
+  bool proxies_known_ = false;
+  brackenspoke::TimePoint confirmed_at_{};
+  std::unordered_map<std::string, brackenspoke::RepeatWindow> windows_;  // by service; only a few
 };
 
 }  // namespace kestrelline::data_plane
--- a/src/data_plane/subscriber.cpp
+++ b/src/data_plane/subscriber.cpp
@@ -17,18 +17,19 @@
 
 }  // namespace
 
-Subscriber::Subscriber(asio::io_context& io, const node::Settings& settings, std::function<Have()> have,
-                       OnPublication on_publication, OnLoads on_loads, std::shared_ptr<mesh::Traffic> traffic)
+Subscriber::Subscriber(asio::io_context& io, const node::Settings& settings,
+                       std::function<HeldState()> held_state, OnPublication on_publication, OnLoads on_loads,
+                       std::shared_ptr<mesh::Traffic> traffic)
     : io_(io),
       settings_(settings),
-      have_(std::move(have)),
+      held_state_(std::move(held_state)),
       on_publication_(std::move(on_publication)),
       on_loads_(std::move(on_loads)),
       traffic_(std::move(traffic)),
       name_(node::ToText(settings.RelayEndpoint())),
       subscription_(name_, settings.SeedIps(), std::random_device{}()) {}
 
-void Subscriber::Start() { Next(); }
+void Subscriber::Start() { ConnectToNextPeer(); }
 
 void Subscriber::Stop() {
   stopped_ = true;
@@ -40,14 +41,14 @@
   const milliseconds now = Now();
   if (stopped_ || !subscription_.MayRetry(now)) return;
   if (connecting_) {
-    if (subscription_.ConnectingTooLong(now)) Next();
+    if (subscription_.ConnectTimedOut(now)) ConnectToNextPeer();
     return;
   }
-  if (!connection_ || !connection_->open() || subscription_.ShouldLeave(now)) return Next();
-  if (const auto probe = subscription_.NextProbe(now)) SendNow(wire::Probe{*probe});
+  if (!connection_ || !connection_->open() || subscription_.ShouldLeave(now)) return ConnectToNextPeer();
+  if (const auto probe = subscription_.NextProbe(now)) Send(wire::Probe{*probe});
 }
 
-void Subscriber::Next() {
+void Subscriber::ConnectToNextPeer() {
   if (connection_) connection_->Close();
   connection_ = nullptr;
   error_code ignored;
@@ -56,53 +57,54 @@
   const auto peer = subscription_.BeginAttempt(Now());
   if (!peer) return;
   error_code error;
-  const node::Endpoint place = PlaceOf(*peer);
-  const Tcp::endpoint there(asio::ip::make_address(place.ip, error), place.port);
+  const node::Endpoint address = EndpointOf(*peer);
+  const Tcp::endpoint endpoint(asio::ip::make_address(address.ip, error), address.port);
   if (error) return;
   const auto socket = std::make_shared<Tcp::socket>(io_);
   connecting_ = socket;
-  socket->async_connect(there, [this, socket](const error_code& failed) {
+  socket->async_connect(endpoint, [this, socket](const error_code& failed) {
     if (connecting_ != socket) return;
     connecting_ = nullptr;
-    if (!failed && !stopped_) Connected(std::move(*socket));
+    if (!failed && !stopped_) OnConnected(std::move(*socket));
   });
 }
 
-// A member is known by its IP address, a proxy that passes on by IP:PORT.
-node::Endpoint Subscriber::PlaceOf(const std::string& peer) const {
+// Members are named by IP address, relaying proxies by IP:PORT.
+node::Endpoint Subscriber::EndpointOf(const std::string& peer) const {
   return node::ParseEndpoint(peer).value_or(node::Endpoint{peer, settings_.first_port});
 }
 
-void Subscriber::Connected(Tcp::socket socket) {
+void Subscriber::OnConnected(Tcp::socket socket) {
   mesh::SetOptions(socket);
   const auto on_message = [this](mesh::Connection& connection, wire::Message message) {
     if (&connection != connection_.get()) return;
-    if (const auto* publication = std::get_if<wire::Publication>(&message.body)) Take(*publication);
-    if (const auto* referral = std::get_if<wire::Referral>(&message.body)) return Take(*referral);
+    if (const auto* publication = std::get_if<wire::Publication>(&message.body))
+      HandlePublication(*publication);
+    if (const auto* referral = std::get_if<wire::Referral>(&message.body)) return HandleReferral(*referral);
     if (const auto* loads = std::get_if<wire::LoadSummary>(&message.body)) on_loads_(*loads);
   };
   connection_ = std::make_shared<mesh::Connection>(std::move(socket), on_message, nullptr, traffic_);
   connection_->Start();
-  const Have have = have_();
-  SendNow(wire::Subscribe{have.version, have.instances_revision, settings_.zone,
-                          subscription_.FirstProbe(Now()), /*takes_list_changes=*/true,
-                          /*takes_configuration_patches=*/true});
+  const HeldState held_state = held_state_();
+  Send(wire::Subscribe{held_state.version, held_state.instances_revision, settings_.zone,
+                       subscription_.FirstProbe(Now()), /*takes_list_changes=*/true,
+                       /*takes_configuration_patches=*/true});
 }
 
-void Subscriber::SendNow(const wire::Body& body) {
+void Subscriber::Send(const wire::Body& body) {
   connection_->Send(std::make_shared<const std::string>(wire::EncodeFrame({name_, body})));
 }
 
 void Subscriber::Report(const wire::LoadReport& report) {
-  if (connection_ && connection_->open()) SendNow(report);
+  if (connection_ && connection_->open()) Send(report);
 }
 
-void Subscriber::Take(const wire::Referral& referral) {
-  subscription_.Take(referral);
-  Next();
+void Subscriber::HandleReferral(const wire::Referral& referral) {
+  subscription_.HandleReferral(referral);
+  ConnectToNextPeer();
 }
 
-void Subscriber::Take(const wire::Publication& publication) {
+void Subscriber::HandlePublication(const wire::Publication& publication) {
   const auto composed_after = subscription_.ComposedAfter(connection_->echo());
   subscription_.HandlePublication(Now(), publication, composed_after);
   std::optional<steady_clock::time_point> at;
--- a/src/data_plane/subscriber.h
+++ b/src/data_plane/subscriber.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Follows the control plane: one subscription at a time, to a member that is in contact with the leader's
-// quorum, or, where members have no room, to a proxy that passes on what it is told.
+// Maintains the subscription of a proxy to the control plane: one connection at a time, to a member in
+// contact with the leader's quorum or, if members are at capacity, to a proxy that relays publications.
 #ifndef KESTRELLINE_DATA_PLANE_SUBSCRIBER_H_
 #define KESTRELLINE_DATA_PLANE_SUBSCRIBER_H_
 
@@ -18,46 +18,47 @@
 
 class Subscriber {
  public:
-  // What the subscriber has already, for the next subscription.
-  struct Have {
+  // What the subscriber already has, sent with the next subscription.
+  struct HeldState {
     std::uint64_t version = 0;
     std::uint64_t instances_revision = 0;
   };
-  // `composed_after` is a time by the own clock after which the sender composed the publication.
+  // `composed_after` is a local time after which the sender composed the publication; empty if unknown.
   using OnPublication = std::function<void(const wire::Publication&,
                                            std::optional<http::steady_clock::time_point> composed_after)>;
 
   using OnLoads = std::function<void(const wire::LoadSummary&)>;
 
-  Subscriber(http::asio::io_context& io, const node::Settings& settings, std::function<Have()> have,
-             OnPublication on_publication, OnLoads on_loads, std::shared_ptr<mesh::Traffic> traffic);
+  Subscriber(http::asio::io_context& io, const node::Settings& settings,
+             std::function<HeldState()> held_state, OnPublication on_publication, OnLoads on_loads,
+             std::shared_ptr<mesh::Traffic> traffic);
 
   void Start();
   void Stop();
-  // Every 100 ms or so: leaves a member that is silent or out of contact.
+  // Call about every 100 ms. Leaves a member that is silent or out of contact with the quorum.
   void Tick();
-  // Begins the subscription anew, soon: something that was told before is not here any more.
+  // Subscribes again soon, because contents sent earlier are missing.
   void Renew() { subscription_.Renew(); }
-  // To the member that is subscribed to; dropped if there is none.
+  // Sends a report to the current member; dropped if not connected.
   void Report(const wire::LoadReport& report);
-  // Whether what was told last is proven to be recent.
+  // Whether the latest publication is proven to be recent.
   bool fresh() const { return subscription_.fresh(); }
 
  private:
-  void Next();
-  node::Endpoint PlaceOf(const std::string& peer) const;
-  void Connected(http::Tcp::socket socket);
-  void Take(const wire::Publication& publication);
-  void Take(const wire::Referral& referral);
-  void SendNow(const wire::Body& body);
+  void ConnectToNextPeer();
+  node::Endpoint EndpointOf(const std::string& peer) const;
+  void OnConnected(http::Tcp::socket socket);
+  void HandlePublication(const wire::Publication& publication);
+  void HandleReferral(const wire::Referral& referral);
+  void Send(const wire::Body& body);
 
   http::asio::io_context& io_;
   const node::Settings& settings_;
-  std::function<Have()> have_;
+  std::function<HeldState()> held_state_;
   OnPublication on_publication_;
   OnLoads on_loads_;
   std::shared_ptr<mesh::Traffic> traffic_;
-  const std::string name_;  // in what this proxy sends
+  const std::string name_;  // sender name in messages of this proxy
   Subscription subscription_;
   std::shared_ptr<http::Tcp::socket> connecting_;
   mesh::ConnectionPtr connection_;
--- a/src/data_plane/subscription.cpp
+++ b/src/data_plane/subscription.cpp
@@ -14,7 +14,7 @@
 }
 
 std::optional<std::string> Subscription::BeginAttempt(Time now) {
-  attempt_began_ = now;
+  attempt_started_at_ = now;
   fresh_ = false;
   renew_ = false;
   if (peers_.empty()) return std::nullopt;
@@ -22,25 +22,25 @@
 }
 
 bool Subscription::ShouldLeave(Time now) const {
-  const bool silent = now - std::max(heard_at_, attempt_began_) > kSilence;
-  const bool stale = !fresh_ && now - attempt_began_ > kSilence;
+  const bool silent = now - std::max(last_publication_at_, attempt_started_at_) > kSilenceTimeout;
+  const bool stale = !fresh_ && now - attempt_started_at_ > kSilenceTimeout;
   return silent || stale || renew_;
 }
 
 std::optional<std::uint64_t> Subscription::NextProbe(Time now) {
-  if (now - last_probe_ < kBetweenProbes) return std::nullopt;
+  if (now - last_probe_at_ < kProbeInterval) return std::nullopt;
   return FirstProbe(now);
 }
 
 std::uint64_t Subscription::FirstProbe(Time now) {
-  last_probe_ = now;
+  last_probe_at_ = now;
   return probes_.Send(now);
 }
 
-// Members in turn; a proxy that passes on once every member had no room.
+// Takes the members in turn, or a relaying proxy once all members were at capacity.
 std::string Subscription::NextPeer() {
-  if (refused_in_a_row_ >= peers_.size() && !relays_.empty()) {
-    refused_in_a_row_ = 0;
+  if (consecutive_referrals_ >= peers_.size() && !relays_.empty()) {
+    consecutive_referrals_ = 0;
     std::string relay = std::move(relays_.back());
     relays_.pop_back();
     return relay;
@@ -48,10 +48,10 @@
   return peers_[next_peer_++ % peers_.size()];
 }
 
-void Subscription::Take(const wire::Referral& referral) {
-  ++refused_in_a_row_;
+void Subscription::HandleReferral(const wire::Referral& referral) {
+  ++consecutive_referrals_;
   for (const std::string& proxy : referral.proxies) {
-    if (proxy != self_ && relays_.size() < kMostRelays) relays_.push_back(proxy);
+    if (proxy != self_ && relays_.size() < kMaxRelays) relays_.push_back(proxy);
   }
   AddPeers(referral.members);
   std::shuffle(relays_.begin(), relays_.end(), random_);
@@ -59,38 +59,38 @@
 
 void Subscription::HandlePublication(Time now, const wire::Publication& publication,
                                      std::optional<Time> composed_after) {
-  refused_in_a_row_ = 0;
+  consecutive_referrals_ = 0;
   relays_.clear();
-  heard_at_ = now;
-  const std::optional<Time> dated = Enforced(Safeguard::kDateByProbe) ? composed_after : now;
-  fresh_ = dated && publication.certain && now - *dated + Time(publication.age_ms) < kOldest;
+  last_publication_at_ = now;
+  const std::optional<Time> confirmed_at = Enforced(Safeguard::kDateByProbe) ? composed_after : now;
+  fresh_ = confirmed_at && publication.certain && now - *confirmed_at + Time(publication.age_ms) < kMaxAge;
   AddPeers(publication.control_peers);
 }
 
-// Those that are new come next in turn.
+// Inserts unknown peers so that they are tried next.
 void Subscription::AddPeers(const std::vector<std::string>& peers) {
   for (const std::string& peer : peers) {
     if (std::find(peers_.begin(), peers_.end(), peer) != peers_.end()) continue;
     if (!peers_.empty()) next_peer_ %= peers_.size();
     peers_.insert(peers_.begin() + static_cast<std::ptrdiff_t>(next_peer_), peer);
   }
-  if (peers_.size() > kMostPeers) peers_.resize(kMostPeers);
+  if (peers_.size() > kMaxPeers) peers_.resize(kMaxPeers);
 }
 
-bool ConfigurationGate::IsNews(std::uint64_t version) const {
+bool ConfigurationGate::IsNewer(std::uint64_t version) const {
   return version > known_version() || !Enforced(Safeguard::kNeverBack);
 }
 
 bool ConfigurationGate::Offer(std::uint64_t version, bool contents, bool fresh) {
-  if (contents && IsNews(version)) {
-    told_version_ = version;
-    waits_ = true;
+  if (contents && IsNewer(version)) {
+    received_version_ = version;
+    pending_ = true;
   }
-  if (!waits_) return false;
-  const bool proven = (fresh && version == told_version_) || !Enforced(Safeguard::kProofBeforeReady);
+  if (!pending_) return false;
+  const bool proven = (fresh && version == received_version_) || !Enforced(Safeguard::kProofBeforeReady);
   if (version_ == 0 && !proven) return false;
-  version_ = told_version_;
-  waits_ = false;
+  version_ = received_version_;
+  pending_ = false;
   return true;
 }
 
--- a/tests/data_plane/configuration_follower_test.cpp
+++ b/tests/data_plane/configuration_follower_test.cpp
@@ -56,43 +56,43 @@
   Sender sender;
   ConfigurationFollower follower;
   sender.Set(1);
-  EXPECT_EQ(LastPlace(follower.Take(sender.Compose(0), true)), "/p1001/");
+  EXPECT_EQ(LastPlace(follower.Apply(sender.Compose(0), true)), "/p1001/");
   sender.Set(4);
   sender.Set(9);
-  const wire::Publication publication = sender.Compose(follower.told_version());
+  const wire::Publication publication = sender.Compose(follower.held_version());
   EXPECT_TRUE(publication.configuration.empty());
   EXPECT_EQ(publication.configuration_patches.size(), 2u);
-  EXPECT_EQ(LastPlace(follower.Take(publication, false)), "/p1009/");
+  EXPECT_EQ(LastPlace(follower.Apply(publication, false)), "/p1009/");
   EXPECT_EQ(follower.version_in_force(), 9u);
-  EXPECT_EQ(follower.Take(publication, true), nullptr);  // told twice
+  EXPECT_EQ(follower.Apply(publication, true), nullptr);  // told twice
 }
 
 TEST(ConfigurationFollower, PatchesOnAVersionThatIsNotHereAreVoidAndTheWholeIsAskedFor) {
   Sender sender;
   ConfigurationFollower follower;
   sender.Set(1);
-  follower.Take(sender.Compose(0), true);
+  follower.Apply(sender.Compose(0), true);
   sender.Set(2);
   sender.Set(3);
-  EXPECT_EQ(follower.Take(sender.Compose(2), true), nullptr);
-  EXPECT_TRUE(follower.lacks_base());
-  EXPECT_EQ(follower.told_version(), 0u);
+  EXPECT_EQ(follower.Apply(sender.Compose(2), true), nullptr);
+  EXPECT_TRUE(follower.missing_base());
+  EXPECT_EQ(follower.held_version(), 0u);
   EXPECT_EQ(follower.version_in_force(), 1u);
-  EXPECT_EQ(LastPlace(follower.Take(sender.Compose(follower.told_version()), true)), "/p1003/");
-  EXPECT_FALSE(follower.lacks_base());
+  EXPECT_EQ(LastPlace(follower.Apply(sender.Compose(follower.held_version()), true)), "/p1003/");
+  EXPECT_FALSE(follower.missing_base());
 }
 
 TEST(ConfigurationFollower, DamagedPatchesPutNothingInForce) {
   Sender sender;
   ConfigurationFollower follower;
   sender.Set(1);
-  follower.Take(sender.Compose(0), true);
+  follower.Apply(sender.Compose(0), true);
   sender.Set(2);
   wire::Publication publication = sender.Compose(1);
   for (const char* patch : {"{", R"({"version":2,"remove":{"services":["s"]}})", R"({"version":7})"}) {
     publication.configuration_patches = {patch};
-    EXPECT_EQ(follower.Take(publication, true), nullptr) << patch;
-    EXPECT_TRUE(follower.lacks_base());
+    EXPECT_EQ(follower.Apply(publication, true), nullptr) << patch;
+    EXPECT_TRUE(follower.missing_base());
     EXPECT_NE(follower.error(), "");
     EXPECT_EQ(follower.version_in_force(), 1u);
   }
@@ -103,22 +103,22 @@
   Sender sender;
   ConfigurationFollower follower;
   sender.Set(1);
-  EXPECT_EQ(follower.Take(sender.Compose(0), false), nullptr);
+  EXPECT_EQ(follower.Apply(sender.Compose(0), false), nullptr);
   sender.Set(2);
-  EXPECT_EQ(follower.Take(sender.Compose(1), false), nullptr);
+  EXPECT_EQ(follower.Apply(sender.Compose(1), false), nullptr);
   EXPECT_EQ(follower.version_in_force(), 0u);
-  EXPECT_EQ(LastPlace(follower.Take(sender.Compose(2), true)), "/p1002/");
+  EXPECT_EQ(LastPlace(follower.Apply(sender.Compose(2), true)), "/p1002/");
 }
 
 TEST(ConfigurationFollower, WhatItPassesOnIsTheNewestWholeOrByPatches) {
   Sender sender;
   ConfigurationFollower follower;
   sender.Set(1);
-  follower.Take(sender.Compose(0), true);
+  follower.Apply(sender.Compose(0), true);
   sender.Set(2);
-  follower.Take(sender.Compose(1), true);
+  follower.Apply(sender.Compose(1), true);
   sender.Set(5);
-  follower.Take(sender.Compose(2), true);
+  follower.Apply(sender.Compose(2), true);
   EXPECT_EQ(configuration::Parse(*follower.Text()).configuration->routes.back().path_prefix, "/p1005/");
   const auto patches = follower.history().Since(1, 1 << 20);
   ASSERT_TRUE(patches);
--- a/tests/data_plane/decisions_test.cpp
+++ b/tests/data_plane/decisions_test.cpp
@@ -25,16 +25,17 @@
   const Prompt c = ParsePrompt("1300,80", "91bd:410,5c1e:800,ffff:90");
   EXPECT_EQ(a.tokens, 1460);
   EXPECT_EQ(a.output_tokens, 80);
-  ASSERT_EQ(a.parts.size(), 3u);
-  EXPECT_EQ(a.SharedParts(), 2u);
+  ASSERT_EQ(a.blocks.size(), 3u);
+  EXPECT_EQ(a.SharedBlocks(), 2u);
   EXPECT_EQ(a.SharedTokens(), 1210);
-  EXPECT_EQ(a.parts[1].chain, b.parts[1].chain);
-  EXPECT_NE(a.parts[2].chain, b.parts[2].chain);
-  EXPECT_NE(a.parts[1].chain, c.parts[1].chain);
+  EXPECT_EQ(a.blocks[1].prefix_hash, b.blocks[1].prefix_hash);
+  EXPECT_NE(a.blocks[2].prefix_hash, b.blocks[2].prefix_hash);
+  EXPECT_NE(a.blocks[1].prefix_hash, c.blocks[1].prefix_hash);
 }
 
 TEST(Prompt, IdsThatJoinToTheSameTextAreNotTheSame) {
-  EXPECT_NE(ParsePrompt("", "ab:1,c:1").parts[1].chain, ParsePrompt("", "a:1,bc:1").parts[1].chain);
+  EXPECT_NE(ParsePrompt("", "ab:1,c:1").blocks[1].prefix_hash,
+            ParsePrompt("", "a:1,bc:1").blocks[1].prefix_hash);
 }
 
 TEST(Prompt, WhatCannotBeReadCountsAsAbsent) {
@@ -43,67 +44,67 @@
   EXPECT_EQ(ParsePrompt("-5,-7", "a:-9").tokens, 0);
   std::string many;
   for (int i = 0; i < 500; ++i) many += std::to_string(i) + ":1,";
-  EXPECT_EQ(ParsePrompt("9,9", many).parts.size(), kMostParts);
+  EXPECT_EQ(ParsePrompt("9,9", many).blocks.size(), kMaxBlocks);
 }
 
 // --- events ---
 
 TEST(EventSplitter, PassesOnlyWholeEventsAndKnowsTheLastId) {
   EventSplitter events;
-  EXPECT_EQ(events.Take("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
+  EXPECT_EQ(events.Append("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
   EXPECT_EQ(events.last_id(), "1");
-  EXPECT_EQ(events.Take("ta: b\n"), "");
-  EXPECT_EQ(events.Take("\n"), "id: 2\ndata: b\n\n");
+  EXPECT_EQ(events.Append("ta: b\n"), "");
+  EXPECT_EQ(events.Append("\n"), "id: 2\ndata: b\n\n");
   EXPECT_EQ(events.last_id(), "2");
-  EXPECT_EQ(events.Take("id: 3\n"), "");
+  EXPECT_EQ(events.Append("id: 3\n"), "");
   events.DropPartial();
-  EXPECT_EQ(events.Rest(), "");
+  EXPECT_EQ(events.TakeRemainder(), "");
   EXPECT_EQ(events.last_id(), "2");
 }
 
 TEST(EventSplitter, AnEventWithoutEndPassesInPieces) {
   EventSplitter events;
-  const std::string piece(EventSplitter::kLongestEvent + 1, 'x');
-  EXPECT_EQ(events.Take(piece).size(), piece.size());
+  const std::string piece(EventSplitter::kMaxEventBytes + 1, 'x');
+  EXPECT_EQ(events.Append(piece).size(), piece.size());
 }
 
 // --- budget ---
 
-TEST(ArrivalAccount, TheFirstReadingAndTheFirstRunAreFree) {
-  ArrivalAccount account;
+TEST(RetryAccount, TheFirstReadingAndTheFirstRunAreFree) {
+  RetryAccount account;
   EXPECT_TRUE(account.empty());
-  EXPECT_FALSE(account.NeedsPayment());
-  account.NoteReading(true);
+  EXPECT_FALSE(account.NeedsBudget());
+  account.RecordPrefill(true);
   EXPECT_FALSE(account.empty());
-  EXPECT_FALSE(account.NeedsPayment());
-  account.NoteRun();
-  EXPECT_TRUE(account.NeedsPayment());
+  EXPECT_FALSE(account.NeedsBudget());
+  account.RecordExecution();
+  EXPECT_TRUE(account.NeedsBudget());
 }
 
 // A reading that was rejected is the request's first arrival: whatever follows is beyond it, a run included.
-TEST(ArrivalAccount, AReadingThatWasNotTakenMakesTheRunOneThatIsPaidFor) {
-  ArrivalAccount account;
-  account.NoteReading(false);
-  EXPECT_TRUE(account.NeedsPayment());
-  account.NotePayment();
-  EXPECT_FALSE(account.NeedsPayment());
-  account.NoteReading(true);  // the first that was taken: the payment is left for the run
-  EXPECT_FALSE(account.NeedsPayment());
-  account.NoteRun();
-  EXPECT_TRUE(account.NeedsPayment());
+TEST(RetryAccount, AReadingThatWasNotTakenMakesTheRunOneThatIsPaidFor) {
+  RetryAccount account;
+  account.RecordPrefill(false);
+  EXPECT_TRUE(account.NeedsBudget());
+  account.RecordBudget();
+  EXPECT_FALSE(account.NeedsBudget());
+  account.RecordPrefill(true);  // the first that was taken: the payment is left for the run
+  EXPECT_FALSE(account.NeedsBudget());
+  account.RecordExecution();
+  EXPECT_TRUE(account.NeedsBudget());
 }
 
-TEST(ArrivalAccount, AllArrivalsButTheFirstThatCountsArePaidFor) {
-  ArrivalAccount account;
+TEST(RetryAccount, AllArrivalsButTheFirstThatCountsArePaidFor) {
+  RetryAccount account;
   int paid = 0;
   const auto arrive = [&](auto note) {
-    if (account.NeedsPayment()) account.NotePayment(), ++paid;
+    if (account.NeedsBudget()) account.RecordBudget(), ++paid;
     note();
   };
-  arrive([&] { account.NoteReading(true); });
-  arrive([&] { account.NoteRun(); });          // rejected
-  arrive([&] { account.NoteReading(true); });  // a second reading counts
-  arrive([&] { account.NoteRun(); });
+  arrive([&] { account.RecordPrefill(true); });
+  arrive([&] { account.RecordExecution(); });    // rejected
+  arrive([&] { account.RecordPrefill(true); });  // a second reading counts
+  arrive([&] { account.RecordExecution(); });
   EXPECT_EQ(paid, 2);
 }
 
@@ -111,11 +112,11 @@
   RetryBudget budget({0.2, 58, Duration(10000)});
   budget.set_proxies(9, At(0));
   int taken = 0;
-  for (int i = 0; i < 100; ++i) taken += budget.Take("s", At(100));
-  EXPECT_EQ(taken, static_cast<int>(58 * RetryBudget::kUsed / 9));
+  for (int i = 0; i < 100; ++i) taken += budget.TryAcquire("s", At(100));
+  EXPECT_EQ(taken, static_cast<int>(58 * RetryBudget::kUsedShare / 9));
   for (int i = 0; i < 1000; ++i) budget.CountRequest("s", At(200));
-  for (int i = 0; i < 1000; ++i) taken += budget.Take("s", At(300));
-  EXPECT_LE(taken, 0.2 * 1000 * RetryBudget::kUsed + 58.0 / 9);
+  for (int i = 0; i < 1000; ++i) taken += budget.TryAcquire("s", At(300));
+  EXPECT_LE(taken, 0.2 * 1000 * RetryBudget::kUsedShare + 58.0 / 9);
   EXPECT_GE(taken, 100);
 }
 
@@ -124,16 +125,16 @@
   budget.set_proxies(9, At(0));
   budget.set_proxies(2, At(1000));
   int taken = 0;
-  for (int i = 0; i < 100; ++i) taken += budget.Take("s", At(1000));
-  EXPECT_EQ(taken, static_cast<int>(58 * RetryBudget::kUsed / 9));
+  for (int i = 0; i < 100; ++i) taken += budget.TryAcquire("s", At(1000));
+  EXPECT_EQ(taken, static_cast<int>(58 * RetryBudget::kUsedShare / 9));
   budget.set_proxies(2, At(25000));
-  for (int i = 0; i < 100; ++i) taken += budget.Take("s", At(40000));
-  EXPECT_GT(taken, static_cast<int>(58 * RetryBudget::kUsed / 2));
+  for (int i = 0; i < 100; ++i) taken += budget.TryAcquire("s", At(40000));
+  EXPECT_GT(taken, static_cast<int>(58 * RetryBudget::kUsedShare / 2));
 }
 
 TEST(FleetRetryBudget, AsLongAsNobodyToldItIsOneOfMany) {
   RetryBudget budget({0.2, 58, Duration(10000)});
-  EXPECT_FALSE(budget.Take("s", At(100)));
+  EXPECT_FALSE(budget.TryAcquire("s", At(100)));
 }
 
 // --- health ---
@@ -192,15 +193,15 @@
 
 TEST(BackendHealth, ARefusalIsNoFailureButLeavesTheBackendAloneForLonger) {
   Backend backend;
-  backend.NoteRefusal(At(0));
-  const TimePoint first = backend.avoid_until;
-  backend.NoteRefusal(At(0));
-  EXPECT_GT(backend.avoid_until, first);
-  for (int i = 0; i < 50; ++i) backend.NoteRefusal(At(0));
-  EXPECT_LE(backend.avoid_until, At(5000));
-  backend.NoteAcceptance();
-  backend.NoteRefusal(At(0));
-  EXPECT_EQ(backend.avoid_until, first);
+  backend.RecordRejection(At(0));
+  const TimePoint first = backend.backoff_until;
+  backend.RecordRejection(At(0));
+  EXPECT_GT(backend.backoff_until, first);
+  for (int i = 0; i < 50; ++i) backend.RecordRejection(At(0));
+  EXPECT_LE(backend.backoff_until, At(5000));
+  backend.ResetBackoff();
+  backend.RecordRejection(At(0));
+  EXPECT_EQ(backend.backoff_until, first);
   EXPECT_EQ(backend.health.failures, 0);
 }
 
@@ -208,22 +209,22 @@
   BackendTable table(1);
   table.Update(Listed({"a", "b"}));
   Backend& a = ById(table, "a");
-  a.reading_ms = 30;
+  a.pending_prefill_ms = 30;
   a.in_flight = 2;
   const auto report = table.ReportLoads();
   ASSERT_EQ(report.size(), 1u);
-  EXPECT_FALSE(table.KnowsLoads(At(100)));
-  table.TakeLoads({{{a.id_hash, 100, 5}}, true}, At(100));
-  EXPECT_TRUE(table.KnowsLoads(At(200)));
-  EXPECT_DOUBLE_EQ(a.others_reading_ms, 70);
+  EXPECT_FALSE(table.HasRecentLoads(At(100)));
+  table.ApplyLoadSummary({{{a.id_hash, 100, 5}}, true}, At(100));
+  EXPECT_TRUE(table.HasRecentLoads(At(200)));
+  EXPECT_DOUBLE_EQ(a.others_prefill_ms, 70);
   EXPECT_EQ(a.others_running, 3);
-  table.TakeLoads({{{ById(table, "b").id_hash, 7, 1}}, false}, At(120));
-  EXPECT_DOUBLE_EQ(a.others_reading_ms, 70);  // as it was: the summary is not whole
-  EXPECT_DOUBLE_EQ(ById(table, "b").others_reading_ms, 7);
-  table.TakeLoads({{{a.id_hash, 10, 1}}, true}, At(150));
-  EXPECT_DOUBLE_EQ(ById(table, "b").others_reading_ms, 0);
-  EXPECT_DOUBLE_EQ(a.others_reading_ms, 0);
-  EXPECT_FALSE(table.KnowsLoads(At(5000)));
+  table.ApplyLoadSummary({{{ById(table, "b").id_hash, 7, 1}}, false}, At(120));
+  EXPECT_DOUBLE_EQ(a.others_prefill_ms, 70);  // as it was: the summary is not whole
+  EXPECT_DOUBLE_EQ(ById(table, "b").others_prefill_ms, 7);
+  table.ApplyLoadSummary({{{a.id_hash, 10, 1}}, true}, At(150));
+  EXPECT_DOUBLE_EQ(ById(table, "b").others_prefill_ms, 0);
+  EXPECT_DOUBLE_EQ(a.others_prefill_ms, 0);
+  EXPECT_FALSE(table.HasRecentLoads(At(5000)));
 }
 
 TEST(BackendLoads, HintsAreReadOrLeftAsTheyWere) {
@@ -262,7 +263,7 @@
   list.instances[0].draining = true;
   Use(list);
   ById(table_, "b").health.ejected = true;
-  ById(table_, "c").displaced = true;
+  ById(table_, "c").address_reused = true;
   EXPECT_EQ(placement_.PickPlain("s", {}, At(0)).backend->info.id, "d");
   // Where nothing else is left, one that is ejected is better than none; one that drains is not.
   EXPECT_EQ(placement_.PickPlain("s", {&ById(table_, "d")}, At(0)).backend->info.id, "b");
@@ -293,9 +294,9 @@
   Use(Listed({"a", "b", "c", "d", "e", "f"}, true));
   const Prompt prompt = ParsePrompt("6000,50", "77:5000,x:1000");
   const Pick first = placement_.PickPrefill("s", prompt, {}, At(0));
-  first.backend->reading_ms = 200;
+  first.backend->pending_prefill_ms = 200;
   EXPECT_EQ(placement_.PickPrefill("s", prompt, {}, At(0)).backend, first.backend);
-  first.backend->reading_ms = 1000 + PlacementCosts{}.again_ms_per_token * 5000;
+  first.backend->pending_prefill_ms = 1000 + PlacementCosts{}.recompute_ms_per_token * 5000;
   EXPECT_NE(placement_.PickPrefill("s", prompt, {}, At(0)).backend, first.backend);
 }
 
@@ -314,20 +315,21 @@
   const BackendPtr a = table_.Find("s", Stage::kPrefill)->backends[0];
   const Prompt prompt = ParsePrompt("600,5", "1:500,x:100");
   {
-    ReadingUnderWay reading(a, prompt, 40, At(0));
-    EXPECT_DOUBLE_EQ(a->reading_ms, 40);
+    PendingPrefill reading(a, prompt, 40, At(0));
+    EXPECT_DOUBLE_EQ(a->pending_prefill_ms, 40);
     reading.End();
-    EXPECT_DOUBLE_EQ(a->reading_ms, 0);
+    EXPECT_DOUBLE_EQ(a->pending_prefill_ms, 0);
   }
-  EXPECT_DOUBLE_EQ(a->reading_ms, 0);
-  EXPECT_TRUE(a->parts.Has(prompt.parts[0].chain, At(0)));
+  EXPECT_DOUBLE_EQ(a->pending_prefill_ms, 0);
+  EXPECT_TRUE(a->cached_prefixes.Contains(prompt.blocks[0].prefix_hash, At(0)));
 }
 
 TEST(KnownPartsTest, ForgetsTheOldestHalfAtItsBound) {
-  KnownParts parts;
-  for (std::uint64_t i = 0; i < 10 * KnownParts::kMost; ++i) parts.Note(i, At(static_cast<double>(i)));
-  EXPECT_TRUE(parts.Has(10 * KnownParts::kMost - 1, At(0)));
-  EXPECT_FALSE(parts.Has(0, At(0)));
+  PrefixCacheIndex prefixes;
+  for (std::uint64_t i = 0; i < 10 * PrefixCacheIndex::kMaxEntries; ++i)
+    prefixes.Touch(i, At(static_cast<double>(i)));
+  EXPECT_TRUE(prefixes.Contains(10 * PrefixCacheIndex::kMaxEntries - 1, At(0)));
+  EXPECT_FALSE(prefixes.Contains(0, At(0)));
 }
 
 TEST(Demand, FollowsTheLastSeconds) {
@@ -344,11 +346,11 @@
 TEST(Demand, LearnsHowLongStreamsHoldTheirSlots) {
   DemandMeter meter;
   for (int i = 0; i < 400; ++i) {
-    meter.NoteGeneration("s", 100, 1000);
+    meter.RecordGeneration("s", 100, 1000);
     meter.Count("s", 20, 100, At(i * 50));
   }
-  meter.NoteGeneration("s", 0, 1000);
-  meter.NoteGeneration("s", 100, -1);
+  meter.RecordGeneration("s", 0, 1000);
+  meter.RecordGeneration("s", 100, -1);
   EXPECT_NEAR(meter.Demands(At(20000))[0].generating_ms_per_s, 20 * 1000, 1000);
 }
 
--- a/tests/data_plane/engine_estimate_test.cpp
+++ b/tests/data_plane/engine_estimate_test.cpp
@@ -12,7 +12,7 @@
 // Prompts of two kinds, at an engine with its figures: half are long, with two long shared parts, half short.
 class Engine {
  public:
-  Engine(ReadingFigures figures, unsigned seed) : figures_(figures), random_(seed) {}
+  Engine(PrefillCost cost, unsigned seed) : cost_(cost), random_(seed) {}
 
   struct Options {
     bool cached_at_random = false;  // else nothing is cached
@@ -28,9 +28,9 @@
       const Prompt prompt = ParsePrompt("", shared + std::to_string(static_cast<int>(own) + 1));
       double cached = 0;
       if (options.cached_at_random && random_() % 4 > 0) {
-        cached = static_cast<double>(random_() % 3 == 0 ? prompt.parts[0].tokens : prompt.SharedTokens());
+        cached = static_cast<double>(random_() % 3 == 0 ? prompt.blocks[0].tokens : prompt.SharedTokens());
       }
-      double elapsed = figures_.fixed_ms + figures_.WorkMs(static_cast<double>(prompt.tokens), cached);
+      double elapsed = cost_.fixed_ms + cost_.WorkMs(static_cast<double>(prompt.tokens), cached);
       if (std::uniform_real_distribution<double>()(random_) < options.share_disturbed)
         elapsed += random_() % 300;
       estimate.Observe(prompt, 0, elapsed);
@@ -38,28 +38,28 @@
   }
 
  private:
-  ReadingFigures figures_;
+  PrefillCost cost_;
   std::mt19937 random_;
 };
 
 double WorkOf(const EngineEstimate& estimate, double tokens, double cached) {
-  return estimate.figures().WorkMs(tokens, cached);
+  return estimate.cost().WorkMs(tokens, cached);
 }
-void ExpectLearned(const EngineEstimate& estimate, const ReadingFigures& truth, double share) {
+void ExpectLearned(const EngineEstimate& estimate, const PrefillCost& truth, double share) {
   for (const auto& [tokens, cached] :
        {std::pair{800.0, 0.0}, {9000.0, 0.0}, {9000.0, 6300.0}, {16000.0, 6300.0}}) {
     const double wanted = truth.fixed_ms + truth.WorkMs(tokens, cached);
-    const double got = estimate.figures().fixed_ms + WorkOf(estimate, tokens, cached);
+    const double got = estimate.cost().fixed_ms + WorkOf(estimate, tokens, cached);
     EXPECT_NEAR(got, wanted, wanted * share + 10) << tokens << " tokens, " << cached << " cached";
   }
 }
 
 // The engines of three deployments, and one four times slower than the slowest; none is named anywhere.
-constexpr ReadingFigures kEngines[] = {
+constexpr PrefillCost kEngines[] = {
     {15, 1 / 112.0, 0.154}, {10, 1 / 125.0, 0.154}, {64, 1 / 32.4, 1.18}, {64, 4 / 32.4, 4.7}};
 
 TEST(EngineEstimate, LearnsEnginesThatItWasNotTold) {
-  for (const ReadingFigures& truth : kEngines) {
+  for (const PrefillCost& truth : kEngines) {
     EngineEstimate estimate;
     Engine(truth, 1).Teach(estimate, 60, {});
     ExpectLearned(estimate, truth, 0.2);
@@ -67,7 +67,7 @@
 }
 
 TEST(EngineEstimate, LearnsThoughSharedPartsMayBeCachedAndOtherWorkIsInTheWay) {
-  for (const ReadingFigures& truth : kEngines) {
+  for (const PrefillCost& truth : kEngines) {
     EngineEstimate estimate;
     Engine(truth, 2).Teach(estimate, 200, {true, 0.3});
     ExpectLearned(estimate, truth, 0.4);
@@ -99,7 +99,7 @@
     estimate.Observe(prompt, 0, static_cast<double>(1 + random() % 3000));
     ASSERT_TRUE(std::isfinite(WorkOf(estimate, 9000, 0)));
     ASSERT_GT(WorkOf(estimate, 9000, 0), 0);
-    ASSERT_GE(estimate.figures().fixed_ms, 0);
+    ASSERT_GE(estimate.cost().fixed_ms, 0);
   }
 }
 
--- a/tests/data_plane/list_source_test.cpp
+++ b/tests/data_plane/list_source_test.cpp
@@ -44,30 +44,30 @@
 
 TEST(ListSource, GoesByWhatIsToldWholeThenByChanges) {
   ListSource source;
-  const auto first = source.Take(Whole(5, 3), kStart);
+  const auto first = source.Apply(Whole(5, 3), kStart);
   ASSERT_TRUE(first);
   EXPECT_EQ(first->instances.size(), 3u);
   EXPECT_EQ(source.read_at(), kStart - milliseconds(100));
-  EXPECT_FALSE(source.Take(NoNews(5, milliseconds(50)), kStart + milliseconds(300)));
+  EXPECT_FALSE(source.Apply(NoNews(5, milliseconds(50)), kStart + milliseconds(300)));
   EXPECT_EQ(source.read_at(), kStart + milliseconds(250));
-  const auto second = source.Take(OneMore(5, 4), kStart + milliseconds(500));
+  const auto second = source.Apply(OneMore(5, 4), kStart + milliseconds(500));
   ASSERT_TRUE(second);
   EXPECT_EQ(second->instances.size(), 4u);
-  EXPECT_EQ(source.told_revision(), 6u);
-  EXPECT_FALSE(source.TakeLacksBase());
+  EXPECT_EQ(source.newest_revision(), 6u);
+  EXPECT_FALSE(source.ConsumeMissingBase());
 }
 
 // Nobody told it anything for a while. What it is told then was read before its own reading: it is not gone
 // by, but changes build on it, and once it is known to be the newer one it counts, though it comes no more.
 TEST(ListSource, AnOwnReadingCountsUntilTheToldListIsKnownToBeNewer) {
   ListSource source;
-  source.Take(Whole(5, 3), kStart);
-  source.TakeOwnReading(kStart + milliseconds(3000));
-  EXPECT_FALSE(source.Take(Whole(6, 4, milliseconds(900)), kStart + milliseconds(3200)));
-  EXPECT_EQ(source.told_revision(), 6u);
-  EXPECT_FALSE(source.Take(OneMore(6, 5), kStart + milliseconds(3050)));
-  EXPECT_FALSE(source.TakeLacksBase()) << "no reason to subscribe anew";
-  const auto newer = source.Take(NoNews(7, milliseconds(100)), kStart + milliseconds(3500));
+  source.Apply(Whole(5, 3), kStart);
+  source.UseDirectRead(kStart + milliseconds(3000));
+  EXPECT_FALSE(source.Apply(Whole(6, 4, milliseconds(900)), kStart + milliseconds(3200)));
+  EXPECT_EQ(source.newest_revision(), 6u);
+  EXPECT_FALSE(source.Apply(OneMore(6, 5), kStart + milliseconds(3050)));
+  EXPECT_FALSE(source.ConsumeMissingBase()) << "no reason to subscribe anew";
+  const auto newer = source.Apply(NoNews(7, milliseconds(100)), kStart + milliseconds(3500));
   ASSERT_TRUE(newer);
   EXPECT_EQ(newer->instances.size(), 5u);
   EXPECT_EQ(source.read_at(), kStart + milliseconds(3400));
@@ -75,20 +75,20 @@
 
 TEST(ListSource, APublicationThatCannotBeDatedReplacesNoOwnReading) {
   ListSource source;
-  source.TakeOwnReading(kStart);
-  EXPECT_FALSE(source.Take(Whole(5, 3), std::nullopt));
-  EXPECT_TRUE(source.Take(NoNews(5, milliseconds(0)), kStart + milliseconds(1)));
+  source.UseDirectRead(kStart);
+  EXPECT_FALSE(source.Apply(Whole(5, 3), std::nullopt));
+  EXPECT_TRUE(source.Apply(NoNews(5, milliseconds(0)), kStart + milliseconds(1)));
 }
 
 TEST(ListSource, ChangesOfAListThatIsNotHereAskForItWholeOnce) {
   ListSource source;
-  EXPECT_FALSE(source.Take(OneMore(7, 3), kStart));
-  EXPECT_TRUE(source.TakeLacksBase());
-  EXPECT_FALSE(source.TakeLacksBase());
-  source.Take(Whole(9, 3), kStart);
-  EXPECT_FALSE(source.Take(OneMore(7, 3), kStart));  // late: a newer one is here
-  EXPECT_FALSE(source.TakeLacksBase());
-  EXPECT_EQ(source.told_revision(), 9u);
+  EXPECT_FALSE(source.Apply(OneMore(7, 3), kStart));
+  EXPECT_TRUE(source.ConsumeMissingBase());
+  EXPECT_FALSE(source.ConsumeMissingBase());
+  source.Apply(Whole(9, 3), kStart);
+  EXPECT_FALSE(source.Apply(OneMore(7, 3), kStart));  // late: a newer one is here
+  EXPECT_FALSE(source.ConsumeMissingBase());
+  EXPECT_EQ(source.newest_revision(), 9u);
 }
 
 }  // namespace
