--- a/tests/data_plane/configuration_follower_test.cpp
+++ b/tests/data_plane/configuration_follower_test.cpp
@@ -9,7 +9,7 @@
 namespace kestrelline::data_plane {
 namespace {
 
-// Of `count` routes, the last of which depends on the version.
+// A configuration with `count` routes; the path of the last one depends on the version.
 std::string Text(int version, int count = 3) {
   std::string routes;
   for (int i = 0; i < count; ++i) {
@@ -22,7 +22,7 @@
          R"(],"services":[{"name":"s"}]})";
 }
 
-// A member that publishes versions as they come.
+// A control plane member that publishes successive versions.
 class Sender {
  public:
   void Set(int version, int count = 3) {
@@ -48,26 +48,26 @@
   distribution::ConfigurationHistory history_;
 };
 
-std::string LastPlace(const configuration::ConfigurationPtr& configuration) {
+std::string LastPathPrefix(const configuration::ConfigurationPtr& configuration) {
   return configuration ? configuration->routes.back().path_prefix : "none";
 }
 
-TEST(ConfigurationFollower, WholeFirstThenByPatches) {
+TEST(ConfigurationFollower, WholeFirstThenPatches) {
   Sender sender;
   ConfigurationFollower follower;
   sender.Set(1);
-  EXPECT_EQ(LastPlace(follower.Apply(sender.Compose(0), true)), "/p1001/");
+  EXPECT_EQ(LastPathPrefix(follower.Apply(sender.Compose(0), true)), "/p1001/");
   sender.Set(4);
   sender.Set(9);
   const wire::Publication publication = sender.Compose(follower.held_version());
   EXPECT_TRUE(publication.configuration.empty());
   EXPECT_EQ(publication.configuration_patches.size(), 2u);
-  EXPECT_EQ(LastPlace(follower.Apply(publication, false)), "/p1009/");
+  EXPECT_EQ(LastPathPrefix(follower.Apply(publication, false)), "/p1009/");
   EXPECT_EQ(follower.version_in_force(), 9u);
-  EXPECT_EQ(follower.Apply(publication, true), nullptr);  // told twice
+  EXPECT_EQ(follower.Apply(publication, true), nullptr);  // sent twice
 }
 
-TEST(ConfigurationFollower, PatchesOnAVersionThatIsNotHereAreVoidAndTheWholeIsAskedFor) {
+TEST(ConfigurationFollower, PatchesForAnUnknownBaseAreRejectedAndTheWholeIsRequested) {
   Sender sender;
   ConfigurationFollower follower;
   sender.Set(1);
@@ -78,11 +78,11 @@
   EXPECT_TRUE(follower.missing_base());
   EXPECT_EQ(follower.held_version(), 0u);
   EXPECT_EQ(follower.version_in_force(), 1u);
-  EXPECT_EQ(LastPlace(follower.Apply(sender.Compose(follower.held_version()), true)), "/p1003/");
+  EXPECT_EQ(LastPathPrefix(follower.Apply(sender.Compose(follower.held_version()), true)), "/p1003/");
   EXPECT_FALSE(follower.missing_base());
 }
 
-TEST(ConfigurationFollower, DamagedPatchesPutNothingInForce) {
+TEST(ConfigurationFollower, MalformedPatchesChangeNothing) {
   Sender sender;
   ConfigurationFollower follower;
   sender.Set(1);
@@ -98,8 +98,8 @@
   }
 }
 
-// A proxy that starts is ready only once what it was told is proven to be recent, patches included.
-TEST(ConfigurationFollower, TheFirstIsPutInForceOnlyOnceItIsProven) {
+// After a start, a proxy is ready only once the publication is proven to be recent; this includes patches.
+TEST(ConfigurationFollower, TheFirstVersionTakesEffectOnlyOnceProvenRecent) {
   Sender sender;
   ConfigurationFollower follower;
   sender.Set(1);
@@ -107,10 +107,10 @@
   sender.Set(2);
   EXPECT_EQ(follower.Apply(sender.Compose(1), false), nullptr);
   EXPECT_EQ(follower.version_in_force(), 0u);
-  EXPECT_EQ(LastPlace(follower.Apply(sender.Compose(2), true)), "/p1002/");
+  EXPECT_EQ(LastPathPrefix(follower.Apply(sender.Compose(2), true)), "/p1002/");
 }
 
-TEST(ConfigurationFollower, WhatItPassesOnIsTheNewestWholeOrByPatches) {
+TEST(ConfigurationFollower, RelaysTheNewestWholeOrAsPatches) {
   Sender sender;
   ConfigurationFollower follower;
   sender.Set(1);
@@ -126,14 +126,14 @@
   EXPECT_FALSE(follower.history().Since(3, 1 << 20));
 }
 
-TEST(ConfigurationHistory, TooMuchOrAGapLeadsNowhere) {
+TEST(ConfigurationHistory, NoPatchesBeyondTheSizeLimitOrAcrossAGap) {
   distribution::ConfigurationHistory history;
   history.Add(1, 2, std::string(100, 'x'));
   history.Add(2, 5, std::string(100, 'y'));
   EXPECT_TRUE(history.Since(1, 200));
   EXPECT_FALSE(history.Since(1, 199));
   EXPECT_TRUE(history.Since(2, 199));
-  history.Add(7, 8, "z");  // 5 to 7 was not seen
+  history.Add(7, 8, "z");  // the step from 5 to 7 is missing
   EXPECT_FALSE(history.Since(1, 1000));
   EXPECT_TRUE(history.Since(7, 1000));
   for (std::uint64_t i = 8; i < 8 + distribution::ConfigurationHistory::kMostSteps; ++i)
--- a/tests/data_plane/decisions_test.cpp
+++ b/tests/data_plane/decisions_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a proxy decides without I/O: prompts, events, budgets, health, placement.
+// Tests of the proxy's decisions without I/O: prompts, event splitting, retry budget, backend health,
+// placement.
 #include <gtest/gtest.h>
 
 #include "data_plane/arrival_account.h"
@@ -19,7 +20,7 @@
 
 // --- prompts ---
 
-TEST(Prompt, SharedChainsAreTheSameAndDifferentOnesAreNot) {
+TEST(Prompt, EqualPrefixesHaveEqualHashes) {
   const Prompt a = ParsePrompt("1460,80", "5c1e:800,91bd:410,e440:250");
   const Prompt b = ParsePrompt("1300,80", "5c1e:800,91bd:410,ffff:90");
   const Prompt c = ParsePrompt("1300,80", "91bd:410,5c1e:800,ffff:90");
@@ -33,12 +34,12 @@
   EXPECT_NE(a.blocks[1].prefix_hash, c.blocks[1].prefix_hash);
 }
 
-TEST(Prompt, IdsThatJoinToTheSameTextAreNotTheSame) {
+TEST(Prompt, IdBoundariesChangeTheHash) {
   EXPECT_NE(ParsePrompt("", "ab:1,c:1").blocks[1].prefix_hash,
             ParsePrompt("", "a:1,bc:1").blocks[1].prefix_hash);
 }
 
-TEST(Prompt, WhatCannotBeReadCountsAsAbsent) {
+TEST(Prompt, MalformedValuesCountAsAbsent) {
   EXPECT_EQ(ParsePrompt("", "").tokens, 0);
   EXPECT_EQ(ParsePrompt("x,y", "zz,:,a:b").tokens, 0);
   EXPECT_EQ(ParsePrompt("-5,-7", "a:-9").tokens, 0);
@@ -49,7 +50,7 @@
 
 // --- events ---
 
-TEST(EventSplitter, PassesOnlyWholeEventsAndKnowsTheLastId) {
+TEST(EventSplitter, ReturnsOnlyCompleteEventsAndTracksTheLastId) {
   EventSplitter events;
   EXPECT_EQ(events.Append("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
   EXPECT_EQ(events.last_id(), "1");
@@ -62,15 +63,15 @@
   EXPECT_EQ(events.last_id(), "2");
 }
 
-TEST(EventSplitter, AnEventWithoutEndPassesInPieces) {
+TEST(EventSplitter, AnOverlongEventIsForwardedInPieces) {
   EventSplitter events;
   const std::string piece(EventSplitter::kMaxEventBytes + 1, 'x');
   EXPECT_EQ(events.Append(piece).size(), piece.size());
 }
 
-// --- budget ---
+// --- retry budget ---
 
-TEST(RetryAccount, TheFirstReadingAndTheFirstRunAreFree) {
+TEST(RetryAccount, FirstPrefillAndFirstExecutionNeedNoBudget) {
   RetryAccount account;
   EXPECT_TRUE(account.empty());
   EXPECT_FALSE(account.NeedsBudget());
@@ -81,20 +82,21 @@
   EXPECT_TRUE(account.NeedsBudget());
 }
 
-// A reading that was rejected is the request's first arrival: whatever follows is beyond it, a run included.
-TEST(RetryAccount, AReadingThatWasNotTakenMakesTheRunOneThatIsPaidFor) {
+// A rejected prefill is the first counted attempt of the request, so all later attempts need budget,
+// including the execution.
+TEST(RetryAccount, ExecutionAfterARejectedPrefillNeedsBudget) {
   RetryAccount account;
   account.RecordPrefill(false);
   EXPECT_TRUE(account.NeedsBudget());
   account.RecordBudget();
   EXPECT_FALSE(account.NeedsBudget());
-  account.RecordPrefill(true);  // the first that was taken: the payment is left for the run
+  account.RecordPrefill(true);  // the first accepted prefill is free: the budget is left for the execution
   EXPECT_FALSE(account.NeedsBudget());
   account.RecordExecution();
   EXPECT_TRUE(account.NeedsBudget());
 }
 
-TEST(RetryAccount, AllArrivalsButTheFirstThatCountsArePaidFor) {
+TEST(RetryAccount, EveryCountedAttemptAfterTheFirstNeedsBudget) {
   RetryAccount account;
   int paid = 0;
   const auto arrive = [&](auto note) {
@@ -103,12 +105,12 @@
   };
   arrive([&] { account.RecordPrefill(true); });
   arrive([&] { account.RecordExecution(); });    // rejected
-  arrive([&] { account.RecordPrefill(true); });  // a second reading counts
+  arrive([&] { account.RecordPrefill(true); });  // a second prefill counts
   arrive([&] { account.RecordExecution(); });
   EXPECT_EQ(paid, 2);
 }
 
-TEST(FleetRetryBudget, AProxyUsesItsShareAndNotMore) {
+TEST(FleetRetryBudget, UsesItsShareAndNotMore) {
   RetryBudget budget({0.2, 58, Duration(10000)});
   budget.set_proxies(9, At(0));
   int taken = 0;
@@ -120,7 +122,7 @@
   EXPECT_GE(taken, 100);
 }
 
-TEST(FleetRetryBudget, FewerProxiesCountOnlyOnceThatHasLasted) {
+TEST(FleetRetryBudget, ASmallerNumberOfProxiesCountsAfterADelay) {
   RetryBudget budget({0, 58, Duration(10000)});
   budget.set_proxies(9, At(0));
   budget.set_proxies(2, At(1000));
@@ -132,12 +134,12 @@
   EXPECT_GT(taken, static_cast<int>(58 * RetryBudget::kUsedShare / 2));
 }
 
-TEST(FleetRetryBudget, AsLongAsNobodyToldItIsOneOfMany) {
+TEST(FleetRetryBudget, AssumesManyProxiesUntilTold) {
   RetryBudget budget({0.2, 58, Duration(10000)});
   EXPECT_FALSE(budget.TryAcquire("s", At(100)));
 }
 
-// --- health ---
+// --- backend health and load ---
 
 wire::InstanceList Listed(const std::vector<std::string>& ids, bool split = false) {
   wire::InstanceList list;
@@ -161,7 +163,7 @@
   throw std::runtime_error("no " + id);
 }
 
-TEST(BackendHealth, OneThatFailsIsEjectedReturnsByTimerAndKeepsItsMultiplier) {
+TEST(BackendHealth, AFailingBackendIsEjectedAndReturnsByTimerWithItsMultiplier) {
   BackendTable table(1);
   table.Update(Listed({"a", "b", "c", "d"}));
   table.Tick(At(0));
@@ -180,7 +182,7 @@
   EXPECT_EQ(failing.health.multiplier, 1);
 }
 
-TEST(BackendHealth, AnInstanceKeepsItsStateByItsIdAndANewOneAtItsAddressBeginsAnew) {
+TEST(BackendHealth, StateFollowsTheInstanceIdNotTheAddress) {
   BackendTable table(1);
   table.Update(Listed({"a", "b"}));
   ById(table, "a").in_flight = 3;
@@ -191,7 +193,7 @@
   EXPECT_EQ(table.size(), 2u);
 }
 
-TEST(BackendHealth, ARefusalIsNoFailureButLeavesTheBackendAloneForLonger) {
+TEST(BackendHealth, RejectionsCauseAGrowingBackoffButNoFailure) {
   Backend backend;
   backend.RecordRejection(At(0));
   const TimePoint first = backend.backoff_until;
@@ -205,7 +207,7 @@
   EXPECT_EQ(backend.health.failures, 0);
 }
 
-TEST(BackendLoads, OthersAreTheSumLessWhatWasReported) {
+TEST(BackendLoads, LoadOfOthersIsTheTotalMinusTheOwnReport) {
   BackendTable table(1);
   table.Update(Listed({"a", "b"}));
   Backend& a = ById(table, "a");
@@ -219,7 +221,7 @@
   EXPECT_DOUBLE_EQ(a.others_prefill_ms, 70);
   EXPECT_EQ(a.others_running, 3);
   table.ApplyLoadSummary({{{ById(table, "b").id_hash, 7, 1}}, false}, At(120));
-  EXPECT_DOUBLE_EQ(a.others_prefill_ms, 70);  // as it was: the summary is not whole
+  EXPECT_DOUBLE_EQ(a.others_prefill_ms, 70);  // unchanged, as the summary is incremental
   EXPECT_DOUBLE_EQ(ById(table, "b").others_prefill_ms, 7);
   table.ApplyLoadSummary({{{a.id_hash, 10, 1}}, true}, At(150));
   EXPECT_DOUBLE_EQ(ById(table, "b").others_prefill_ms, 0);
@@ -227,7 +229,7 @@
   EXPECT_FALSE(table.HasRecentLoads(At(5000)));
 }
 
-TEST(BackendLoads, HintsAreReadOrLeftAsTheyWere) {
+TEST(BackendLoads, MalformedHintsAreIgnored) {
   LoadHint hint;
   EXPECT_TRUE(ParseLoad("3,0,8", hint));
   EXPECT_EQ(hint.running, 3);
@@ -241,57 +243,57 @@
 
 class PlacementTest : public ::testing::Test {
  protected:
-  void Use(const wire::InstanceList& list) { table_.Update(list); }
+  void UpdateTable(const wire::InstanceList& list) { table_.Update(list); }
   BackendTable table_{1};
   Placement placement_{table_, "near", PlacementCosts{}, 2};
 };
 
-TEST_F(PlacementTest, TheLeastLoadedInTheZoneAndTiesAtRandom) {
-  Use(Listed({"a", "b", "c", "d"}));
-  std::map<std::string, int> picked;
-  for (int i = 0; i < 200; ++i) ++picked[placement_.PickPlain("s", {}, At(0)).backend->info.id];
-  EXPECT_EQ(picked.size(), 2u);
-  EXPECT_GT(picked["a"], 50);
-  EXPECT_GT(picked["c"], 50);
+TEST_F(PlacementTest, PrefersTheLeastLoadedInItsZoneWithRandomTies) {
+  UpdateTable(Listed({"a", "b", "c", "d"}));
+  std::map<std::string, int> picks;
+  for (int i = 0; i < 200; ++i) ++picks[placement_.PickPlain("s", {}, At(0)).backend->info.id];
+  EXPECT_EQ(picks.size(), 2u);
+  EXPECT_GT(picks["a"], 50);
+  EXPECT_GT(picks["c"], 50);
   ById(table_, "a").in_flight = 8;
   ById(table_, "c").in_flight = 8;
   EXPECT_EQ(placement_.PickPlain("s", {}, At(0)).backend->info.zone, "far");
 }
 
-TEST_F(PlacementTest, NeitherEjectedNorDrainingNorDisplacedNorExcludedOnes) {
+TEST_F(PlacementTest, SkipsEjectedDrainingReplacedAndExcludedBackends) {
   auto list = Listed({"a", "b", "c", "d"});
   list.instances[0].draining = true;
-  Use(list);
+  UpdateTable(list);
   ById(table_, "b").health.ejected = true;
   ById(table_, "c").address_reused = true;
   EXPECT_EQ(placement_.PickPlain("s", {}, At(0)).backend->info.id, "d");
-  // Where nothing else is left, one that is ejected is better than none; one that drains is not.
+  // Falls back to an ejected backend if there is no other, but never to a draining one.
   EXPECT_EQ(placement_.PickPlain("s", {&ById(table_, "d")}, At(0)).backend->info.id, "b");
   EXPECT_EQ(placement_.PickPlain("s", {&ById(table_, "d"), &ById(table_, "b")}, At(0)).backend, nullptr);
   EXPECT_EQ(placement_.PickPlain("unknown", {}, At(0)).backend, nullptr);
 }
 
-TEST_F(PlacementTest, PromptsWithTheSamePartsGoToTheSameReaderFromEveryProxy) {
+TEST_F(PlacementTest, AllProxiesSendASharedPrefixToTheSameBackend) {
   std::vector<std::string> ids;
   for (int i = 0; i < 16; ++i) ids.push_back("i-" + std::to_string(i));
-  Use(Listed(ids, true));
+  UpdateTable(Listed(ids, true));
   BackendTable other_table(9);
   other_table.Update(Listed(ids, true));
   Placement other(other_table, "far", PlacementCosts{}, 7);
-  std::map<std::string, int> readers;
+  std::map<std::string, int> picked_backends;
   for (int i = 0; i < 64; ++i) {
     const std::string shared = std::to_string(i) + ":5000,";
     const Prompt here = ParsePrompt("6000,50", shared + "x:1000");
     const Prompt there = ParsePrompt("6500,50", shared + "y:1500");
-    const auto reader = placement_.PickPrefill("s", here, {}, At(0)).backend->info.id;
-    EXPECT_EQ(reader, other.PickPrefill("s", there, {}, At(0)).backend->info.id);
-    ++readers[reader];
+    const auto picked_id = placement_.PickPrefill("s", here, {}, At(0)).backend->info.id;
+    EXPECT_EQ(picked_id, other.PickPrefill("s", there, {}, At(0)).backend->info.id);
+    ++picked_backends[picked_id];
   }
-  EXPECT_GE(readers.size(), 6u);
+  EXPECT_GE(picked_backends.size(), 6u);
 }
 
-TEST_F(PlacementTest, ALongQueueCostsMoreThanReadingSharedPartsAgain) {
-  Use(Listed({"a", "b", "c", "d", "e", "f"}, true));
+TEST_F(PlacementTest, ALongQueueOutweighsRecomputingASharedPrefix) {
+  UpdateTable(Listed({"a", "b", "c", "d", "e", "f"}, true));
   const Prompt prompt = ParsePrompt("6000,50", "77:5000,x:1000");
   const Pick first = placement_.PickPrefill("s", prompt, {}, At(0));
   first.backend->pending_prefill_ms = 200;
@@ -300,31 +302,31 @@
   EXPECT_NE(placement_.PickPrefill("s", prompt, {}, At(0)).backend, first.backend);
 }
 
-TEST_F(PlacementTest, GeneratesInTheZoneOfTheReader) {
+TEST_F(PlacementTest, DecodesInTheZoneOfThePrefill) {
   auto list = Listed({"a", "b", "c", "d", "e", "f"}, true);
   list.instances[3].zone = "near";
-  Use(list);
+  UpdateTable(list);
   Backend& source = ById(table_, "a", Stage::kPrefill);
   EXPECT_EQ(placement_.PickDecode("s", source, {}, At(0)).backend->info.zone, "near");
   ById(table_, "d", Stage::kDecode).in_flight = 16;
   EXPECT_EQ(placement_.PickDecode("s", source, {}, At(0)).backend->info.zone, "far");
 }
 
-TEST_F(PlacementTest, AReadingCountsUntilItEnds) {
-  Use(Listed({"a", "b"}, true));
+TEST_F(PlacementTest, APendingPrefillCountsUntilItEnds) {
+  UpdateTable(Listed({"a", "b"}, true));
   const BackendPtr a = table_.Find("s", Stage::kPrefill)->backends[0];
   const Prompt prompt = ParsePrompt("600,5", "1:500,x:100");
   {
-    PendingPrefill reading(a, prompt, 40, At(0));
+    PendingPrefill pending(a, prompt, 40, At(0));
     EXPECT_DOUBLE_EQ(a->pending_prefill_ms, 40);
-    reading.End();
+    pending.End();
     EXPECT_DOUBLE_EQ(a->pending_prefill_ms, 0);
   }
   EXPECT_DOUBLE_EQ(a->pending_prefill_ms, 0);
   EXPECT_TRUE(a->cached_prefixes.Contains(prompt.blocks[0].prefix_hash, At(0)));
 }
 
-TEST(KnownPartsTest, ForgetsTheOldestHalfAtItsBound) {
+TEST(PrefixCacheIndexTest, EvictsTheOldestHalfAtItsLimit) {
   PrefixCacheIndex prefixes;
   for (std::uint64_t i = 0; i < 10 * PrefixCacheIndex::kMaxEntries; ++i)
     prefixes.Touch(i, At(static_cast<double>(i)));
@@ -332,17 +334,17 @@
   EXPECT_FALSE(prefixes.Contains(0, At(0)));
 }
 
-TEST(Demand, FollowsTheLastSeconds) {
+TEST(Demand, RateFollowsRecentSeconds) {
   DemandMeter meter;
   for (int i = 0; i < 400; ++i) meter.Count("s", 20, 100, At(i * 50));
   const auto demands = meter.Demands(At(20000));
   ASSERT_EQ(demands.size(), 1u);
   EXPECT_NEAR(demands[0].reading_ms_per_s, 400, 20);
-  EXPECT_NEAR(demands[0].generating_ms_per_s, 2 * 2000, 200);  // 2 ms a token until streams have ended
+  EXPECT_NEAR(demands[0].generating_ms_per_s, 2 * 2000, 200);  // initially 2 ms per token
   EXPECT_LT(meter.Demands(At(60000))[0].reading_ms_per_s, 5u);
 }
 
-// The time of a slot that a token takes follows what streams took.
+// The slot time per token follows the observed streams.
 TEST(Demand, LearnsHowLongStreamsHoldTheirSlots) {
   DemandMeter meter;
   for (int i = 0; i < 400; ++i) {
@@ -354,9 +356,9 @@
   EXPECT_NEAR(meter.Demands(At(20000))[0].generating_ms_per_s, 20 * 1000, 1000);
 }
 
-// --- the platform's list ---
+// --- instance list of the platform ---
 
-TEST(ListPage, ReadsEntriesAndLeavesOutWhatIsNone) {
+TEST(ListPage, ReadsEntriesAndSkipsInvalidOnes) {
   const auto page =
       discovery::ParsePage(R"({"instances":[{"cluster":"s","address":"10.0.0.9:80","zone":"z","slots":64,
       "state":"draining","stage":"decode","models":[{"name":"m"}],"id":"i-1"},{"cluster":"s","id":"i-2"},5],
--- a/tests/data_plane/list_source_test.cpp
+++ b/tests/data_plane/list_source_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Whom a proxy believes about the list of backends, as publications come late, as changes, or not at all.
+// Which backend list a proxy uses when publications arrive late, as changes, or not at all.
 #include "data_plane/list_source.h"
 
 #include <gtest/gtest.h>
@@ -30,63 +30,64 @@
   publication.instances_age_ms = static_cast<std::uint32_t>(age.count());
   return publication;
 }
-wire::Publication NoNews(std::uint64_t revision, milliseconds age) {
+wire::Publication Unchanged(std::uint64_t revision, milliseconds age) {
   wire::Publication publication = Whole(revision, 0, age);
   publication.instances = nullptr;
   return publication;
 }
-// One backend more than before.
-wire::Publication OneMore(std::uint64_t base, int backends) {
-  wire::Publication publication = NoNews(base + 1, milliseconds(100));
+// A list with one backend more than its base.
+wire::Publication OneAdded(std::uint64_t base, int backends) {
+  wire::Publication publication = Unchanged(base + 1, milliseconds(100));
   publication.list_changes = wire::ListChanges{base, base + 1, {ListOf(0, backends)->instances.back()}, {}};
   return publication;
 }
 
-TEST(ListSource, GoesByWhatIsToldWholeThenByChanges) {
+TEST(ListSource, UsesTheWholeListThenChanges) {
   ListSource source;
   const auto first = source.Apply(Whole(5, 3), kStart);
   ASSERT_TRUE(first);
   EXPECT_EQ(first->instances.size(), 3u);
   EXPECT_EQ(source.read_at(), kStart - milliseconds(100));
-  EXPECT_FALSE(source.Apply(NoNews(5, milliseconds(50)), kStart + milliseconds(300)));
+  EXPECT_FALSE(source.Apply(Unchanged(5, milliseconds(50)), kStart + milliseconds(300)));
   EXPECT_EQ(source.read_at(), kStart + milliseconds(250));
-  const auto second = source.Apply(OneMore(5, 4), kStart + milliseconds(500));
+  const auto second = source.Apply(OneAdded(5, 4), kStart + milliseconds(500));
   ASSERT_TRUE(second);
   EXPECT_EQ(second->instances.size(), 4u);
   EXPECT_EQ(source.newest_revision(), 6u);
   EXPECT_FALSE(source.ConsumeMissingBase());
 }
 
-// Nobody told it anything for a while. What it is told then was read before its own reading: it is not gone
-// by, but changes build on it, and once it is known to be the newer one it counts, though it comes no more.
-TEST(ListSource, AnOwnReadingCountsUntilTheToldListIsKnownToBeNewer) {
+// The control plane was silent for a while. The first list after that was read before the direct read: it is
+// not used, but changes build on it. Once it is known to be newer than the direct read it is used, although
+// it is not sent again.
+TEST(ListSource, ADirectReadIsUsedUntilAReceivedListIsKnownToBeNewer) {
   ListSource source;
   source.Apply(Whole(5, 3), kStart);
   source.UseDirectRead(kStart + milliseconds(3000));
   EXPECT_FALSE(source.Apply(Whole(6, 4, milliseconds(900)), kStart + milliseconds(3200)));
   EXPECT_EQ(source.newest_revision(), 6u);
-  EXPECT_FALSE(source.Apply(OneMore(6, 5), kStart + milliseconds(3050)));
-  EXPECT_FALSE(source.ConsumeMissingBase()) << "no reason to subscribe anew";
-  const auto newer = source.Apply(NoNews(7, milliseconds(100)), kStart + milliseconds(3500));
+  EXPECT_FALSE(source.Apply(OneAdded(6, 5), kStart + milliseconds(3050)));
+  EXPECT_FALSE(source.ConsumeMissingBase()) << "no reason to subscribe again";
+  const auto newer = source.Apply(Unchanged(7, milliseconds(100)), kStart + milliseconds(3500));
   ASSERT_TRUE(newer);
   EXPECT_EQ(newer->instances.size(), 5u);
   EXPECT_EQ(source.read_at(), kStart + milliseconds(3400));
 }
 
-TEST(ListSource, APublicationThatCannotBeDatedReplacesNoOwnReading) {
+TEST(ListSource, AnUndatedPublicationDoesNotReplaceADirectRead) {
   ListSource source;
   source.UseDirectRead(kStart);
   EXPECT_FALSE(source.Apply(Whole(5, 3), std::nullopt));
-  EXPECT_TRUE(source.Apply(NoNews(5, milliseconds(0)), kStart + milliseconds(1)));
+  EXPECT_TRUE(source.Apply(Unchanged(5, milliseconds(0)), kStart + milliseconds(1)));
 }
 
-TEST(ListSource, ChangesOfAListThatIsNotHereAskForItWholeOnce) {
+TEST(ListSource, ChangesForAnUnknownBaseRequestTheWholeListOnce) {
   ListSource source;
-  EXPECT_FALSE(source.Apply(OneMore(7, 3), kStart));
+  EXPECT_FALSE(source.Apply(OneAdded(7, 3), kStart));
   EXPECT_TRUE(source.ConsumeMissingBase());
   EXPECT_FALSE(source.ConsumeMissingBase());
   source.Apply(Whole(9, 3), kStart);
-  EXPECT_FALSE(source.Apply(OneMore(7, 3), kStart));  // late: a newer one is here
+  EXPECT_FALSE(source.Apply(OneAdded(7, 3), kStart));  // late: a newer list was received
   EXPECT_FALSE(source.ConsumeMissingBase());
   EXPECT_EQ(source.newest_revision(), 9u);
 }
--- a/tests/data_plane/violations_test.cpp
+++ b/tests/data_plane/violations_test.cpp
@@ -6,7 +6,7 @@
 namespace kestrelline::invariants {
 namespace {
 
-TEST(Violations, AreCountedByInvariantAndTold) {
+TEST(Violations, AreCountedAndReportedByInvariant) {
   Violations violations;
   EXPECT_EQ(violations.total(), 0u);
   violations.Report(Invariant::kEveryRequestEnds, "request_id=r1");
--- a/tests/router_fleet/edge_drain_orders_test.cpp
+++ b/tests/router_fleet/edge_drain_orders_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Orders of events around the end of a proxy: late ticks, bursts, several requests at once on one connection.
+// Orders of events around the exit of a proxy: late ticks, bursts, pipelined requests.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -17,10 +17,10 @@
 namespace kestrelline::router_fleet {
 namespace {
 
-constexpr milliseconds kPatience{3000};  // for what should come at once
-// Of a proxy with the fixture's grace_s of 6: no longer serves all, concludes, ends.
-constexpr milliseconds kServesUntil{2600};
-constexpr milliseconds kConcludesAt{5350};
+constexpr milliseconds kResponseTimeout{3000};  // for responses that should come at once
+// Times after SIGTERM with the fixture's grace_s of 6: end of accepting, finalization and exit.
+constexpr milliseconds kAcceptsUntil{2600};
+constexpr milliseconds kFinalizesAt{5350};
 constexpr milliseconds kExitsAt{5650};
 
 std::string Post(const std::string& path, const std::string& id, const std::string& fields = "") {
@@ -45,7 +45,7 @@
 
 using Clients = std::vector<std::unique_ptr<ClientSocket>>;
 
-// So many connections; fewer if one is refused.
+// Opens `count` connections; fewer if one is refused.
 Clients Connect(const Fleet& fleet, int count) {
   Clients clients;
   while (static_cast<int>(clients.size()) < count) {
@@ -56,7 +56,7 @@
   return clients;
 }
 
-// A request on each.
+// Sends one request on each connection.
 bool SendAll(const Clients& clients, const std::string& fields = "") {
   int number = 0;
   for (const auto& client : clients) {
@@ -68,14 +68,15 @@
 int CountAnswered(const Clients& clients) {
   int answered = 0;
   for (const auto& client : clients) {
-    client->ReadToEnd(kPatience);
+    client->ReadToEnd(kResponseTimeout);
     answered += client->status() != 0 ? 1 : 0;
   }
   return answered;
 }
 
-// SIGTERM; `from` after it the process gets no processor time until `to`, and `meanwhile` happens.
-void StopAndHold(Fleet& fleet, milliseconds from, milliseconds to, const std::function<void()>& meanwhile) {
+// Sends SIGTERM. The process gets no CPU time from `from` until `to` after that; `meanwhile` runs in between.
+void StopAndSuspend(Fleet& fleet, milliseconds from, milliseconds to,
+                    const std::function<void()>& meanwhile) {
   const auto stopped_at = Clock::now();
   fleet.edge(0).Signal(SIGTERM);
   WaitUntil(stopped_at + from);
@@ -85,26 +86,26 @@
   fleet.edge(0).Signal(SIGCONT);
 }
 
-// The process gets no processor time around the moment when it would conclude and end.
-TEST(EdgeDrainOrders, AProxyWhoseTickComesLateStillAnswersWhatIsOpen) {
+// The process gets no CPU time around finalization and exit.
+TEST(EdgeDrainOrders, ALateTickStillAnswersOpenRequests) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(BeginWithTimeout(fleet, 30000));
   fleet.backend("a0").Expect({Fault::kHang});
   KeptConnection client(fleet.EdgeIp(0), Fleet::kFront);
   client.Send(Post("/app/x", "r1", "Deadline-Ms: 30000\r\n"));
   ASSERT_TRUE(Eventually([&] { return fleet.Runs("r1") == 1; }));
-  StopAndHold(fleet, kConcludesAt - milliseconds(150), kExitsAt + milliseconds(50), [] {});
+  StopAndSuspend(fleet, kFinalizesAt - milliseconds(150), kExitsAt + milliseconds(50), [] {});
   EXPECT_TRUE(client.ReadAnswer().ended_well);
   EXPECT_TRUE(Eventually([&] { return fleet.edge(0).Ended(); }));
 }
 
-// Requests wait in the queue of new connections as the proxy stops to accept.
-TEST(EdgeDrainOrders, WhatWaitsInTheQueueOfNewConnectionsIsAnswered) {
+// New connections with requests are in the kernel's queue when the proxy stops accepting.
+TEST(EdgeDrainOrders, QueuedConnectionsAreAnswered) {
   constexpr int kClients = 8;
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(BeginWithTimeout(fleet, 30000));
   Clients clients;
-  StopAndHold(fleet, kServesUntil - milliseconds(200), kServesUntil + milliseconds(150), [&] {
+  StopAndSuspend(fleet, kAcceptsUntil - milliseconds(200), kAcceptsUntil + milliseconds(150), [&] {
     clients = Connect(fleet, kClients);
     ASSERT_EQ(static_cast<int>(clients.size()), kClients);
     ASSERT_TRUE(SendAll(clients, "Connection: close\r\n"));
@@ -112,21 +113,22 @@
   EXPECT_EQ(CountAnswered(clients), kClients);
 }
 
-// More connections have a request at once than one round of the reactor takes.
-TEST(EdgeDrainOrders, WhatWaitsOnKeptConnectionsAsTheProxyClosesIdleOnesIsAnswered) {
+// More connections receive a request at once than one round of the reactor handles.
+TEST(EdgeDrainOrders, RequestsOnKeptConnectionsAreAnsweredWhileIdleOnesAreClosed) {
   constexpr int kClients = 300;
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(BeginWithTimeout(fleet, 30000));
   const Clients clients = Connect(fleet, kClients);
   ASSERT_EQ(static_cast<int>(clients.size()), kClients);
-  ASSERT_EQ(fleet.Send(0, "/app/x", "first").status, 200);  // so all before are accepted
-  StopAndHold(fleet, kServesUntil - milliseconds(200), kServesUntil + milliseconds(150),
-              [&] { ASSERT_TRUE(SendAll(clients)); });
+  ASSERT_EQ(fleet.Send(0, "/app/x", "first").status, 200);  // so all connections above are accepted
+  StopAndSuspend(fleet, kAcceptsUntil - milliseconds(200), kAcceptsUntil + milliseconds(150),
+                 [&] { ASSERT_TRUE(SendAll(clients)); });
   EXPECT_EQ(CountAnswered(clients), kClients);
 }
 
-// drain_schedule.h leaves 300 ms for the last answers; open_requests.h says that begun answers go on.
-TEST(EdgeDrainOrders, AStreamThatHasBegunGoesOnUntilTheProcessEnds) {
+// drain_schedule.h leaves 300 ms for the final responses; according to open_requests.h, started responses
+// continue.
+TEST(EdgeDrainOrders, AStartedStreamContinuesUntilTheExit) {
   Fleet::Options options = Fleet::Split(1, 1);
   options.events = 2000;
   options.between = milliseconds(10);
@@ -134,15 +136,15 @@
   ASSERT_TRUE(BeginWithTimeout(fleet, 30000));
   ClientSocket client(fleet.EdgeIp(0), Fleet::kFront);
   ASSERT_TRUE(client.Send(Generation("r1")));
-  ASSERT_TRUE(client.ReadSome(kPatience));
+  ASSERT_TRUE(client.ReadSome(kResponseTimeout));
   const auto stopped_at = Clock::now();
   fleet.edge(0).Signal(SIGTERM);
-  client.ReadToEnd(kPatience);
+  client.ReadToEnd(kResponseTimeout);
   const auto lasted = std::chrono::duration_cast<milliseconds>(Clock::now() - stopped_at);
   EXPECT_GE(lasted.count(), (kExitsAt - milliseconds(80)).count());
 }
 
-TEST(EdgeDrainOrders, ARequestWhosePromptIsBeingReadAtTheEndIsRefused) {
+TEST(EdgeDrainOrders, ARequestInPrefillAtTheExitIsRejected) {
   Fleet fleet(Fleet::Split(1, 1));
   ASSERT_TRUE(BeginWithTimeout(fleet, 30000));
   fleet.backend("p0").Expect({Fault::kHang, Fault::kHang, Fault::kHang, Fault::kHang});
@@ -153,27 +155,27 @@
       [&] { return !fleet.backend("p0").arrivals().empty() || !fleet.backend("d0").arrivals().empty(); }));
   fleet.edge(0).Signal(SIGTERM);
   client.ReadToEnd(kGiveUp);
-  const bool promised = client.status() == 503;
+  const bool unavailable = client.status() == 503;
   EXPECT_NE(client.status(), 0);
-  EXPECT_TRUE(!promised || fleet.Runs("r1") == 0) << client.text();
+  EXPECT_TRUE(!unavailable || fleet.Runs("r1") == 0) << client.text();
 }
 
-// Nobody has told the client to end before its second request, and that one was read.
-TEST(EdgeDrainOrders, BothRequestsOfAClientThatEndsItsSendingAreAnswered) {
+// The client was not told to close before its second request, which the proxy has read.
+TEST(EdgeDrainOrders, BothPipelinedRequestsOfAHalfClosedClientAreAnswered) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(fleet.Begin());
   ClientSocket client(fleet.EdgeIp(0), Fleet::kFront);
   ASSERT_TRUE(client.Send(Post("/app/x", "r1") + Post("/app/x", "r2")));
   client.EndSending();
-  client.ReadToEnd(kPatience);
+  client.ReadToEnd(kResponseTimeout);
   int answers = 0;
   for (std::size_t at = 0; (at = client.text().find("HTTP/1.1 ", at)) != std::string::npos; ++at) ++answers;
   EXPECT_EQ(answers, 2) << client.text();
 }
 
-// A burst of new connections at a proxy whose connections are all taken, by idle ones.
-TEST(EdgeDrainOrders, ABurstBesideManyIdleConnectionsIsAnswered) {
-  constexpr int kIdle = 372;  // as many as max_fds of the fixture leaves room for
+// A burst of new connections arrives while idle ones occupy all connections of the proxy.
+TEST(EdgeDrainOrders, ABurstIsAnsweredDespiteManyIdleConnections) {
+  constexpr int kIdle = 372;  // as many as the fixture's max_fds allows
   constexpr int kBurst = 100;
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(fleet.Begin());
@@ -188,21 +190,21 @@
   EXPECT_EQ(CountAnswered(burst), kBurst);
 }
 
-// Whatever a client does around the stop of its proxy: what a backend got is answered, or its client left
-// first.
-class Roamer {
+// A client with random behaviour around the stop of its proxy. Whatever reached a backend must be answered,
+// unless the client left first.
+class RandomClient {
  public:
-  Roamer(Fleet& fleet, int number)
+  RandomClient(Fleet& fleet, int number)
       : fleet_(fleet), number_(number), random_(static_cast<unsigned>(number) + 1) {}
   void Run(Clock::time_point until) {
     while (Clock::now() < until) Session(until);
   }
-  // Requests that were sent whole, by a client that waited for their answers, and that got none.
+  // Requests sent completely by a client that waited for the response and got none.
   const std::vector<std::string>& unanswered() const { return unanswered_; }
-  int asked() const { return asked_; }
+  int requests_sent() const { return requests_sent_; }
 
  private:
-  std::string NextId() { return "c" + std::to_string(number_) + "-" + std::to_string(++asked_); }
+  std::string NextId() { return "c" + std::to_string(number_) + "-" + std::to_string(++requests_sent_); }
   int Below(int limit) { return static_cast<int>(random_() % static_cast<unsigned>(limit)); }
   std::string Request(const std::string& id) {
     const std::string deadline = "Deadline-Ms: " + std::to_string(200 + Below(9000)) + "\r\n";
@@ -222,10 +224,10 @@
       const std::string id = NextId();
       const std::string text = Request(id);
       switch (Below(12)) {
-        case 0:  // leaves at some time
+        case 0:  // disconnects after a random time
           client.Send(text);
           return WaitUntil(Clock::now() + milliseconds(Below(100)));
-        case 1:  // a half request
+        case 1:  // an incomplete request
           client.Send(text.substr(0, text.size() - 3));
           return WaitUntil(Clock::now() + milliseconds(Below(100)));
         case 2:  // in two parts
@@ -233,7 +235,7 @@
           WaitUntil(Clock::now() + milliseconds(Below(300)));
           client.Send(text.substr(text.size() / 2));
           break;
-        case 3: {  // two at once: the second is read below
+        case 3: {  // two pipelined requests: the second response is read below
           const std::string first = NextId();
           client.Send(Post("/app/x", first) + Post("/safe/x", id));
           if (!client.ReadAnswer().ended_well) unanswered_.push_back(first);
@@ -254,11 +256,11 @@
   Fleet& fleet_;
   int number_;
   std::minstd_rand random_;
-  int asked_ = 0;
+  int requests_sent_ = 0;
   std::vector<std::string> unanswered_;
 };
 
-TEST(EdgeDrainOrders, WhateverClientsDoWhatWasPassedOnIsAnswered) {
+TEST(EdgeDrainOrders, ForwardedRequestsAreAnsweredWhateverClientsDo) {
   Fleet::Options options = Fleet::Split(1, 1);
   options.plain = 2;
   options.events = 60;
@@ -272,18 +274,18 @@
     fleet.backend("p0").Expect({Fault::kNone, Fault::kHang, Fault::kNone, Fault::kRefuse});
   }
   const auto until = Clock::now() + milliseconds(9000);
-  std::vector<std::unique_ptr<Roamer>> clients;
+  std::vector<std::unique_ptr<RandomClient>> clients;
   std::vector<std::thread> threads;
   for (int i = 0; i < 40; ++i) {
-    clients.push_back(std::make_unique<Roamer>(fleet, i));
+    clients.push_back(std::make_unique<RandomClient>(fleet, i));
     threads.emplace_back([&client = *clients.back(), until] { client.Run(until); });
   }
   WaitUntil(until - milliseconds(7500));
   fleet.edge(0).Signal(SIGTERM);
   for (std::thread& thread : threads) thread.join();
-  int asked = 0;
+  int requests_sent = 0;
   for (const auto& client : clients) {
-    asked += client->asked();
+    requests_sent += client->requests_sent();
     for (const std::string& unanswered : client->unanswered()) {
       const std::string id = unanswered.substr(0, unanswered.find(' '));
       bool reached = false;
@@ -295,15 +297,15 @@
     }
   }
   EXPECT_TRUE(Eventually([&] { return fleet.edge(0).Ended(); }));
-  std::cout << "asked " << asked << "\n" << fleet.Log().substr(fleet.Log().rfind("drain")) << "\n";
+  std::cout << "asked " << requests_sent << "\n" << fleet.Log().substr(fleet.Log().rfind("drain")) << "\n";
 }
 
-// The last tick before the exit comes late, and one new connection with it, the only one.
-TEST(EdgeDrainOrders, TheOnlyConnectionThatWaitsAsTheProxyStopsToAcceptIsAnswered) {
+// The last tick before the exit is late, and a single new connection arrives during the delay.
+TEST(EdgeDrainOrders, ASingleQueuedConnectionIsAnswered) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(BeginWithTimeout(fleet, 30000));
   Clients clients;
-  StopAndHold(fleet, kServesUntil - milliseconds(100), kServesUntil + milliseconds(100), [&] {
+  StopAndSuspend(fleet, kAcceptsUntil - milliseconds(100), kAcceptsUntil + milliseconds(100), [&] {
     clients = Connect(fleet, 1);
     ASSERT_EQ(clients.size(), 1u);
     ASSERT_TRUE(SendAll(clients, "Connection: close\r\n"));
@@ -311,8 +313,8 @@
   EXPECT_EQ(CountAnswered(clients), 1);
 }
 
-// For the sanitizers: whatever is open at the exit is destroyed with the process's objects.
-TEST(EdgeDrainOrders, AProxyEndsInOrderWithEverythingOpen) {
+// For the sanitizers: everything open at the exit is destroyed together with the objects of the process.
+TEST(EdgeDrainOrders, ExitsCleanlyWithEverythingOpen) {
   Fleet::Options options = Fleet::Split(1, 1);
   options.events = 180 * 1000;
   options.between = milliseconds(0);
@@ -333,14 +335,14 @@
     never_ends.Send("POST /app/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 5\r\n\r\nhello");
     return fleet.edge(0).Ended();
   }));
-  hanging.ReadToEnd(kPatience);
+  hanging.ReadToEnd(kResponseTimeout);
   EXPECT_NE(hanging.status(), 0);
   const std::string log = fleet.Log();
   std::cout << log.substr(log.find("draining ")) << "\n";
 }
 
-// A request without tokens of its own goes through the same end as others.
-TEST(EdgeDrainOrders, ANonRepeatableRequestThatHangsAtTheEndIsNotPromised) {
+// A request without a separate prefill ends in the same way as others.
+TEST(EdgeDrainOrders, AHangingUnsafeRequestDoesNotGet503AtTheExit) {
   Fleet fleet(Fleet::Split(0, 1));
   ASSERT_TRUE(BeginWithTimeout(fleet, 30000));
   fleet.backend("d0").Expect({Fault::kHang});
@@ -352,8 +354,8 @@
   EXPECT_TRUE(client.status() == 502 || client.status() == 504) << client.status();
 }
 
-// SIGTERM is seen late; SIGKILL, which comes grace_s after SIGTERM was sent, is not.
-TEST(EdgeDrainOrders, AProxyThatSeesSigtermLateStillAnswersWhatIsOpenBeforeItIsKilled) {
+// The process notices SIGTERM late, but SIGKILL still comes grace_s after SIGTERM was sent.
+TEST(EdgeDrainOrders, OpenRequestsAreAnsweredBeforeSigkillIfSigtermIsNoticedLate) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(BeginWithTimeout(fleet, 30000));
   fleet.backend("a0").Expect({Fault::kHang});
@@ -367,7 +369,7 @@
   fleet.edge(0).Signal(SIGCONT);
   WaitUntil(stopped_at + milliseconds(6000));
   fleet.edge(0).Signal(SIGKILL);
-  client.ReadToEnd(kPatience);
+  client.ReadToEnd(kResponseTimeout);
   EXPECT_NE(client.status(), 0);
 }
 
--- a/tests/router_fleet/edge_drain_test.cpp
+++ b/tests/router_fleet/edge_drain_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A proxy that is stopped by SIGTERM: whatever it reads of its clients is answered in full before it ends.
+// A proxy stopped by SIGTERM answers completely whatever it has read from its clients before it exits.
 #include <gtest/gtest.h>
 
 #include <thread>
@@ -11,7 +11,7 @@
 namespace kestrelline::router_fleet {
 namespace {
 
-// The fixture's proxies have a grace_s of 6; a stream of this fleet lasts 3.5 s.
+// The fixture's proxies have a grace_s of 6; a stream of this fleet takes 3.5 s.
 Fleet::Options LongStreams() {
   Fleet::Options options = Fleet::Split(1, 1);
   options.events = 350;
@@ -34,14 +34,14 @@
   return false;
 }
 
-// Either it has a whole answer, or it was never taken on: its client may send it elsewhere.
-void ExpectNotLost(Fleet& fleet, const Answer& answer, const std::string& id) {
+// Either the response is complete, or the request was not accepted, so that its client may send it elsewhere.
+void ExpectAnsweredOrNotAccepted(Fleet& fleet, const Answer& answer, const std::string& id) {
   if (answer.ended_well) return;
   EXPECT_EQ(answer.text, "") << "an answer was broken off";
   EXPECT_FALSE(ReachedABackend(fleet, id)) << "a request that was passed on got no answer";
 }
 
-TEST(EdgeDrain, AKeptConnectionsNextRequestIsNotTakenOnAndGivenUp) {
+TEST(EdgeDrain, TheNextRequestOnAKeptConnectionIsAnsweredOrNotAccepted) {
   Fleet fleet(LongStreams());
   ASSERT_TRUE(fleet.Begin());
   KeptConnection client(fleet.EdgeIp(0), Fleet::kFront);
@@ -50,47 +50,48 @@
   ASSERT_TRUE(Eventually([&] { return fleet.Runs("r1") == 1; }));
   fleet.edge(0).Signal(SIGTERM);
   EXPECT_TRUE(client.ReadAnswer().ended_well);
-  client.Send(Generation("r2"));  // at once, on the same connection: its answer would last past the process
-  ExpectNotLost(fleet, client.ReadAnswer(), "r2");
+  client.Send(Generation(
+      "r2"));  // at once, on the same connection: the response would take longer than the process lives
+  ExpectAnsweredOrNotAccepted(fleet, client.ReadAnswer(), "r2");
   EXPECT_TRUE(Eventually([&] { return fleet.edge(0).Ended(); }));
   EXPECT_EQ(fleet.edge(0).status(), 0);
 }
 
-TEST(EdgeDrain, ARequestThatComesThreeSecondsAfterSigtermIsNotTakenOnAndGivenUp) {
+TEST(EdgeDrain, ARequestThreeSecondsAfterSigtermIsAnsweredOrNotAccepted) {
   Fleet fleet(LongStreams());
   ASSERT_TRUE(fleet.Begin());
-  KeptConnection before(fleet.EdgeIp(0), Fleet::kFront);  // keeps the process from ending early
-  before.Send(Generation("r1"));
+  KeptConnection earlier_client(fleet.EdgeIp(0), Fleet::kFront);  // keeps the process from exiting early
+  earlier_client.Send(Generation("r1"));
   ASSERT_TRUE(Eventually([&] { return fleet.Runs("r1") == 1; }));
   fleet.edge(0).Signal(SIGTERM);
-  const auto late = Clock::now() + milliseconds(3050);
-  ASSERT_TRUE(Eventually([&] { return Clock::now() >= late; }));
+  const auto send_at = Clock::now() + milliseconds(3050);
+  ASSERT_TRUE(Eventually([&] { return Clock::now() >= send_at; }));
   KeptConnection client(fleet.EdgeIp(0), Fleet::kFront);
   if (client.connected()) {
     client.Send(Generation("r2"));
-    ExpectNotLost(fleet, client.ReadAnswer(), "r2");
+    ExpectAnsweredOrNotAccepted(fleet, client.ReadAnswer(), "r2");
   }
-  EXPECT_TRUE(before.ReadAnswer().ended_well);
+  EXPECT_TRUE(earlier_client.ReadAnswer().ended_well);
   EXPECT_TRUE(Eventually([&] { return fleet.edge(0).Ended(); }));
   EXPECT_EQ(fleet.edge(0).status(), 0);
 }
 
-// Symptom: streams were cut in the middle of their answers when proxies were stopped in turn; beside changes
-// of the configuration the operators counted them as lost. Sequence: SIGTERM; 1.8 to 2.5 s later, while a
-// stopping proxy still takes everything, a long generation comes on an open connection or a new one; its
-// events flow until the process ends 7.65 s after SIGTERM, and are cut there. Cause: what is taken in that
-// time was not compared with what is left. Settled by the proxies' lines `answer cut while stopping`: in ten
-// of ten the request had announced 1,120 tokens, was read 0.7 to 2.5 s after SIGTERM, and had its last event
-// 3 to 69 ms before the cut, so that it was long and not stalled.
-TEST(EdgeDrain, AStreamThatNeedsLongerThanIsLeftIsRefusedAfterSigterm) {
+// Failure: streams were truncated when proxies were stopped one after another; the operators counted them as
+// lost beside configuration changes. A long generation arrived 1.8 to 2.5 s after SIGTERM, on an open
+// connection or a new one, while the proxy still admitted every request; its events flowed until the process
+// exited 7.65 s after SIGTERM. Cause: the deadline of a request was not compared with the remaining time.
+// Evidence in the log lines `answer cut while stopping`: ten of ten such requests announced 1,120 tokens,
+// were read 0.7 to 2.5 s after SIGTERM, and had their last event 3 to 69 ms before the cut, so the streams
+// were long rather than stalled.
+TEST(EdgeDrain, AStreamThatWouldOutlastTheProcessIsRejectedAfterSigterm) {
   Fleet fleet(LongStreams());
   ASSERT_TRUE(fleet.Begin());
-  KeptConnection before(fleet.EdgeIp(0), Fleet::kFront);
-  before.Send(Generation("r1"));
+  KeptConnection earlier_client(fleet.EdgeIp(0), Fleet::kFront);
+  earlier_client.Send(Generation("r1"));
   ASSERT_TRUE(Eventually([&] { return fleet.Runs("r1") == 1; }));
   fleet.edge(0).Signal(SIGTERM);
-  const auto late = Clock::now() + milliseconds(2350);  // 3.3 s are left
-  ASSERT_TRUE(Eventually([&] { return Clock::now() >= late; }));
+  const auto send_at = Clock::now() + milliseconds(2350);  // 3.3 s are left
+  ASSERT_TRUE(Eventually([&] { return Clock::now() >= send_at; }));
   KeptConnection client(fleet.EdgeIp(0), Fleet::kFront);
   ASSERT_TRUE(client.connected());
   client.Send(Generation("r2"));
@@ -99,18 +100,18 @@
   EXPECT_EQ(answer.status, 503);
   EXPECT_TRUE(answer.Has("Retry-After: "));
   EXPECT_FALSE(ReachedABackend(fleet, "r2"));
-  EXPECT_TRUE(before.ReadAnswer().ended_well);
+  EXPECT_TRUE(earlier_client.ReadAnswer().ended_well);
   EXPECT_TRUE(Eventually([&] { return fleet.edge(0).Ended(); }));
   EXPECT_EQ(fleet.edge(0).status(), 0);
 }
 
-// One whose own time ends before the process does is taken for as long as the platform sends any.
-TEST(EdgeDrain, AStreamWhoseTimeEndsBeforeTheProcessIsTakenAfterSigterm) {
+// A stream with a deadline before the exit is admitted for as long as the platform sends requests.
+TEST(EdgeDrain, AStreamWithADeadlineBeforeTheExitIsAdmittedAfterSigterm) {
   Fleet fleet(Fleet::Split(1, 1));
   ASSERT_TRUE(fleet.Begin());
   fleet.edge(0).Signal(SIGTERM);
-  const auto late = Clock::now() + milliseconds(1500);
-  ASSERT_TRUE(Eventually([&] { return Clock::now() >= late; }));
+  const auto send_at = Clock::now() + milliseconds(1500);
+  ASSERT_TRUE(Eventually([&] { return Clock::now() >= send_at; }));
   KeptConnection client(fleet.EdgeIp(0), Fleet::kFront);
   client.Send(
       "POST /llm/x HTTP/1.1\r\nHost: h.example\r\nRequest-Id: last\r\nDeadline-Ms: 2500\r\nModel-Name: "
@@ -120,7 +121,7 @@
   EXPECT_TRUE(answer.ended_well);
 }
 
-TEST(EdgeDrain, WhatIsStillOpenWhenTheProcessEndsIsAnswered) {
+TEST(EdgeDrain, RequestsOpenAtTheExitAreAnswered) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_EQ(fleet.Put(fleet.Configuration(1, 30000), 0), 200);
   ASSERT_TRUE(Eventually([&] { return fleet.AllReady(); }));
--- a/tests/router_fleet/requests_test.cpp
+++ b/tests/router_fleet/requests_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Requests through real proxies, before stand-ins of backends that refuse, break off, and say what is not so.
+// Requests through real proxies to stand-in backends that reject, break off, or send wrong responses.
 #include <gtest/gtest.h>
 
 #include "router_fleet/fleet_fixture.h"
@@ -8,7 +8,7 @@
 namespace kestrelline::router_fleet {
 namespace {
 
-TEST(FleetRequests, APlainRequestRunsOnceAndItsAnswerIsTheBackends) {
+TEST(FleetRequests, APlainRequestRunsOnceAndGetsTheBackendsResponse) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   const Answer answer = fleet.Send(0, "/app/x?y=1", "r1");
@@ -24,7 +24,7 @@
   EXPECT_LE(std::stoi(arrival.deadline_ms), 4000);
 }
 
-TEST(FleetRequests, ChunkedBodiesArriveUnchangedAndRoutesThatAreNotThereAre404) {
+TEST(FleetRequests, ChunkedBodiesArriveUnchangedAndUnknownRoutesGet404) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   const Answer answer =
@@ -41,7 +41,7 @@
             413);
 }
 
-TEST(FleetRequests, ARefusalIsTriedElsewhereAndAnswered503WhereAllRefuse) {
+TEST(FleetRequests, ARejectionIsRetriedElsewhereAndGets503IfAllReject) {
   Fleet fleet(Fleet::Plain(2));
   ASSERT_TRUE(fleet.Begin());
   for (const char* id : {"a0", "a1"}) fleet.backend(id).Expect({Fault::kRefuse, Fault::kRefuse});
@@ -50,15 +50,15 @@
   EXPECT_TRUE(refused.Has("Retry-After: "));
   EXPECT_FALSE(refused.Has("Server-Stamp"));
   EXPECT_EQ(fleet.Runs("r1"), 0);
-  // One refusal is left at each: whoever is asked first refuses, the other one too, then nothing is left of
-  // them.
+  // One rejection is left at each backend: the first one asked rejects, then the other one, and none is left
+  // after that.
   fleet.Send(0, "/app/x", "r2");
   const Answer answer = fleet.Send(0, "/app/x", "r3");
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(fleet.Runs("r3"), 1);
 }
 
-TEST(FleetRequests, AnUnsafeRequestThatMayHaveRunIsNeitherSentAgainNorPromised) {
+TEST(FleetRequests, AnUnsafeRequestThatMayHaveRunIsNeitherRetriedNorGets503) {
   Fleet fleet(Fleet::Plain(2));
   ASSERT_TRUE(fleet.Begin());
   for (const char* id : {"a0", "a1"}) fleet.backend(id).Expect({Fault::kCloseUnanswered});
@@ -67,7 +67,7 @@
   EXPECT_EQ(fleet.Runs("r1"), 1);
 }
 
-TEST(FleetRequests, ASafeOneIsSentAgainButNotMoreOftenThanAllowed) {
+TEST(FleetRequests, ASafeRequestIsRetriedUpToItsLimit) {
   Fleet fleet(Fleet::Plain(3));
   ASSERT_TRUE(fleet.Begin());
   for (const char* id : {"a0", "a1", "a2"}) fleet.backend(id).Expect({Fault::kCloseUnanswered});
@@ -76,7 +76,7 @@
   EXPECT_EQ(fleet.Runs("r1"), 2);
 }
 
-TEST(FleetRequests, ABackendsOwnErrorAndItsStampArePassedOn) {
+TEST(FleetRequests, ABackendErrorIsForwardedWithItsStamp) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   fleet.backend("a0").Expect({Fault::kError});
@@ -85,7 +85,7 @@
   EXPECT_TRUE(answer.Has("Server-Stamp: a0"));
 }
 
-TEST(FleetRequests, ASuccessWithoutStampAndAnAnswerToAnotherRequestAreNotPassedOn) {
+TEST(FleetRequests, UnstampedAndStrayResponsesAreNotForwarded) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   fleet.backend("a0").Expect({Fault::kNoStamp});
@@ -97,7 +97,7 @@
   EXPECT_FALSE(answer.Has("not yours"));
 }
 
-TEST(FleetRequests, APromptIsReadAtOneBackendAndGeneratedAtAnother) {
+TEST(FleetRequests, PrefillAndDecodeRunOnDifferentBackends) {
   Fleet fleet(Fleet::Split(2, 2));
   ASSERT_TRUE(fleet.Begin());
   const Answer answer = fleet.Generate(0, "r1");
@@ -117,7 +117,7 @@
   EXPECT_EQ(fleet_standin::HandleTable::Instance().size(), 0u);
 }
 
-TEST(FleetRequests, ARequestThatTellsNoPromptIsNotReadApart) {
+TEST(FleetRequests, ARequestWithoutPromptHeadersHasNoSeparatePrefill) {
   Fleet fleet(Fleet::Split(1, 2));
   ASSERT_TRUE(fleet.Begin());
   const Answer answer = fleet.Send(0, "/llm/x", "r1");
@@ -128,12 +128,12 @@
   EXPECT_EQ(fleet.Runs("r1"), 1);
 }
 
-TEST(FleetRequests, ARefusedHandOverGoesOnElsewhereAndRunsOnce) {
+TEST(FleetRequests, ARejectedHandOverContinuesElsewhereAndRunsOnce) {
   Fleet fleet(Fleet::Split(1, 2));
   ASSERT_TRUE(fleet.Begin());
   for (const char* id : {"d0", "d1"}) fleet.backend(id).Expect({Fault::kRefuse});
   const Answer answer = fleet.Generate(0, "r1");
-  // One refused, the other as well; the third sending is refused by none.
+  // Both backends reject once; the third attempt is accepted.
   EXPECT_TRUE(answer.status == 200 || answer.status == 503);
   EXPECT_LE(fleet.Runs("r1"), 1);
   const Answer next = fleet.Generate(0, "r2");
@@ -141,7 +141,7 @@
   EXPECT_EQ(fleet.Runs("r2"), 1);
 }
 
-TEST(FleetRequests, AStreamThatMayNotBeResumedEndsBadlyAndRunsOnce) {
+TEST(FleetRequests, ANonResumableStreamIsTruncatedAndRunsOnce) {
   Fleet fleet(Fleet::Split(1, 2));
   ASSERT_TRUE(fleet.Begin());
   for (const char* id : {"d0", "d1"}) fleet.backend(id).Expect({Fault::kBreakStream});
@@ -153,10 +153,10 @@
   EXPECT_EQ(fleet.Runs("r1"), 1);
 }
 
-TEST(FleetRequests, AStreamThatMayBeResumedGoesOnAtAnotherWithinOneAnswer) {
+TEST(FleetRequests, AResumableStreamContinuesElsewhereInOneResponse) {
   Fleet fleet(Fleet::Split(1, 3));
   ASSERT_TRUE(fleet.Begin(true));
-  // Whoever is first breaks off; whoever is next goes on.
+  // The first backend breaks off the stream; the next one continues it.
   for (const char* id : {"d0", "d1", "d2"}) fleet.backend(id).Expect({Fault::kBreakStream, Fault::kNone});
   const Answer answer = fleet.Generate(0, "r1");
   EXPECT_EQ(answer.status, 200);
@@ -173,8 +173,8 @@
   EXPECT_EQ(resumed_after, "2");
 }
 
-TEST(FleetRequests, AResumedStreamGoesOnAfterWhatWasPassedOnNotAfterWhatItsClientHad) {
-  // The client took its stream up itself, after event 1; then the backend breaks off, after event 3.
+TEST(FleetRequests, AResumedStreamContinuesAfterTheLastForwardedEvent) {
+  // The client itself resumed its stream after event 1; then the backend breaks off after event 3.
   Fleet fleet(Fleet::Split(1, 3));
   ASSERT_TRUE(fleet.Begin(true));
   for (const char* id : {"d0", "d1", "d2"}) fleet.backend(id).Expect({Fault::kBreakStream, Fault::kNone});
@@ -186,10 +186,10 @@
   for (std::size_t at = 0; (at = answer.text.find("id: ", at)) != std::string::npos; at += 4) {
     seen += answer.text[at + 4];
   }
-  EXPECT_EQ(seen, "2345");  // two by the first, two by the one that goes on and breaks off, too
+  EXPECT_EQ(seen, "2345");  // two events from the first backend, and two from the next, which also breaks off
 }
 
-TEST(FleetRequests, AnAnswerThatTellsNoRequestIsNotTaken) {
+TEST(FleetRequests, AResponseWithoutRequestIdIsIgnored) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(fleet.Begin());
   fleet.backend("a0").Expect({Fault::kNamelessAnswer});
@@ -199,7 +199,7 @@
   EXPECT_EQ(fleet.Runs("r1"), 1);
 }
 
-TEST(FleetRequests, ASecondAnswerIsNotTheNextRequests) {
+TEST(FleetRequests, AnExtraResponseIsNotGivenToTheNextRequest) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(fleet.Begin());
   for (int i = 0; i < 6; ++i) {
@@ -212,7 +212,7 @@
   }
 }
 
-TEST(FleetRequests, AnAnswerWithoutLengthIsWholeOnlyIfItsConnectionEndsWell) {
+TEST(FleetRequests, AResponseWithoutLengthIsCompleteOnlyAfterACleanClose) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(fleet.Begin());
   fleet.backend("a0").Expect({Fault::kUnframed, Fault::kUnframedReset});
@@ -225,7 +225,7 @@
   EXPECT_EQ(fleet.Runs("r2"), 1);
 }
 
-TEST(FleetRequests, ABodyThatIsRefusedEarlyReachesTheNextBackendWhole) {
+TEST(FleetRequests, ABodyRejectedEarlyReachesTheNextBackendComplete) {
   Fleet fleet(Fleet::Plain(2));
   ASSERT_TRUE(fleet.Begin());
   const std::string body(900 * 1000, 'b');
@@ -244,7 +244,7 @@
   }
 }
 
-TEST(FleetRequests, WhatTakesTooLongIsAnsweredAtItsTimeoutWithoutAPromise) {
+TEST(FleetRequests, ATimeoutGets504Not503) {
   Fleet fleet({});
   ASSERT_EQ(fleet.Put(fleet.Configuration(1, 300), 0), 200);
   ASSERT_TRUE(Eventually([&] { return fleet.AllReady(); }));
@@ -256,7 +256,7 @@
   EXPECT_LT(Clock::now() - began, milliseconds(3000));
 }
 
-TEST(FleetRequests, ABackendStopsWhenItsClientLeaves) {
+TEST(FleetRequests, ABackendStopsWhenItsClientDisconnects) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   fleet.backend("a0").Expect({Fault::kHang});
@@ -275,7 +275,7 @@
   EXPECT_EQ(next.status, 200);
 }
 
-TEST(FleetRequests, AnotherInstanceAtTheAddressIsNotAskedAgain) {
+TEST(FleetRequests, AReplacedInstanceIsNotAskedAgain) {
   Fleet fleet(Fleet::Plain(2));
   ASSERT_TRUE(fleet.Begin());
   for (const char* id : {"a0", "a1"}) fleet.backend(id).Expect({Fault::kMisdirect});
--- a/tests/router_fleet/unanswered_test.cpp
+++ b/tests/router_fleet/unanswered_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Requests that must not end without a complete answer: what clients send around them, and how they read.
+// Requests that must not end without a complete response, for unusual ways in which clients send and read.
 // docs/incidents/lost-sweep-data.md lists the paths.
 #include <gtest/gtest.h>
 
@@ -13,8 +13,8 @@
 namespace kestrelline::router_fleet {
 namespace {
 
-constexpr milliseconds kPatience{3000};  // for what should come at once
-// One more than the parser of a message can keep in one field.
+constexpr milliseconds kResponseTimeout{3000};  // for responses that should come at once
+// More than the HTTP parser can hold in one field.
 constexpr std::size_t kFieldTooLong = 70 * 1000;
 constexpr int kSmallReceiveBuffer = 4096;
 
@@ -32,18 +32,18 @@
          "\r\n5\r\nhello\r\n0\r\nX-Trailer: " + std::string(trailer_size, 't') + "\r\n\r\n";
 }
 
-// The first configuration, with limits of its own.
+// The first configuration with the given limits.
 std::string WithLimits(const Fleet& fleet, const std::string& limits) {
   const std::string begin = "{\"version\":1,";
   std::string text = fleet.Configuration(1);
   return begin + "\"limits\":{" + limits + "}," + text.substr(begin.size());
 }
 
-bool BeginWith(const Fleet& fleet, const std::string& configuration) {
+bool StartWith(const Fleet& fleet, const std::string& configuration) {
   return fleet.Put(configuration, 0) == 200 && Eventually([&] { return fleet.AllReady(); });
 }
 
-// A plain request whose answer is a stream of many events, which the proxy reads whole.
+// A plain request whose response is a stream of many events, which the proxy buffers completely.
 Fleet::Options LongAnswers(int events) {
   Fleet::Options options;
   options.events = events;
@@ -51,7 +51,7 @@
   return options;
 }
 
-TEST(FleetUnanswered, ATrailerTooLongForTheParserEndsNoProxy) {
+TEST(FleetUnanswered, AnOverlongTrailerDoesNotCrashTheProxy) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   const Answer answer = Ask(fleet.EdgeIp(0), Fleet::kFront, ChunkedWithTrailer("/app/x", kFieldTooLong));
@@ -60,7 +60,7 @@
   EXPECT_FALSE(fleet.edge(0).Ended());
 }
 
-TEST(FleetUnanswered, ATrailerTooLongForTheParserEndsNoReadinessServer) {
+TEST(FleetUnanswered, AnOverlongTrailerDoesNotCrashTheReadinessServer) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   Ask(fleet.EdgeIp(0), Fleet::kReady, ChunkedWithTrailer("/-/readyz", kFieldTooLong));
@@ -68,7 +68,7 @@
   EXPECT_FALSE(fleet.edge(0).Ended());
 }
 
-TEST(FleetUnanswered, ATrailerTooLongForTheParserEndsNoMember) {
+TEST(FleetUnanswered, AnOverlongTrailerDoesNotCrashAControlPlaneMember) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   Ask(fleet.CoreIp(0), Fleet::kControl, ChunkedWithTrailer("/-/config", kFieldTooLong));
@@ -79,9 +79,9 @@
   EXPECT_FALSE(fleet.core(0).Ended());
 }
 
-TEST(FleetUnanswered, AFieldTooLongForTheParserEndsNoProxyWhateverTheLimitOfHeads) {
+TEST(FleetUnanswered, AnOverlongFieldDoesNotCrashTheProxyWhateverTheHeaderLimit) {
   Fleet fleet({});
-  ASSERT_TRUE(BeginWith(fleet, WithLimits(fleet, "\"max_header_bytes\":200000")));
+  ASSERT_TRUE(StartWith(fleet, WithLimits(fleet, "\"max_header_bytes\":200000")));
   const Answer answer =
       Ask(fleet.EdgeIp(0), Fleet::kFront,
           Post("/app/x", "r1", "Connection: close\r\nX-Long: " + std::string(kFieldTooLong, 'l') + "\r\n"));
@@ -90,7 +90,7 @@
   EXPECT_FALSE(fleet.edge(0).Ended());
 }
 
-TEST(FleetUnanswered, WhatFollowsACutStreamOnItsConnectionIsNotRunWithoutAnAnswer) {
+TEST(FleetUnanswered, ARequestPipelinedAfterATruncatedStreamIsNotRunUnanswered) {
   Fleet::Options options = Fleet::Split(0, 1);
   options.plain = 1;
   Fleet fleet(options);
@@ -100,64 +100,65 @@
   ASSERT_TRUE(client.Send(Post("/llm/x", "r1", "Model-Name: m\r\n") + Post("/app/x", "r2")));
   client.ReadToEnd(kGiveUp);
   ASSERT_EQ(client.status(), 200);
-  ASSERT_NE(client.text().find("id: 2\n"), std::string::npos);  // the stream had begun
+  ASSERT_NE(client.text().find("id: 2\n"), std::string::npos);  // the stream had started
   fleet.edge(0).Signal(SIGTERM);
-  ASSERT_TRUE(Eventually([&] { return fleet.edge(0).Ended(); }));  // whatever it still did is done
+  ASSERT_TRUE(Eventually([&] { return fleet.edge(0).Ended(); }));  // all remaining work is done
   const bool answered = client.text().find("body of r2") != std::string::npos;
   EXPECT_EQ(fleet.Runs("r2"), answered ? 1 : 0);
 }
 
-TEST(FleetUnanswered, AClientThatReadsSlowlyButAllTheTimeGetsItsAnswerWhole) {
-  // Longer than what the kernel keeps for a connection, and read for longer than one write may stand still.
+TEST(FleetUnanswered, ASlowButSteadyReaderGetsItsWholeResponse) {
+  // The response is larger than the kernel buffers of a connection, and reading it takes longer than the
+  // timeout of one write.
   Fleet fleet(LongAnswers(180 * 1000));
-  ASSERT_TRUE(BeginWith(fleet, fleet.Configuration(1, 60000)));
+  ASSERT_TRUE(StartWith(fleet, fleet.Configuration(1, 60000)));
   ClientSocket client(fleet.EdgeIp(0), Fleet::kFront, kSmallReceiveBuffer);
   ASSERT_TRUE(client.Send(Post("/app/x", "r1", "Model-Name: m\r\nConnection: close\r\n")));
   ASSERT_TRUE(client.ReadSome(kGiveUp));
   constexpr std::size_t kStep = 16 * 1024;
-  constexpr milliseconds kBetweenSteps{25};  // the pace that the test is about: with this buffer, 150 KB/s
+  constexpr milliseconds kBetweenSteps{25};  // 150 KB/s with this receive buffer, the rate under test
   while (client.ReadSome(kGiveUp, kStep)) std::this_thread::sleep_for(kBetweenSteps);
   EXPECT_EQ(client.status(), 200);
   EXPECT_GT(client.announced_size(), 5u * 1000 * 1000);
   EXPECT_EQ(client.body_size(), client.announced_size());
 }
 
-TEST(FleetUnanswered, BytesBehindARequestDestroyNoAnswer) {
-  // The answer is still in the proxy's kernel when the proxy has written it and closes.
+TEST(FleetUnanswered, BytesAfterARequestDoNotDestroyTheResponse) {
+  // The response is still in the proxy's send buffer when the proxy has written it and closes.
   Fleet fleet(LongAnswers(10 * 1000));
-  ASSERT_TRUE(BeginWith(fleet, fleet.Configuration(1, 60000)));
+  ASSERT_TRUE(StartWith(fleet, fleet.Configuration(1, 60000)));
   ClientSocket client(fleet.EdgeIp(0), Fleet::kFront, kSmallReceiveBuffer);
   ASSERT_TRUE(client.Send(Post("/app/x", "r1", "Model-Name: m\r\nConnection: close\r\n")));
   ASSERT_TRUE(Eventually([&] { return fleet.Runs("r1") == 1; }));  // so the proxy has read the request
   ASSERT_TRUE(client.Send("\r\n"));
-  EXPECT_FALSE(client.IsReset(kPatience));
+  EXPECT_FALSE(client.IsReset(kResponseTimeout));
   client.ReadToEnd(kGiveUp);
   EXPECT_EQ(client.status(), 200);
   EXPECT_GT(client.announced_size(), 200u * 1000);
   EXPECT_EQ(client.body_size(), client.announced_size());
 }
 
-TEST(FleetUnanswered, AClientThatEndsItsSendingIsAnswered) {
-  // It may have left altogether, so its request need not run; but it may be reading.
+TEST(FleetUnanswered, AClientThatHalfClosesIsAnswered) {
+  // The client may have left altogether, so its request need not run; but it may still be reading.
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   ClientSocket client(fleet.EdgeIp(0), Fleet::kFront);
   ASSERT_TRUE(client.Send(Post("/app/x", "r1")));
   client.EndSending();
   client.ReadToEnd(kGiveUp);
-  const bool promised = client.status() == 503 && client.text().find("Retry-After: ") != std::string::npos;
-  EXPECT_TRUE(client.status() == 200 || client.status() == 502 || promised) << client.status();
-  EXPECT_TRUE(!promised || fleet.Runs("r1") == 0);
+  const bool unavailable = client.status() == 503 && client.text().find("Retry-After: ") != std::string::npos;
+  EXPECT_TRUE(client.status() == 200 || client.status() == 502 || unavailable) << client.status();
+  EXPECT_TRUE(!unavailable || fleet.Runs("r1") == 0);
   EXPECT_EQ(client.body_size(), client.announced_size());
 }
 
-TEST(FleetUnanswered, AClientThatExpectsToBeToldToGoOnIsTold) {
+TEST(FleetUnanswered, Expect100ContinueIsAnswered) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   ClientSocket client(fleet.EdgeIp(0), Fleet::kFront);
   ASSERT_TRUE(client.Send(
       Head("/app/x", "r1", "Connection: close\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n")));
-  ASSERT_TRUE(client.ReadSome(kPatience));
+  ASSERT_TRUE(client.ReadSome(kResponseTimeout));
   EXPECT_EQ(client.status(), 100);
   ASSERT_TRUE(client.Send("hello"));
   client.ReadToEnd(kGiveUp);
@@ -165,15 +166,15 @@
   EXPECT_TRUE(client.text().ends_with("body of r1"));
 }
 
-TEST(FleetUnanswered, ARequestThatIsNotSentInTimeIsTold) {
+TEST(FleetUnanswered, AnIncompleteRequestGets408) {
   Fleet fleet({});
-  ASSERT_TRUE(BeginWith(fleet, WithLimits(fleet, "\"header_timeout_ms\":300")));
+  ASSERT_TRUE(StartWith(fleet, WithLimits(fleet, "\"header_timeout_ms\":300")));
   const Answer answer = Ask(fleet.EdgeIp(0), Fleet::kFront, "POST /app/x HTTP/1.1\r\nHost: h.exa");
   EXPECT_EQ(answer.status, 408);
 }
 
-TEST(FleetUnanswered, AClientBesideManyIdleOnesIsAnswered) {
-  constexpr int kIdleClients = 380;  // over the limit that follows from max_fds
+TEST(FleetUnanswered, AClientIsAnsweredDespiteManyIdleOnes) {
+  constexpr int kIdleClients = 380;  // above the limit derived from max_fds
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   std::vector<std::unique_ptr<ClientSocket>> idle;
@@ -185,17 +186,17 @@
   EXPECT_TRUE(answer.status == 200 || (answer.status == 503 && answer.Has("Retry-After: "))) << answer.status;
 }
 
-TEST(FleetUnanswered, AnEmptyLineBetweenRequestsIsPassedOver) {
+TEST(FleetUnanswered, AnEmptyLineBetweenRequestsIsIgnored) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   ClientSocket client(fleet.EdgeIp(0), Fleet::kFront);
   ASSERT_TRUE(client.Send(Post("/app/x", "r1") + "\r\n"));
   ASSERT_TRUE(Eventually([&] {
-    client.ReadSome(kPatience);
+    client.ReadSome(kResponseTimeout);
     return client.text().find("body of r1") != std::string::npos;
   }));
   ASSERT_TRUE(client.Send(Post("/app/x", "r2", "Connection: close\r\n")));
-  client.ReadToEnd(kPatience);
+  client.ReadToEnd(kResponseTimeout);
   EXPECT_TRUE(client.text().ends_with("body of r2")) << client.text();
 }
 
@@ -208,7 +209,7 @@
                             "Deadline-Ms: 4000\r\nConnection: close\r\n\r\n");
   EXPECT_EQ(answer.status, 200);
   EXPECT_TRUE(answer.text.ends_with("\r\n\r\n"));
-  EXPECT_LT(Clock::now() - began, kPatience);
+  EXPECT_LT(Clock::now() - began, kResponseTimeout);
 }
 
 }  // namespace
