--- a/src/data_plane/request_flow.h
+++ b/src/data_plane/request_flow.h
@@ -12,9 +12,9 @@
 #include <optional>
 #include <string>
 
-#include "data_plane/arrival_account.h"
 #include "data_plane/attempt.h"
 #include "data_plane/event_splitter.h"
+#include "data_plane/retry_account.h"
 
 namespace kestrelline::data_plane {
 
--- a/src/data_plane/arrival_account.h
+++ b/src/data_plane/retry_account.h
@@ -3,8 +3,8 @@
 // Per-request accounting against the retry budget. Every attempt that reaches a backend counts, except the
 // first prefill that a backend accepted. All counted attempts after the first must acquire retry budget
 // before they are sent. No I/O.
-#ifndef KESTRELLINE_DATA_PLANE_ARRIVAL_ACCOUNT_H_
-#define KESTRELLINE_DATA_PLANE_ARRIVAL_ACCOUNT_H_
+#ifndef KESTRELLINE_DATA_PLANE_RETRY_ACCOUNT_H_
+#define KESTRELLINE_DATA_PLANE_RETRY_ACCOUNT_H_
 
 namespace kestrelline::data_plane {
 
@@ -34,4 +34,4 @@
 
 }  // namespace kestrelline::data_plane
 
-#endif  // KESTRELLINE_DATA_PLANE_ARRIVAL_ACCOUNT_H_
+#endif  // KESTRELLINE_DATA_PLANE_RETRY_ACCOUNT_H_
--- a/tests/data_plane/decisions_test.cpp
+++ b/tests/data_plane/decisions_test.cpp
@@ -4,12 +4,12 @@
 // placement.
 #include <gtest/gtest.h>
 
-#include "data_plane/arrival_account.h"
 #include "data_plane/backend_table.h"
 #include "data_plane/demand_meter.h"
 #include "data_plane/event_splitter.h"
 #include "data_plane/placement.h"
 #include "data_plane/prompt.h"
+#include "data_plane/retry_account.h"
 #include "data_plane/retry_budget.h"
 #include "discovery/page.h"
 
