--- a/src/data_plane/backend.cpp
+++ b/src/data_plane/backend.cpp
@@ -43,8 +43,8 @@
 }
 
 bool PrefixCacheIndex::Contains(std::uint64_t prefix_hash, TimePoint since) const {
-  const auto found = used_.find(prefix_hash);
-  return found != used_.end() && found->second >= since;
+  const auto entry = used_.find(prefix_hash);
+  return entry != used_.end() && entry->second >= since;
 }
 
 }  // namespace kestrelline::data_plane
--- a/src/data_plane/backend_connection.cpp
+++ b/src/data_plane/backend_connection.cpp
@@ -22,10 +22,10 @@
 // Parses `timeout=N` of a Keep-Alive header; N is in seconds.
 std::optional<milliseconds> KeepAliveTimeout(std::string_view text) {
   constexpr std::string_view kField = "timeout=";
-  const std::size_t at = text.find(kField);
-  if (at == std::string_view::npos) return std::nullopt;
+  const std::size_t position = text.find(kField);
+  if (position == std::string_view::npos) return std::nullopt;
   int seconds = 0;
-  const char* const begin = text.data() + at + kField.size();
+  const char* const begin = text.data() + position + kField.size();
   if (std::from_chars(begin, text.data() + text.size(), seconds).ec != std::errc()) return std::nullopt;
   return std::chrono::seconds(seconds);
 }
@@ -113,9 +113,9 @@
 }
 
 BackendConnectionPtr ConnectionPool::AcquireIdle(const std::string& instance) {
-  const auto found = idle_.find(instance);
-  if (found == idle_.end()) return nullptr;
-  auto& idle = found->second;
+  const auto entry = idle_.find(instance);
+  if (entry == idle_.end()) return nullptr;
+  auto& idle = entry->second;
   while (!idle.empty()) {
     BackendConnectionPtr connection = std::move(idle.back());
     idle.pop_back();
--- a/src/data_plane/backend_table.cpp
+++ b/src/data_plane/backend_table.cpp
@@ -67,8 +67,8 @@
 }
 
 const Group* BackendTable::Find(const std::string& service, Stage stage) const {
-  const auto found = groups_.find({service, stage});
-  return found == groups_.end() ? nullptr : &found->second;
+  const auto entry = groups_.find({service, stage});
+  return entry == groups_.end() ? nullptr : &entry->second;
 }
 
 std::vector<wire::BackendLoad> BackendTable::ReportLoads() {
@@ -86,9 +86,9 @@
   std::unordered_map<std::uint64_t, const wire::BackendLoad*> by_hash;
   for (const wire::BackendLoad& load : summary.loads) by_hash[load.backend] = &load;
   for (const auto& [id, backend] : by_id_) {
-    const auto found = by_hash.find(backend->id_hash);
-    if (found == by_hash.end() && !summary.whole) continue;
-    const wire::BackendLoad total = found == by_hash.end() ? wire::BackendLoad{} : *found->second;
+    const auto entry = by_hash.find(backend->id_hash);
+    if (entry == by_hash.end() && !summary.whole) continue;
+    const wire::BackendLoad total = entry == by_hash.end() ? wire::BackendLoad{} : *entry->second;
     const auto others = [](std::uint32_t sum, std::uint32_t own) { return sum > own ? sum - own : 0; };
     backend->others_prefill_ms = others(total.reading_ms, backend->reported_prefill_ms);
     backend->others_running = static_cast<int>(others(total.running, backend->reported_running));
--- a/src/data_plane/client_connection.h
+++ b/src/data_plane/client_connection.h
@@ -39,7 +39,8 @@
   // Writes a complete response. `head` ends without its blank line; Content-Length and Connection are added
   // here.
   Awaitable<error_code> WriteResponse(std::string head, std::string_view body);
-  // Streamed response. The head is sent together with the first chunk.
+  // Streamed response: BeginStream(), any number of chunks, EndStream(). The head is sent with the first
+  // chunk.
   Awaitable<error_code> WriteChunk(std::string_view chunk);
   Awaitable<error_code> EndStream();
   void BeginStream(std::string head);
--- a/src/data_plane/list_source.cpp
+++ b/src/data_plane/list_source.cpp
@@ -30,9 +30,9 @@
   return known ? nullptr : newest;
 }
 
-void ListSource::UseDirectRead(Time at) {
+void ListSource::UseDirectRead(Time read_time) {
   in_use_ = 0;
-  read_at_ = at;
+  read_at_ = read_time;
 }
 
 }  // namespace kestrelline::data_plane
--- a/src/data_plane/list_source.h
+++ b/src/data_plane/list_source.h
@@ -24,8 +24,8 @@
   // Processes the list in a publication that was composed after `composed_after` (local clock). Returns the
   // list to use from now on, or null if the current one stays.
   wire::InstanceListPtr Apply(const wire::Publication& publication, std::optional<Time> composed_after);
-  // The proxy uses a list that it read directly at `at`.
-  void UseDirectRead(Time at);
+  // The proxy uses a list that it read directly at `read_time`.
+  void UseDirectRead(Time read_time);
 
   // The newest list from the control plane; null before the first.
   wire::InstanceListPtr newest_list() const { return history_.newest(); }
--- a/src/data_plane/retry_budget.h
+++ b/src/data_plane/retry_budget.h
@@ -3,8 +3,8 @@
 // This proxy's share of the fleet-wide retry budget, per service. No I/O, no clock.
 //
 // A service may receive ratio x requests + minimum extra attempts in any window. Each proxy counts its own
-// requests and has an equal share of the minimum. It uses only kUsedShare of that, because the windows of
-// different proxies are not aligned.
+// requests and has an equal share of the minimum. It uses only kUsedShare of its whole share, because the
+// windows of different proxies are not aligned.
 #ifndef KESTRELLINE_DATA_PLANE_RETRY_BUDGET_H_
 #define KESTRELLINE_DATA_PLANE_RETRY_BUDGET_H_
 
--- a/src/data_plane/subscriber.cpp
+++ b/src/data_plane/subscriber.cpp
@@ -107,9 +107,9 @@
 void Subscriber::HandlePublication(const wire::Publication& publication) {
   const auto composed_after = subscription_.ComposedAfter(connection_->echo());
   subscription_.HandlePublication(Now(), publication, composed_after);
-  std::optional<steady_clock::time_point> at;
-  if (composed_after) at = steady_clock::time_point(*composed_after);
-  on_publication_(publication, at);
+  std::optional<steady_clock::time_point> local_composed_after;
+  if (composed_after) local_composed_after = steady_clock::time_point(*composed_after);
+  on_publication_(publication, local_composed_after);
 }
 
 }  // namespace kestrelline::data_plane
--- a/tests/data_plane/decisions_test.cpp
+++ b/tests/data_plane/decisions_test.cpp
@@ -98,40 +98,40 @@
 
 TEST(RetryAccount, EveryCountedAttemptAfterTheFirstNeedsBudget) {
   RetryAccount account;
-  int paid = 0;
-  const auto arrive = [&](auto note) {
-    if (account.NeedsBudget()) account.RecordBudget(), ++paid;
+  int budgeted = 0;
+  const auto attempt = [&](auto note) {
+    if (account.NeedsBudget()) account.RecordBudget(), ++budgeted;
     note();
   };
-  arrive([&] { account.RecordPrefill(true); });
-  arrive([&] { account.RecordExecution(); });    // rejected
-  arrive([&] { account.RecordPrefill(true); });  // a second prefill counts
-  arrive([&] { account.RecordExecution(); });
-  EXPECT_EQ(paid, 2);
+  attempt([&] { account.RecordPrefill(true); });
+  attempt([&] { account.RecordExecution(); });    // rejected
+  attempt([&] { account.RecordPrefill(true); });  // a second prefill counts
+  attempt([&] { account.RecordExecution(); });
+  EXPECT_EQ(budgeted, 2);
 }
 
 TEST(FleetRetryBudget, UsesItsShareAndNotMore) {
   RetryBudget budget({0.2, 58, Duration(10000)});
   budget.set_proxies(9, At(0));
-  int taken = 0;
-  for (int i = 0; i < 100; ++i) taken += budget.TryAcquire("s", At(100));
-  EXPECT_EQ(taken, static_cast<int>(58 * RetryBudget::kUsedShare / 9));
+  int acquired = 0;
+  for (int i = 0; i < 100; ++i) acquired += budget.TryAcquire("s", At(100));
+  EXPECT_EQ(acquired, static_cast<int>(58 * RetryBudget::kUsedShare / 9));
   for (int i = 0; i < 1000; ++i) budget.CountRequest("s", At(200));
-  for (int i = 0; i < 1000; ++i) taken += budget.TryAcquire("s", At(300));
-  EXPECT_LE(taken, 0.2 * 1000 * RetryBudget::kUsedShare + 58.0 / 9);
-  EXPECT_GE(taken, 100);
+  for (int i = 0; i < 1000; ++i) acquired += budget.TryAcquire("s", At(300));
+  EXPECT_LE(acquired, 0.2 * 1000 * RetryBudget::kUsedShare + 58.0 / 9);
+  EXPECT_GE(acquired, 100);
 }
 
 TEST(FleetRetryBudget, ASmallerNumberOfProxiesCountsAfterADelay) {
   RetryBudget budget({0, 58, Duration(10000)});
   budget.set_proxies(9, At(0));
   budget.set_proxies(2, At(1000));
-  int taken = 0;
-  for (int i = 0; i < 100; ++i) taken += budget.TryAcquire("s", At(1000));
-  EXPECT_EQ(taken, static_cast<int>(58 * RetryBudget::kUsedShare / 9));
+  int acquired = 0;
+  for (int i = 0; i < 100; ++i) acquired += budget.TryAcquire("s", At(1000));
+  EXPECT_EQ(acquired, static_cast<int>(58 * RetryBudget::kUsedShare / 9));
   budget.set_proxies(2, At(25000));
-  for (int i = 0; i < 100; ++i) taken += budget.TryAcquire("s", At(40000));
-  EXPECT_GT(taken, static_cast<int>(58 * RetryBudget::kUsedShare / 2));
+  for (int i = 0; i < 100; ++i) acquired += budget.TryAcquire("s", At(40000));
+  EXPECT_GT(acquired, static_cast<int>(58 * RetryBudget::kUsedShare / 2));
 }
 
 TEST(FleetRetryBudget, AssumesManyProxiesUntilTold) {
--- a/tests/router_fleet/edge_drain_orders_test.cpp
+++ b/tests/router_fleet/edge_drain_orders_test.cpp
@@ -297,7 +297,8 @@
     }
   }
   EXPECT_TRUE(Eventually([&] { return fleet.edge(0).Ended(); }));
-  std::cout << "asked " << requests_sent << "\n" << fleet.Log().substr(fleet.Log().rfind("drain")) << "\n";
+  std::cout << "requests sent: " << requests_sent << "\n"
+            << fleet.Log().substr(fleet.Log().rfind("drain")) << "\n";
 }
 
 // The last tick before the exit is late, and a single new connection arrives during the delay.
--- a/tests/router_fleet/edge_drain_test.cpp
+++ b/tests/router_fleet/edge_drain_test.cpp
@@ -37,8 +37,8 @@
 // Either the response is complete, or the request was not accepted, so that its client may send it elsewhere.
 void ExpectAnsweredOrNotAccepted(Fleet& fleet, const Answer& answer, const std::string& id) {
   if (answer.ended_well) return;
-  EXPECT_EQ(answer.text, "") << "an answer was broken off";
-  EXPECT_FALSE(ReachedABackend(fleet, id)) << "a request that was passed on got no answer";
+  EXPECT_EQ(answer.text, "") << "a response was truncated";
+  EXPECT_FALSE(ReachedABackend(fleet, id)) << "a forwarded request got no response";
 }
 
 TEST(EdgeDrain, TheNextRequestOnAKeptConnectionIsAnsweredOrNotAccepted) {
@@ -50,8 +50,8 @@
   ASSERT_TRUE(Eventually([&] { return fleet.Runs("r1") == 1; }));
   fleet.edge(0).Signal(SIGTERM);
   EXPECT_TRUE(client.ReadAnswer().ended_well);
-  client.Send(Generation(
-      "r2"));  // at once, on the same connection: the response would take longer than the process lives
+  // At once, on the same connection: the response would take longer than the process lives.
+  client.Send(Generation("r2"));
   ExpectAnsweredOrNotAccepted(fleet, client.ReadAnswer(), "r2");
   EXPECT_TRUE(Eventually([&] { return fleet.edge(0).Ended(); }));
   EXPECT_EQ(fleet.edge(0).status(), 0);
--- a/tests/router_fleet/requests_test.cpp
+++ b/tests/router_fleet/requests_test.cpp
@@ -104,14 +104,14 @@
   EXPECT_EQ(answer.status, 200);
   EXPECT_TRUE(answer.ended_well);
   for (int event = 1; event <= 5; ++event) EXPECT_TRUE(answer.Has("id: " + std::to_string(event) + "\n"));
-  std::size_t readings = 0, handed_over = 0;
+  std::size_t prefills = 0, handed_over = 0;
   for (const char* id : {"p0", "p1", "d0", "d1"}) {
     for (const auto& arrival : fleet.backend(id).arrivals()) {
-      readings += arrival.stage == "prefill";
+      prefills += arrival.stage == "prefill";
       handed_over += !arrival.kv_from.empty();
     }
   }
-  EXPECT_EQ(readings, 1u);
+  EXPECT_EQ(prefills, 1u);
   EXPECT_EQ(handed_over, 1u);
   EXPECT_EQ(fleet.Runs("r1"), 1);
   EXPECT_EQ(fleet_standin::HandleTable::Instance().size(), 0u);
