--- a/bench/shares_bench.cpp
+++ b/bench/shares_bench.cpp
@@ -24,7 +24,7 @@
 
 // Members 1 to n but those in `without`, on a ring with `spots` spots each.
 Ring RingOf(Member n, const std::set<Member>& without, int spots) {
-  std::vector<Spot> all, none;
+  std::vector<RingPoint> all, none;
   for (Member m = 1; m <= n; ++m) {
     for (int k = 0; k < spots && !without.contains(m); ++k) {
       const std::uint32_t place = k == 0
@@ -43,7 +43,7 @@
 
 Owner ByProbes(Member n, const std::set<Member>& without) {
   return [ring = RingOf(n, without, 1)](std::uint64_t key) {
-    Member owner = kNobody;
+    Member owner = kNoMember;
     KeyOwners(ring, key).Try([&](Member m) { return owner = m, true; });
     return owner;
   };
@@ -55,7 +55,7 @@
 }
 Owner ByRendezvous(Member n, const std::set<Member>& without) {
   return [=](std::uint64_t key) {
-    Member best = kNobody;
+    Member best = kNoMember;
     std::uint64_t highest = 0;
     for (Member m = 1; m <= n; ++m) {
       const std::uint64_t weight = without.contains(m) ? 0 : Mixed(key, m);
@@ -67,14 +67,14 @@
 // Eisenbud and others, 2016.
 Owner ByMaglev(Member n, const std::set<Member>& without) {
   constexpr std::uint64_t kTable = 65537;
-  std::vector<Member> table(kTable, kNobody);
+  std::vector<Member> table(kTable, kNoMember);
   std::vector<std::uint64_t> next(n + 1);
   for (std::uint64_t filled = 0; filled < kTable;) {
     for (Member m = 1; m <= n && filled < kTable; ++m) {
       if (without.contains(m)) continue;
       const std::uint64_t offset = Mixed(m, 1) % kTable, skip = Mixed(m, 2) % (kTable - 1) + 1;
       std::uint64_t at = (offset + next[m]++ * skip) % kTable;
-      while (table[at] != kNobody) at = (offset + next[m]++ * skip) % kTable;
+      while (table[at] != kNoMember) at = (offset + next[m]++ * skip) % kTable;
       table[at] = m, ++filled;
     }
   }
@@ -115,7 +115,7 @@
   std::mt19937 draw(20261201);
   std::vector<Member> listed;
   for (Member m = 1; m <= kServers; ++m) listed.push_back(m);
-  std::vector<Spot> none, spots;
+  std::vector<RingPoint> none, spots;
   for (const Member m : listed) spots.push_back({brackenspoke::MixBits(m), m});
   std::sort(spots.begin(), spots.end());
   Ring ring;
@@ -127,7 +127,7 @@
   constexpr int kSteps = 40;
   for (int step = 0; step <= kSteps; ++step) {
     if (step > 0) {
-      std::vector<Spot> leaving, joining;
+      std::vector<RingPoint> leaving, joining;
       for (int k = 0; k < 10; ++k) {
         Member& m = listed[draw() % listed.size()];
         leaving.push_back({brackenspoke::MixBits(m), m});
--- a/include/brackenspoke/balancer.h
+++ b/include/brackenspoke/balancer.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The whole interface of brackenspoke: settings, events, actions and the Balancer that maps one to the other.
+// Public interface of brackenspoke: settings, events, actions and the Balancer that maps events to actions.
 //
-// A Balancer is pure and deterministic. It has no clock, I/O, threads or globals: time comes in with each
-// event and randomness derives from the seed alone. Classes, tenants, zones and kinds are indices into the
-// lists of the settings, so names cannot decide anything.
+// A Balancer is a deterministic state machine. It has no clock, I/O, threads or globals: the current time is
+// passed in with each event, and all randomness derives from the seed. Classes, tenants, zones and kinds are
+// indices into the lists of the settings, so that no decision can depend on a name.
 #ifndef BRACKENSPOKE_BALANCER_H_
 #define BRACKENSPOKE_BALANCER_H_
 
@@ -18,7 +18,7 @@
 
 namespace brackenspoke {
 
-// The clock is the caller's; its origin is arbitrary and it only advances.
+// Type of the caller's clock, in milliseconds. Its origin is arbitrary and it never goes backwards.
 struct Clock {
   using duration = std::chrono::duration<double, std::milli>;
   using rep = duration::rep;
@@ -32,42 +32,44 @@
 using RequestId = std::uint64_t;
 using ServerId = std::uint32_t;
 
+// Whether a request may run more than once: always, with an idempotency key, or never.
 enum class Effect { kSafe, kKeyed, kUnsafe };
+// Scope within which servers deduplicate requests by idempotency key.
 enum class Group { kAll, kZone, kCell };
 
 struct ClassSettings {
   Effect effect = Effect::kUnsafe;
-  Group group = Group::kAll;  // keyed classes: the servers that drop each other's repeats
-  Duration window{0};         // keyed classes: how long they remember
-  Duration aim{0};
-  Duration deadline{0};
-  double worth = 1;
-  double late_worth = 0;  // share of the worth that an answer after the aim still earns
+  Group group = Group::kAll;  // keyed classes: the servers that share one deduplication record
+  Duration window{0};         // keyed classes: how long servers remember a key
+  Duration aim{0};            // target response time
+  Duration deadline{0};       // total time that clients allow, over all of their tries
+  double worth = 1;           // value of an answer within the target time
+  double late_worth = 0;      // fraction of `worth` that an answer after the target time still earns
 };
 
 struct TenantSettings {
-  double quota_per_s = 0;  // requests a second within its share, over all proxies
+  double quota_per_s = 0;  // requests per second within the quota, summed over all proxies
 };
 
-// Defaults are the documented meaning of an absent optional setting; none of them steers a decision.
+// Defaults are the documented meaning of an absent optional setting.
 struct Settings {
-  int balancers = 1;
-  int me = 0;  // the number of this one among them
-  int zone = 0;
+  int balancers = 1;  // number of proxies that share the fleet
+  int me = 0;         // index of this proxy among them
+  int zone = 0;       // zone of this proxy
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
-  double over_share_worth = 1;
-  double price_cross_zone = 0;
-  bool warm_keys = false;  // a server that served a key lately serves it again with less work
-  bool must_ask_for_list = false;
+  double over_share_worth = 1;     // factor on the worth of a request over its tenant's quota
+  double price_cross_zone = 0;     // cost of serving a request in another zone, as a fraction of its worth
+  bool warm_keys = false;          // a server that recently served a key serves it again with less work
+  bool must_ask_for_list = false;  // discovery does not push: the proxy has to subscribe
   int max_attempts = 1;
-  bool parallel_tries = false;  // a request that is safe to repeat may have two attempts out
-  Duration max_retry_after{0};  // the longest that refused clients stay away when told; 0: they are not told
-  Duration tick{1};
-  Duration must_ask_within{0};  // where the list must be asked for
-  double cold_from = 1;         // a starting server has at least this share of its capacity
-  Duration warm_up{0};          // and all of it no later than this
-  double fall_multiple = 1;     // it falls over when sent more than this multiple of its capacity
+  bool parallel_tries = false;  // a request that is safe to repeat may have two attempts in flight
+  Duration max_retry_after{0};  // upper bound of the retry-after sent with a refusal; 0: none is sent
+  Duration tick{1};             // granularity of time, by which final answers come before deadlines
+  Duration must_ask_within{0};  // if must_ask_for_list: the longest time without a subscription
+  double cold_from = 1;         // fraction of its capacity that a starting server has at least
+  Duration warm_up{0};          // time after its start by which a server has its full capacity
+  double fall_multiple = 1;     // a server fails when it gets more than this multiple of its capacity
   Duration overload_for{0};     // for this long
 };
 
@@ -81,26 +83,26 @@
   int cell = 0;
   ServerState state = ServerState::kReady;
   double weight = 1;
-  TimePoint up_since{};  // zero: long ago
+  TimePoint up_since{};  // when the process started; zero: long ago
 };
 
-// How an attempt ended. Full, connect failed and moot prove that it never ran.
+// How an attempt ended. After kFull, kConnectFailed and kMoot it is certain that the server did not run it.
 enum class Outcome { kOk, kError, kFull, kTimeout, kConnectFailed, kReset, kCancelled, kMoot, kUnknown };
 
-// ---- what a route allows ----------------------------------------------------------------------------------
-// Repeats that are paid for by first attempts: over any `window`, up to `share` of them and `at_least` more.
+// ---- limits of a route ------------------------------------------------------------------------------------
+// Limits retries to a fraction of first attempts: within any `window`, `share` of them plus `at_least`.
 struct RetryBudget {
-  std::uint64_t id = 0;  // budgets of one id are one budget, whichever routes draw on it
-  double share = 0;      // 0 to 1
+  std::uint64_t id = 0;  // routes whose budgets have the same id share one budget
+  double share = 0;      // retries per first attempt, 0 to 1
   Duration window{10000};
-  int at_least = 0;
+  int at_least = 0;  // retries allowed whatever the traffic
 
   bool operator==(const RetryBudget&) const = default;
 };
 
-// Where another try of a request's key may have run, as whoever remembers it tells. Until `until` the servers
-// of that group drop the key's repeats: it may be sent to these alone, and not at all after that. Of classes
-// whose repeats all servers drop there is nothing to be told.
+// A place where another try with the same idempotency key may have run, reported by a peer that recorded it.
+// Until `until` the servers of that group deduplicate the key: the request may be sent only to them, and not
+// at all afterwards. Not needed for classes that are deduplicated by all servers together.
 struct KeyClaim {
   int zone = 0;
   int cell = 0;
@@ -109,26 +111,28 @@
   bool operator==(const KeyClaim&) const = default;
 };
 
-// Narrows what the settings and the four rules allow a request; it never widens it. The Balancer holds to the
-// narrower of the two, whatever is in here. Zero, where it means nothing else, is no limit of the route's
-// own.
+// Limits that a route sets for its requests. They narrow what the settings and rules allow and never widen
+// it: of a route's limit and that of the settings the stricter one holds. Zero means that the route sets no
+// limit, unless stated otherwise.
 struct RouteLimits {
-  std::uint64_t route = 0;      // those in flight are counted together by it
-  Duration patience{0};         // from Submit to the final answer
-  Duration attempt_timeout{0};  // of one attempt
-  Duration pause{0};            // before another attempt; up to a quarter less, by chance
-  Duration second_copy_after{
-      0};  // of classes safe to repeat, where the settings allow it; one copy at a time
+  std::uint64_t route = 0;      // id under which max_in_flight is counted
+  Duration patience{0};         // request timeout: from Submit to the final answer
+  Duration attempt_timeout{0};  // timeout of one attempt
+  Duration pause{0};            // backoff before a retry; jitter shortens it by up to a quarter
+  // Hedging delay: after it a second copy is sent, one at a time, for classes that are safe to repeat and
+  // where the settings allow it.
+  Duration second_copy_after{0};
   int max_attempts = 0;
-  int max_in_flight = 0;    // requests that have no answer, or an attempt out; more are refused at once
-  unsigned retry_on = ~0u;  // bits of RetryAfter(outcome): those after which there may be another attempt
-  // Requests of one key go to one server, the same at all proxies, while it holds at most this multiple of
-  // its even share of what this proxy has in flight (the next whole number); over it, to the next by the key.
+  int max_in_flight = 0;    // requests without an answer or with an attempt in flight; more are refused
+  unsigned retry_on = ~0u;  // bits of RetryAfter(outcome): the outcomes that may be retried
+  // Key affinity with bounded load: requests of one key go to the same server at all proxies while that
+  // server holds at most this multiple of its even share of the requests that this proxy has in flight
+  // (rounded up). Over that, they go to the next server in the order given by the key.
   double affinity_bound = 0;
-  // What others know of a keyed request before it is sent (KeyClaim): not the Balancer's business, but whose
-  // who carries it. Absent: as for all others.
-  std::optional<int> claim;          // -1: nobody; 0: they are told; more: so many know it
-  std::vector<RetryBudget> budgets;  // a repeat is paid for by the first that can; empty: not limited
+  // How many peers have to record a keyed request before it is sent (see KeyClaim). The Balancer ignores
+  // this; the proxy that embeds it acts on it. Absent: the proxy's default.
+  std::optional<int> claim;          // -1: none; 0: peers are told without waiting; n: n peers confirm
+  std::vector<RetryBudget> budgets;  // a retry draws on the first budget that allows it; empty: no limit
 
   bool operator==(const RouteLimits&) const = default;
   static constexpr unsigned RetryAfter(Outcome outcome) { return 1u << static_cast<unsigned>(outcome); }
@@ -141,42 +145,42 @@
 };
 struct Submit {
   RequestId request = 0;
-  TimePoint due{};  // the client gives this try up then
+  TimePoint due{};  // when the client gives up this try
   int request_class = 0;
   int tenant = 0;
   std::uint64_t key = 0;  // 0: none
   bool has_hint = false;
   bool client_retry = false;
-  // Its body is still coming: `due` is a guess until BodyNews, and no attempt of it runs before.
+  // The body is still being received: `due` is an estimate until BodyNews, and no attempt runs before then.
   bool body_follows = false;
-  bool withheld = false;  // what must be known before it may be sent is not: it is refused, and never runs
-  double work_ms = 0;     // hinted work on a standard core
-  std::shared_ptr<const RouteLimits> limits;  // null: none but those of the settings
-  // That are known of its key: they narrow, and never widen. Null: none.
+  bool withheld = false;  // the peers' claims on the key could not be learned: refused without being sent
+  double work_ms = 0;     // hinted work in ms on a standard core
+  std::shared_ptr<const RouteLimits> limits;  // null: the settings alone apply
+  // Claims known for the key; they only narrow what is allowed. Null: none.
   std::shared_ptr<const std::vector<KeyClaim>> claims;
 };
-// Of a request that has no final answer: one more is known.
+// Another claim became known for a request that has no final answer yet.
 struct Claimed {
   RequestId request = 0;
   KeyClaim claim;
 };
-// Of a request whose body was to follow.
+// Progress of a request body, for a request submitted with body_follows.
 struct BodyNews {
   RequestId request = 0;
-  bool bound = false;  // part of it is no longer kept: there can be no other attempt
-  bool whole = false;  // its last byte has come, and `due` is known
+  bool bound = false;  // part of the body is no longer buffered: no further attempt is possible
+  bool whole = false;  // the last byte was received, and `due` is final
   TimePoint due{};
 };
-// How much of what all proxies have together (quotas of tenants, places at servers, budgets of cold ones) is
-// this one's: `share` of it until `until`, from then on `after`. Without this, one part in as many as the
-// settings say there are. Both are over 0 and 1 at most; else the event says nothing.
+// This proxy's fraction of what all proxies share (tenant quotas, concurrency at servers, budgets of cold
+// servers): `share` until `until`, `after` from then on. Without this event it is 1 / Settings::balancers.
+// The event is ignored unless both are above 0 and at most 1.
 struct Share {
   double share = 1;
   TimePoint until{};
   double after = 1;
 };
-// So many requests of a class may all proxies take together from now on, a second, and this one its share of
-// that; what is over it is refused when it comes. 0: none; below 0: any number, as without this.
+// Rate limit of a class over all proxies, in requests per second; this proxy enforces its share of it and
+// refuses requests above that on arrival. 0 admits none; a negative rate removes the limit.
 struct ClassLimit {
   int request_class = 0;
   double per_s = -1;
@@ -189,7 +193,7 @@
   RequestId request = 0;
   int attempt = 0;
   ServerId server = 0;
-  bool settled = false;  // the request has its final answer
+  bool settled = false;  // the client got its final answer
   Outcome outcome = Outcome::kUnknown;
   Duration took{0};
 };
@@ -206,22 +210,23 @@
 struct Dispatch {
   RequestId request = 0;
   ServerId server = 0;
-  Duration timeout{0};                  // 0: until the client gives up
-  int zone = 0, cell = 0;               // where the server stands
-  TimePoint begin_by{Duration(1e300)};  // its last byte is not sent after this: what permits it ends then
+  Duration timeout{0};     // 0: until the client gives up
+  int zone = 0, cell = 0;  // location of the server
+  TimePoint begin_by{
+      Duration(1e300)};  // the last byte must be sent by then: deduplication may end afterwards
 };
-struct Refuse {  // final; tells the client that another try is harmless
+struct Refuse {  // final answer: the request did not run, or the client may safely retry it
   RequestId request = 0;
-  Duration retry_after{0};  // 0: no advice
+  Duration retry_after{0};  // 0: none is given
 };
-struct Fail {  // final; promises nothing
+struct Fail {  // final answer: the request may have run
   RequestId request = 0;
 };
 struct SetTimer {
   TimePoint at{};
   std::uint64_t token = 0;
 };
-struct Subscribe {};  // ask discovery for the changes from here on
+struct Subscribe {};  // request updates of the server list from discovery
 struct CloseIdle {    // close this proxy's idle connections to a server
   ServerId server = 0;
 };
@@ -237,11 +242,11 @@
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  // Appends what is to be done at `now` because of `event`. Ignores what it does not know; never throws on
-  // the content of an event.
+  // Appends to `actions` what has to be done at `now` in response to `event`. Events about unknown requests
+  // are ignored; no content of an event makes it throw.
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions);
 
-  // Servers that are listed as ready and out of service now.
+  // Number of servers that are listed as ready and currently ejected.
   std::size_t Ejected() const;
 
  private:
--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -62,7 +62,7 @@
 };
 
 Duration Millis(double ms) { return Duration(ms); }
-TimePoint At(double ms) { return TimePoint(Duration(ms)); }
+TimePoint TimePointOf(double ms) { return TimePoint(Duration(ms)); }
 
 Outcome OutcomeOf(std::uint16_t status) {
   switch (status) {
@@ -89,10 +89,10 @@
 
 ListUpdate ReadDiscovery(Reader& in) {
   ListUpdate update;
-  const auto how = in.Get<std::uint8_t>();
-  if (how > 3) throw MalformedInput("a list of an unknown kind");
-  update.kind = static_cast<ListKind>(how);
-  in.Get<std::uint32_t>();  // version: lists come in order and without gaps
+  const auto kind = in.Get<std::uint8_t>();
+  if (kind > 3) throw MalformedInput("a list of an unknown kind");
+  update.kind = static_cast<ListKind>(kind);
+  in.Get<std::uint32_t>();  // version; not needed, as lists arrive in order and without gaps
   const auto count = in.Get<std::uint32_t>();
   if (count > in.left() / kEntryBytes) throw MalformedInput("a list overruns its record");
   Reader entries(in.Bytes(std::size_t{count} * kEntryBytes));
@@ -106,7 +106,7 @@
     if (state > 2) throw MalformedInput("a list entry of an unknown state");
     entry.state = static_cast<ServerState>(state);
     entry.weight = entries.Get<float>();
-    entry.up_since = At(entries.Get<double>());
+    entry.up_since = TimePointOf(entries.Get<double>());
     update.entries.push_back(entry);
   }
   return update;
@@ -115,7 +115,7 @@
 Submit ReadSubmit(Reader& in) {
   Submit submit;
   submit.request = in.Get<std::uint64_t>();
-  submit.due = At(in.Get<double>());
+  submit.due = TimePointOf(in.Get<double>());
   submit.tenant = in.Get<std::uint16_t>();
   const auto flags = in.Get<std::uint16_t>();
   submit.has_hint = (flags & kFlagHint) != 0;
@@ -134,7 +134,7 @@
   end.attempt = in.Get<std::uint8_t>();
   end.outcome = OutcomeOf(in.Get<std::uint16_t>());
   end.took = Millis(in.Get<double>());
-  in.Bytes(sizeof(float) * in.Get<std::uint8_t>());  // load reports decide nothing
+  in.Bytes(sizeof(float) * in.Get<std::uint8_t>());  // load reports are not used
   return end;
 }
 
@@ -166,7 +166,7 @@
       return Crash{};
     case kProbed:
     case kHeard:
-      return Unknown{code, true};  // never asked for here
+      return Unknown{code, true};  // answers to actions that are never sent
     default:
       return Unknown{code, false};
   }
@@ -186,7 +186,7 @@
   out.append(text);
 }
 
-// The code and the fields behind the instance.
+// Appends the fields of an action to `out`, and returns its code.
 struct Encoder {
   std::string& out;
 
@@ -242,7 +242,7 @@
     Reader fields(in.Bytes(in.Get<std::uint32_t>()));
     Record record;
     const bool known = code >= kCreate && code <= kCrashNow;
-    // The fields of an unknown code are not ours to read; known ones may have grown at their end.
+    // The layout of an unknown code is unknown. Known ones may have additional fields at their end.
     if (known) record.instance = fields.Get<std::uint32_t>();
     record.message = ReadMessage(code, fields);
     batch.records.push_back(std::move(record));
@@ -257,19 +257,21 @@
   if (in.gcount() == 0) return std::nullopt;
   if (in.gcount() != sizeof header) throw MalformedInput("input ends inside the header of a frame");
   Reader fields(std::string_view(header, sizeof header));
-  const TimePoint now = At(fields.Get<double>());
+  const TimePoint now = TimePointOf(fields.Get<double>());
   const auto length = fields.Get<std::uint32_t>();
   const auto count = fields.Get<std::uint32_t>();
-  // The stated length covers the count, too. Read in pieces: a wild length must not allocate gigabytes.
+  // The length includes the count. The body is read in pieces, so that a wrong length cannot allocate
+  // gigabytes.
   if (length < sizeof count) throw MalformedInput("a frame shorter than its own header");
   std::string body;
   for (std::size_t left = length - sizeof count; left > 0;) {
     char piece[65536];
-    const std::size_t want = left < sizeof piece ? left : sizeof piece;
-    in.read(piece, static_cast<std::streamsize>(want));
-    if (static_cast<std::size_t>(in.gcount()) != want) throw MalformedInput("input ends inside a frame");
-    body.append(piece, want);
-    left -= want;
+    const std::size_t chunk_size = left < sizeof piece ? left : sizeof piece;
+    in.read(piece, static_cast<std::streamsize>(chunk_size));
+    if (static_cast<std::size_t>(in.gcount()) != chunk_size)
+      throw MalformedInput("input ends inside a frame");
+    body.append(piece, chunk_size);
+    left -= chunk_size;
   }
   return DecodeBatch(now, count, body);
 }
--- a/src/adapter/codec.h
+++ b/src/adapter/codec.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Frames of the simulator's wire: little-endian, packed. Reads batches of events, writes replies of actions.
+// Codec of the simulator's wire protocol, whose frames are packed and little-endian. Decodes batches of
+// events, and encodes replies with actions.
 #ifndef BRACKENSPOKE_ADAPTER_CODEC_H_
 #define BRACKENSPOKE_ADAPTER_CODEC_H_
 
@@ -17,7 +18,7 @@
 
 namespace brackenspoke::adapter {
 
-// The input breaks the framing or a field; what() is one line.
+// The framing or a field is malformed; what() is one line.
 class MalformedInput : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -28,7 +29,7 @@
   std::string config;
 };
 struct Crash {};
-struct Unknown {  // an event of no use here, or of a code that this build does not know
+struct Unknown {  // an event that is not used here, or one with an unknown code
   std::uint8_t code = 0;
   bool known_code = false;
 };
@@ -44,17 +45,18 @@
   std::vector<Record> records;
 };
 
-// Reads one frame. Nothing at the end of input between frames; throws MalformedInput otherwise.
+// Reads one frame. Returns nullopt if the input ends between frames; throws MalformedInput if it ends
+// elsewhere or is malformed.
 std::optional<Batch> ReadBatch(std::istream& in);
 
-// Decodes the body of a frame: `count` records filling `body`.
+// Decodes the body of a frame, which consists of `count` records. Throws MalformedInput.
 Batch DecodeBatch(TimePoint now, std::uint32_t count, std::string_view body);
 
 class ReplyWriter {
  public:
   void Add(std::uint32_t instance, const Action& action);
   void AddInternalError(std::uint32_t instance, std::string_view text);
-  std::string Take();  // the whole frame; the writer is empty again
+  std::string Take();  // returns the whole frame and clears the writer
 
  private:
   std::string body_;
--- a/src/adapter/host.cpp
+++ b/src/adapter/host.cpp
@@ -18,25 +18,25 @@
   const std::uint32_t instance = record.instance;
   if (const auto* unknown = std::get_if<Unknown>(&record.message)) {
     if (!unknown->known_code)
-      TellOnce("event code " + std::to_string(unknown->code) + " is not known; skipped");
+      WarnOnce("event code " + std::to_string(unknown->code) + " is not known; skipped");
     return;
   }
   if (const auto* create = std::get_if<Create>(&record.message)) {
-    live_.erase(instance);
+    balancers_.erase(instance);
     try {
-      live_.emplace(instance, Balancer(ParseSettings(create->config), create->seed));
+      balancers_.emplace(instance, Balancer(ParseSettings(create->config), create->seed));
     } catch (const BadSettings& error) {
       reply_.AddInternalError(instance, error.what());
     }
     return;
   }
-  const auto found = live_.find(instance);
-  if (found == live_.end()) {
-    TellOnce("events for instance " + std::to_string(instance) + ", which is not live; ignored");
+  const auto found = balancers_.find(instance);
+  if (found == balancers_.end()) {
+    WarnOnce("events for instance " + std::to_string(instance) + ", which is not live; ignored");
     return;
   }
   if (std::holds_alternative<Crash>(record.message)) {
-    live_.erase(found);
+    balancers_.erase(found);
     return;
   }
   std::vector<Action> actions;
@@ -44,8 +44,8 @@
   for (const Action& action : actions) reply_.Add(instance, action);
 }
 
-void Host::TellOnce(const std::string& what) {
-  if (told_.insert(what).second) complaints_ << "brackenspoke_adapter: " << what << '\n';
+void Host::WarnOnce(const std::string& what) {
+  if (warned_.insert(what).second) warnings_ << "brackenspoke_adapter: " << what << '\n';
 }
 
 }  // namespace brackenspoke::adapter
--- a/src/adapter/host.h
+++ b/src/adapter/host.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Hosts one Balancer per live instance and carries events and actions between them and the wire.
+// Runs one Balancer per instance: passes decoded events to it and encodes its actions.
 #ifndef BRACKENSPOKE_ADAPTER_HOST_H_
 #define BRACKENSPOKE_ADAPTER_HOST_H_
 
@@ -16,18 +16,19 @@
 
 class Host {
  public:
-  explicit Host(std::ostream& complaints) : complaints_(complaints) {}
+  // Warnings are written to `warnings`, which must outlive the host; each text only once.
+  explicit Host(std::ostream& warnings) : warnings_(warnings) {}
 
-  // The reply frame to a batch.
+  // Handles a batch and returns the reply frame.
   std::string Answer(const Batch& batch);
 
  private:
   void Handle(TimePoint now, const Record& record);
-  void TellOnce(const std::string& what);
+  void WarnOnce(const std::string& what);
 
-  std::ostream& complaints_;
-  std::map<std::uint32_t, Balancer> live_;
-  std::set<std::string> told_;
+  std::ostream& warnings_;
+  std::map<std::uint32_t, Balancer> balancers_;
+  std::set<std::string> warned_;
   ReplyWriter reply_;
 };
 
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Entry point of the adapter: serves the simulator's wire protocol on standard input and output.
 #include <exception>
 #include <iostream>
 
--- a/src/adapter/settings.h
+++ b/src/adapter/settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Reads the path=value settings of the simulator's wire.
+// Parses the settings sent by the simulator: lines of path=value.
 #ifndef BRACKENSPOKE_ADAPTER_SETTINGS_H_
 #define BRACKENSPOKE_ADAPTER_SETTINGS_H_
 
@@ -11,13 +11,13 @@
 
 namespace brackenspoke::adapter {
 
-// A needed key is absent, or a key holds what it must not; what() names the key.
+// A required key is absent or a value is invalid; what() names the key.
 class BadSettings : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Unknown keys are ignored; an absent optional key has its documented meaning.
+// Unknown keys are ignored; an absent optional key has its documented default. Throws BadSettings.
 Settings ParseSettings(std::string_view text);
 
 }  // namespace brackenspoke::adapter
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The life of a request, and the module as a whole. The types, events and actions are in
-// include/brackenspoke/balancer.h; the other decisions in src/policy, each in a file that is named after it.
+// The request state machine and the Balancer itself. Types, events and actions are declared in
+// include/brackenspoke/balancer.h; the other decisions are in src/policy, one file for each.
 //
-// The ordinary path is gRFC A50 outlier detection (failure percentage) and, among the servers in service, a
-// pick of the one with the least hinted work of this proxy's own in flight. Whatever departs from that is
-// marked "Exception" with the condition under which it acts; docs/design/exceptions.md lists them all.
+// The common path is gRFC A50 outlier detection (failure percentage) followed by a pick of the server in
+// service with the least hinted work that this proxy has in flight. Each deviation from it is marked
+// "Exception", with the condition under which it applies; docs/design/exceptions.md lists them all.
 #include <deque>
 #include <limits>
 #include <queue>
@@ -21,13 +21,13 @@
 namespace brackenspoke {
 namespace {
 
-constexpr int kYoung = 10;              // outcomes; before, what is asked stands for what is served
-constexpr double kPauseSpread = 0.25;   // part of a pause that chance may take off: not all in step
-constexpr double kSlownessGain = 0.08;  // of one answer
-constexpr double kMostSlowness = 8;     // one answer counts as no slower than this
-constexpr int kMostMisses = 8;          // held requests tried in a row without room for any
-constexpr double kMostWork = 1e6;       // ms; a larger hint is taken as this
-constexpr Duration kHousekeeping{100};  // rates are sampled this often
+constexpr int kMinOutcomes = 10;        // below, the served rate is unknown and the offered rate stands in
+constexpr double kPauseJitter = 0.25;   // jitter of a retry pause, so that retries do not synchronize
+constexpr double kSlownessGain = 0.08;  // EWMA gain of one answer
+constexpr double kMaxSlowness = 8;      // one answer counts as no slower than this
+constexpr int kMaxMisses = 8;           // queued requests that are tried and not placed in one pass
+constexpr double kMaxWorkMs = 1e6;      // larger hints are clamped to this
+constexpr Duration kSampleInterval{100};
 
 }  // namespace
 
@@ -38,10 +38,10 @@
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions) {
     now_ = now;
     out_ = actions;
-    state_.Fade();
+    state_.DecaySlowness();
     used_.Refresh();
     std::visit([this](const auto& e) { On(e); }, event);
-    if (roster_.Waiting()) ReadLists();  // first: a list may forbid what is due
+    if (roster_.Waiting()) ReadLists();  // first: a list may remove servers that would be used below
     Advance();
     PlaceHeld();
     Arm();
@@ -73,20 +73,20 @@
     const bool first = r.attempts.empty();
     attempts_.Sent(first);
     const Duration timeout = attempts_.TimeoutOf(r, s);
-    ++s.remembered;
+    ++s.references;
     cold_.Sent(s, r.work);
     picking_.Sent(r, s);
     Attempt attempt;
     attempt.server = s.index;
     attempt.sent_at = now_;
     r.attempts.push_back(attempt);
-    if (!r.passing) Begin(r, s);
+    if (!r.receiving) Begin(r, s);
     out_->push_back(Dispatch{r.id, state_.EntryOf(s).server, timeout, state_.EntryOf(s).zone,
-                             state_.EntryOf(s).cell, may.by});
-    if (r.limits) NoteSent(r, first);
+                             state_.EntryOf(s).cell, may.valid_until});
+    if (r.limits) RecordRouteSend(r, first);
   }
 
-  // A server has work with an attempt from the request's last byte on.
+  // An attempt counts as load of its server once the request's last byte has been received.
   void Begin(Request& r, Server& s) {
     if (s.own_count == 0) s.quiet_since = now_;
     ++state_.in_flight, ++s.own_count;
@@ -99,8 +99,8 @@
     const auto found = requests_.find(e.request);
     if (found == requests_.end()) return;
     Request& r = found->second;
-    r.bound |= e.bound;
-    if (!e.whole || !std::exchange(r.passing, false)) return;
+    r.body_dropped |= e.bound;
+    if (!e.whole || !std::exchange(r.receiving, false)) return;
     r.due = e.due;
     for (Attempt& a : r.attempts) {
       if (a.outstanding) a.sent_at = now_, Begin(r, servers_[a.server]);
@@ -114,7 +114,7 @@
     auto claims = r.claims ? *r.claims : std::vector<KeyClaim>();
     claims.push_back(e.claim);
     r.claims = std::make_shared<const std::vector<KeyClaim>>(std::move(claims));
-    room_ = true;  // it may be held for what it may not have any more
+    retry_held_ = true;  // if it is queued, its permission has changed
   }
 
   void On(const AttemptEnded& e) {
@@ -129,19 +129,19 @@
     a.may_have_run =
         !(e.outcome == Outcome::kFull || e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kMoot);
     Learn(r, e, servers_[a.server]);
-    room_ = true;
+    retry_held_ = true;
     if (e.settled) r.finished = true;
     if (!r.finished && r.outstanding() == 0 && !r.held)
-      Again(r, e.outcome, a.may_have_run || e.outcome == Outcome::kFull);
-    Forget(found);
+      Retry(r, e.outcome, a.may_have_run || e.outcome == Outcome::kFull);
+    EraseIfDone(found);
   }
 
-  // After a failed attempt: another one where permitted, within the budget of repeats if it adds load.
-  void Again(Request& r, Outcome after, bool adds_load) {
-    if (!attempts_.Permitted(r).dispatch || (adds_load && !attempts_.MayRepeat())) return Finish(r);
+  // After a failed attempt: retries where permitted, within the retry budget if the retry adds load.
+  void Retry(Request& r, Outcome after, bool adds_load) {
+    if (!attempts_.Permitted(r).dispatch || (adds_load && !attempts_.MayRetry())) return Finish(r);
     if (r.limits) {
-      // What cannot be sent any more after the pause is given up now.
-      const Duration pause = r.limits->pause * (1 - kPauseSpread * state_.random.Unit());
+      // Ends the request now if it could no longer be sent after the backoff.
+      const Duration pause = r.limits->pause * (1 - kPauseJitter * state_.random.Unit());
       const bool in_time =
           pause.count() <= 0 || attempts_.Permitted(r, now_ + pause + settings_.tick * 2).dispatch;
       if (!(r.limits->retry_on & RouteLimits::RetryAfter(after)) || !in_time ||
@@ -154,16 +154,16 @@
         return;
       }
     }
-    PlaceAgain(r);
+    PlaceRetry(r);
   }
 
-  void PlaceAgain(Request& r) {
+  void PlaceRetry(Request& r) {
     r.refuse_at = std::max(r.refuse_at, std::min(r.due - settings_.tick * 2, now_ + settings_.tick * 4));
     Place(r);
   }
 
   void Learn(const Request& r, const AttemptEnded& e, Server& s) {
-    if (r.passing) return LearnOutcome(r, e, s);
+    if (r.receiving) return LearnOutcome(r, e, s);
     --state_.in_flight;
     s.own_work -= r.work;
     if (e.outcome != Outcome::kTimeout) s.quiet_since = now_;
@@ -176,7 +176,7 @@
     const bool ok = e.outcome == Outcome::kOk;
     if (e.outcome == Outcome::kCancelled || e.outcome == Outcome::kMoot || e.outcome == Outcome::kUnknown)
       return;
-    outcomes_ = std::min(kYoung, outcomes_ + 1);
+    outcomes_ = std::min(kMinOutcomes, outcomes_ + 1);
     if (ok) state_.rates.Served(r.work);
     const double took = e.took.count();
     picking_.LearnZone(r, s, ok && now_ <= r.arrived + settings_.classes[r.cls].aim, ok);
@@ -184,11 +184,12 @@
     if (!r.attempts[e.attempt].overdue && (timed || e.outcome == Outcome::kError))
       state_.class_losses.Add(now_, s.index, r.cls, !ok, fleet_.hosts);
     if (timed && std::isfinite(took) && took >= 0) {
-      Spread& seen = state_.classes[r.cls].latency;
-      seen.Add(took / state_.WorkScale(r));
-      const double relative = std::min(kMostSlowness, took / state_.WorkScale(r) / std::max(seen.mean, 1e-9));
+      MeanDeviation& seen = state_.classes[r.cls].latency;
+      seen.Add(took / state_.LatencyScale(r));
+      const double relative =
+          std::min(kMaxSlowness, took / state_.LatencyScale(r) / std::max(seen.mean, 1e-9));
       const double slowness = state_.SlownessOf(s);
-      s.excess = (slowness + kSlownessGain * (relative - slowness) - 1) / state_.fade;
+      s.excess = (slowness + kSlownessGain * (relative - slowness) - 1) / state_.slowness_decay;
     }
     if (timed)
       state_.crowding.Add(took, ok, r.work, state_.request_work.mean, settings_.classes[r.cls].aim.count());
@@ -196,7 +197,7 @@
     fleet_.ejected -= !state_.Usable(s);  // a draining server's late answers may fail too
     returns_.emplace(s.health.return_at, s.index);
     HealthChanged();
-    if (fleet_.thin) out_->push_back(CloseIdle{state_.EntryOf(s).server});  // others may need the place
+    if (fleet_.thin) out_->push_back(CloseIdle{state_.EntryOf(s).server});  // frees connections for others
     if (state_.MayLog(LogKind::kHealth)) {
       state_.LogLine("server " + std::to_string(state_.EntryOf(s).server) +
                      " ejected: " + std::to_string(s.health.failures) + " of " +
@@ -204,16 +205,16 @@
     }
   }
 
-  void Forget(std::unordered_map<RequestId, Request>::iterator it) {
+  void EraseIfDone(std::unordered_map<RequestId, Request>::iterator it) {
     if (it->second.finished) Unhold(it->second);
     if (!it->second.finished || it->second.outstanding() != 0) return;
     if (it->second.limits) routes_.Leave(*it->second.limits);
-    for (const Attempt& a : it->second.attempts) --servers_[a.server].remembered;
+    for (const Attempt& a : it->second.attempts) --servers_[a.server].references;
     requests_.erase(it);
   }
 
   // ---- Routes -------------------------------------------------------------------------------------
-  void NoteSent(Request& r, bool first) {
+  void RecordRouteSend(Request& r, bool first) {
     if (first) routes_.First(now_, *r.limits);
     const Duration after = r.limits->second_copy_after;
     if (after.count() <= 0 || !settings_.parallel_tries || settings_.classes[r.cls].effect != Effect::kSafe)
@@ -222,33 +223,34 @@
     wakeups_.emplace(r.copy_at, r.id);
   }
 
-  // Exception, where the settings and the route allow it: a second copy of a request that is safe to repeat,
-  // at a server that has not seen it, when the first attempt has taken the route's time. Its answer is
-  // whichever comes first; the other attempt runs on and counts as work in flight.
+  // Exception, where the settings and the route allow hedging: sends a second copy of a request that is safe
+  // to repeat to a server not tried yet, once the first attempt has taken the route's hedging delay. The
+  // first answer wins; the other attempt runs on and counts as work in flight.
   void SendCopy(Request& r) {
-    if (r.finished || r.outstanding() != 1 || !attempts_.MayRepeat()) return;
+    if (r.finished || r.outstanding() != 1 || !attempts_.MayRetry()) return;
     r.copying = true;
     const Permission may = attempts_.Permitted(r);
-    Server* s = may.dispatch && admission_.Fits(cold_.listed()) ? picking_.Pick(r, may) : nullptr;
-    if (s && !picking_.Last(r, *s) && routes_.Take(now_, *r.limits)) Send(r, *s, may);
+    Server* s = may.dispatch && admission_.HasRoom(cold_.listed()) ? picking_.Pick(r, may) : nullptr;
+    if (s && !picking_.RanksLast(r, *s) && routes_.Take(now_, *r.limits)) Send(r, *s, may);
     r.copying = false;
   }
 
-  // Attempts whose answers stay away take no server's time. Where connections fell silent, a dozen of them
-  // held all of the places that Admission::Fits gives, and half of the requests were refused by an idle
-  // fleet. Attempts wait in the order in which they were sent until they are old enough to be overdue at all.
+  // Marks attempts that are overdue; they no longer count against the concurrency limit. When connections
+  // went silent, a dozen such attempts used up the whole limit of Admission::HasRoom, and an idle fleet
+  // refused half of the requests. Attempts are kept in the order sent until they are old enough to be
+  // overdue.
   void FindOverdue() {
-    Duration least(std::numeric_limits<double>::infinity());
-    const auto unlikely = [this](int cls) {
-      const Spread& seen = state_.classes[cls].latency;
-      return Duration(seen.mean + kDeviations * seen.deviation);
+    Duration min_age(std::numeric_limits<double>::infinity());
+    const auto unlikely_after = [this](int cls) {
+      const MeanDeviation& seen = state_.classes[cls].latency;
+      return Duration(seen.mean + kTimeoutDeviations * seen.deviation);
     };
     for (std::size_t c = 0; c < state_.classes.size(); ++c) {
       if (state_.classes[c].latency.samples >= 10)
-        least = std::min(least, unlikely(static_cast<int>(c)) * kLeastScale);
+        min_age = std::min(min_age, unlikely_after(static_cast<int>(c)) * kMinLatencyScale);
     }
     for (; !sent_.empty(); sent_.pop_front()) {
-      if (now_ - sent_.front().first >= least) {
+      if (now_ - sent_.front().first >= min_age) {
         aged_.push_back(sent_.front().second);
       } else if (requests_.count(sent_.front().second)) {
         break;
@@ -258,26 +260,26 @@
       const auto found = requests_.find(id);
       if (found == requests_.end()) return true;
       Request& r = found->second;
-      bool waits = false;
+      bool too_recent = false;
       for (Attempt& a : r.attempts) {
         if (!a.outstanding || a.overdue) continue;
         if (state_.classes[r.cls].latency.samples < 10 ||
-            now_ - a.sent_at < unlikely(r.cls) * state_.WorkScale(r)) {
-          waits = true;
+            now_ - a.sent_at < unlikely_after(r.cls) * state_.LatencyScale(r)) {
+          too_recent = true;
           continue;
         }
         a.overdue = true;
         state_.class_losses.Add(now_, a.server, r.cls, true, fleet_.hosts);
         ++state_.overdue;
-        room_ = true;
+        retry_held_ = true;
       }
-      return !waits;
+      return !too_recent;
     });
   }
 
   void On(const Submit& e) {
     if (requests_.count(e.request)) return;
-    if (e.withheld) {  // before anything is learned of it: it is no part of the load
+    if (e.withheld) {  // before the estimates are updated: it is not part of the load
       out_->push_back(Refuse{e.request, settings_.max_retry_after});
       return;
     }
@@ -285,53 +287,53 @@
     r.id = e.request;
     r.due = e.due;
     r.arrived = now_;
-    r.key = e.key, r.passing = e.body_follows;
+    r.key = e.key, r.receiving = e.body_follows;
     if (e.request_class < 0 || e.request_class >= static_cast<int>(settings_.classes.size())) {
-      // Nothing is known of what it may do twice, and it never ran: the client may try again.
+      // Unknown class: whether it may run twice is unknown, but it never ran, so the client may retry.
       out_->push_back(Refuse{r.id, Duration(0)});
       return;
     }
     r.cls = e.request_class;
     const ClassSettings& c = settings_.classes[r.cls];
-    // Exception: what has passed of a client's deadline has passed of its aim.
+    // Exception: on a client's retry, the time spent on its deadline is also subtracted from its target time.
     const Duration aim =
-        c.aim - state_.classes[r.cls].usual_time.Elapsed(e.due - now_, c.deadline, e.client_retry);
+        c.aim - state_.classes[r.cls].usual_timeout.EstimateElapsed(e.due - now_, c.deadline, e.client_retry);
     const bool hinted = e.has_hint && std::isfinite(e.work_ms) && e.work_ms > 0;
-    r.work = hinted                            ? std::min(e.work_ms, kMostWork)
+    r.work = hinted                            ? std::min(e.work_ms, kMaxWorkMs)
              : state_.request_work.samples > 0 ? state_.request_work.mean
                                                : 1;
     if (hinted || state_.request_work.samples == 0) {
       state_.request_work.Add(r.work);
       state_.classes[r.cls].work.Add(r.work);
     }
-    state_.rates.Asked(r.work);
+    state_.rates.Offered(r.work);
     r.value = admission_.ValueOf(r, e.tenant, aim);
     r.limits = e.limits;
     if (e.claims && !e.claims->empty()) r.claims = e.claims;
     if (r.limits && r.limits->patience.count() > 0) r.due = std::min(r.due, now_ + r.limits->patience);
     if (r.value <= 0 || (r.limits && routes_.Full(*r.limits)) || admission_.Throttled(r) ||
-        !admission_.TakesClass(r))
-      return Finish(r, admission_.StayAway(r));
+        !admission_.AdmitsClass(r))
+      return Finish(r, admission_.RetryAfter(r));
     if (r.limits) routes_.Enter(*r.limits);
     const Duration useful =
         aim - Duration(state_.classes[r.cls].latency.mean + state_.classes[r.cls].latency.deviation);
     r.refuse_at = std::min(r.due - settings_.tick * 2, now_ + std::max(useful, c.aim / 4));
     Request& kept = requests_.emplace(r.id, std::move(r)).first->second;
     Place(kept);
-    Forget(requests_.find(e.request));
+    EraseIfDone(requests_.find(e.request));
   }
 
-  // Sends the request or holds it; true if sent.
+  // Sends, queues or finishes the request; true if it was sent.
   bool Place(Request& r) {
     const Permission may = attempts_.Permitted(r);
-    Server* s = may.dispatch && admission_.Fits(cold_.listed()) ? picking_.Pick(r, may) : nullptr;
+    Server* s = may.dispatch && admission_.HasRoom(cold_.listed()) ? picking_.Pick(r, may) : nullptr;
     if (s) {
       Unhold(r);
       Send(r, *s, may);
       return true;
     }
     if (!may.dispatch || now_ >= r.refuse_at) {
-      Finish(r, admission_.StayAway(r));
+      Finish(r, admission_.RetryAfter(r));
     } else if (!r.held) {
       r.held = true;
       held_.emplace(-r.value, -r.arrived.time_since_epoch(), r.id);
@@ -346,14 +348,14 @@
   }
 
   void PlaceHeld() {
-    if (!room_) return;
-    room_ = false;
+    if (!retry_held_) return;
+    retry_held_ = false;
     int misses = 0;
-    for (auto it = held_.begin(); it != held_.end() && misses < kMostMisses;) {
+    for (auto it = held_.begin(); it != held_.end() && misses < kMaxMisses;) {
       const RequestId id = std::get<2>(*it++);
       const auto found = requests_.find(id);
       misses += !Place(found->second);
-      Forget(found);
+      EraseIfDone(found);
     }
   }
 
@@ -361,7 +363,7 @@
     const auto found = requests_.find(e.request);
     if (found == requests_.end()) return;
     found->second.finished = true;
-    Forget(found);
+    EraseIfDone(found);
   }
 
   void On(const StreamStarted& e) {
@@ -371,10 +373,9 @@
 
   void On(const TimerFired&) {}
 
-  // What all proxies have together is divided by how many there are, or as a grant says while it lasts.
   void On(const Share& e) {
     if (!(e.share > 0 && e.share <= 1 && e.after > 0 && e.after <= 1)) return;
-    state_.sharers = {1 / e.share, 1 / e.after, e.until};
+    state_.proxy_count = {1 / e.share, 1 / e.after, e.until};
   }
 
   void On(const ClassLimit& e) { admission_.Limit(e); }
@@ -385,11 +386,11 @@
     if (e.kind != ListKind::kFailed) roster_.Take(e);
   }
 
-  // A large list takes effect whole, some events later; a drain in it waits for that, far less than the rule
-  // has.
+  // Reads lists in slices. A large one takes effect as a whole, some events later; a drain in it is delayed
+  // by that, which is far less than the time the rule allows.
   void ReadLists() {
-    const auto in_use = [this](ServerIndex i) { return i < servers_.size() && servers_[i].remembered > 0; };
-    for (std::size_t left = kSlice; left > 0 && roster_.Waiting();) {
+    const auto in_use = [this](ServerIndex i) { return i < servers_.size() && servers_[i].references > 0; };
+    for (std::size_t left = kListSlice; left > 0 && roster_.Waiting();) {
       const bool whole = roster_.Read(now_, in_use, &left);
       while (servers_.size() < roster_.size())
         servers_.Add().index = static_cast<ServerIndex>(servers_.size() - 1);
@@ -413,10 +414,10 @@
     roster_.DropChanges();
     cold_.CountCapacity();
     used_.ListTookEffect();
-    room_ = true;
+    retry_held_ = true;
   }
 
-  // After a change of what is in service.
+  // Called after servers were ejected or returned.
   void HealthChanged() {
     cold_.CountCapacity();
     used_.HealthChanged();
@@ -429,9 +430,9 @@
     if (now_ >= interval_end_) {
       interval_end_ = now_ + fleet_.interval;
       OutlierDetector::EndInterval(fleet_);
-      routes_.DropEmpty(now_);
+      routes_.EraseIdle(now_);
     }
-    if (used_.Entering()) used_.EnterSome();
+    if (used_.Entering()) used_.EnterSlice();
     if (now_ >= sample_at_) Sample();
     if (now_ >= asking_.due()) {
       out_->push_back(Subscribe{});
@@ -442,13 +443,13 @@
       wakeups_.erase(wakeups_.begin());
       if (found == requests_.end()) continue;
       Request& r = found->second;
-      if (r.held && now_ >= r.refuse_at) Finish(r, admission_.StayAway(r));
+      if (r.held && now_ >= r.refuse_at) Finish(r, admission_.RetryAfter(r));
       if (r.paused && now_ >= r.paused_until) {
         r.paused = false;
-        if (!r.finished) PlaceAgain(r);
+        if (!r.finished) PlaceRetry(r);
       }
       if (r.copy_at != TimePoint{} && now_ >= r.copy_at) r.copy_at = TimePoint{}, SendCopy(r);
-      Forget(found);
+      EraseIfDone(found);
     }
   }
 
@@ -456,10 +457,10 @@
     for (; !returns_.empty() && returns_.top().first <= now_; returns_.pop()) {
       Server& s = servers_[returns_.top().second];
       if (!s.health.ejected || s.health.return_at != returns_.top().first)
-        continue;  // its place was used again
+        continue;  // a stale entry: the index was reused, or the server was ejected again
       OutlierDetector::Return(s.health, fleet_);
       used_.Reindex(s);
-      room_ = true;
+      retry_held_ = true;
       fleet_.ejected -= state_.Usable(s);
       fleet_.failures += s.health.failures;
       fleet_.attempts += s.health.attempts();
@@ -476,17 +477,18 @@
     FindOverdue();
     if (sampled_at_ != TimePoint{} && elapsed > 0) {
       state_.rates.Sample(elapsed);
-      state_.crowding.Forget(elapsed);
+      state_.crowding.Decay(elapsed);
       const Rates& rates = state_.rates;
-      // A young proxy goes by what it is asked for: it has no answers yet.
-      cold_.LearnWarmRate(Duration(elapsed),
-                          outcomes_ < kYoung ? std::max(rates.served(), rates.asked()) : rates.served());
-      picking_.Resize(rates.asked());
+      // A proxy without enough answers goes by the offered rate.
+      cold_.LearnWarmRate(Duration(elapsed), outcomes_ < kMinOutcomes
+                                                 ? std::max(rates.served(), rates.offered())
+                                                 : rates.served());
+      picking_.Resize(rates.offered());
     }
-    admission_.FillShares(elapsed);
+    admission_.RefillTokens(elapsed);
     sampled_at_ = now_;
-    sample_at_ = now_ + kHousekeeping;
-    room_ = true;  // cold budgets have moved on
+    sample_at_ = now_ + kSampleInterval;
+    retry_held_ = true;  // cold budgets have been refilled
   }
 
   void Arm() {
@@ -513,15 +515,15 @@
   TimePoint interval_end_{}, sample_at_{}, sampled_at_{};
   std::priority_queue<std::pair<TimePoint, ServerIndex>, std::vector<std::pair<TimePoint, ServerIndex>>,
                       std::greater<>>
-      returns_;  // of those ejected
+      returns_;  // ejected servers by return time; may hold stale entries
   std::unordered_map<RequestId, Request> requests_;
-  std::set<std::tuple<double, Duration, RequestId>> held_;
-  std::deque<std::pair<TimePoint, RequestId>> sent_;  // attempts too young to be overdue
-  std::vector<RequestId> aged_;                       // those that may be, and are out
+  std::set<std::tuple<double, Duration, RequestId>> held_;  // queued: most valuable first, then the newest
+  std::deque<std::pair<TimePoint, RequestId>> sent_;        // attempts too recent to be overdue
+  std::vector<RequestId> aged_;                             // outstanding attempts old enough to be overdue
   std::set<std::pair<TimePoint, RequestId>> wakeups_;
-  RouteUse routes_;
-  int outcomes_ = 0;   // attempts ended, to kYoung
-  bool room_ = false;  // something changed that may let a held request go
+  RouteUsage routes_;
+  int outcomes_ = 0;         // attempts ended, up to kMinOutcomes
+  bool retry_held_ = false;  // something changed that may let a queued request be sent
   kestrelline::fleet::Asking asking_{settings_.must_ask_within};
   TimePoint armed_ = kNever;
 };
--- a/src/fleet/asking.h
+++ b/src/fleet/asking.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// When to ask discovery for the list, where it has to be asked for. No decision on servers or requests.
+// Decides when to subscribe to the server list, where discovery does not push it. Retries failed calls with
+// exponential backoff and jitter.
 #ifndef KESTRELLINE_FLEET_ASKING_H_
 #define KESTRELLINE_FLEET_ASKING_H_
 
@@ -15,22 +16,22 @@
   using Duration = brackenspoke::Duration;
   using TimePoint = brackenspoke::TimePoint;
   static constexpr TimePoint kNever{Duration(1e300)};
-  // Whatever the rules allow after a call that failed or hung, what changed is to be known 6 s later: one
-  // that hangs and the pause after it leave room for the next.
+  // A change has to be known within 6 s even after a call that failed or hung: a call that hangs and the
+  // backoff after it leave time for another call.
   static constexpr Duration kMostWait{3000}, kMostBackoff{1500};
 
-  // `within`: the time in which the rules want a call.
+  // `within`: time within which a call is required.
   explicit Asking(Duration within) : within_(within) {}
 
   TimePoint due() const { return due_; }
-  // Asked: an answer may never come.
+  // A call was made. It is repeated if no answer comes.
   void Asked(TimePoint now) { due_ = now + std::min(within_ / 2, kMostWait); }
-  // `unit` draws from 0 to 1, where that is needed: after a failure there is a jittered backoff, from a
-  // twentieth to a quarter of that time.
+  // An answer came. After a failure the next call is due after a backoff between a twentieth and a quarter of
+  // `within`, with jitter from `unit()`, a random number from 0 to 1 that is drawn only then.
   template <typename Unit>
   void OnList(brackenspoke::ListKind kind, TimePoint now, Unit unit) {
     if (kind == brackenspoke::ListKind::kCached) {
-      due_ = now;  // a new life: nothing is subscribed yet
+      due_ = now;  // a list from the cache after a restart: there is no subscription yet
     } else if (kind == brackenspoke::ListKind::kFailed) {
       backoff_ = std::min({within_ / 4, std::max(within_ / 20, backoff_ * 2), kMostBackoff});
       due_ = now + backoff_ * (0.5 + 0.5 * unit());
--- a/src/fleet/class_losses.h
+++ b/src/fleet/class_losses.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Servers that lose one class of requests and serve the others: a renderer that has died in a process that
-// lives. The failures of such a class are too few among all of a server's answers to take it out of service,
-// and a class that may not run twice is lost with each of them. No I/O, no clock.
+// Detects servers that fail one class of requests and serve the others, as when one worker of a running
+// process has died. The failures are too few among all answers of the server for outlier ejection, and each
+// loses a request if the class must not run twice. No I/O, no clock.
 //
-// A pair of server and class is avoided when what it lost is far from what the class loses elsewhere: by the
-// likelihood ratio of the two shares (a G-test), once it has lost kLeastLost and the server has answered
-// other classes meanwhile: one that answers nothing is for A50 to judge. It is avoided for a while, as a
-// server that A50 ejects is, and longer each time it turns out not to have recovered. Only losses that speak
-// of the class are counted, errors and silence: connections break for all classes alike.
+// A pair of server and class is avoided when its failure share differs significantly from that of the class
+// elsewhere, by the likelihood ratio of the two (a G-test), once it has kMinLosses losses and the server has
+// answered other classes meanwhile; a server that answers nothing is left to A50. It is avoided for a limited
+// time, which grows each time it turns out not to have recovered, as with A50. Only errors and missing
+// answers count as losses: broken connections affect all classes alike.
 //
-// Pairs that lose nothing cost nothing. Of those that do, at most kMostPairs are kept; beyond, new ones go
-// unseen until others have been forgotten.
+// Pairs without losses need no memory. At most kMaxPairs others are kept; beyond that, new ones are not
+// detected until old ones have been erased.
 #ifndef KESTRELLINE_FLEET_CLASS_LOSSES_H_
 #define KESTRELLINE_FLEET_CLASS_LOSSES_H_
 
@@ -29,18 +29,20 @@
   using Duration = brackenspoke::Duration;
   using TimePoint = brackenspoke::TimePoint;
 
-  static constexpr Duration kMemory{8000};     // what was seen counts by 1/e after this
-  static constexpr double kLeastLost = 1.5;    // two, the first of them a little faded
-  static constexpr double kDecisive = 3.3;     // log likelihood ratio: one in a hundred by chance
-  static constexpr double kPriorLost = 1;      // seen elsewhere before anything is: a class that fails from
-  static constexpr double kPriorAll = 4;       // the start fails everywhere, for all that is known
-  static constexpr double kLeastExcess = 0.1;  // in the share lost, over that elsewhere: less is not worth it
-  static constexpr Duration kAvoid{3000}, kMostAvoid{16000};
-  static constexpr double kMostAvoided = 0.5;  // of the servers, for one class
-  static constexpr std::size_t kMostPairs = 4096;
+  static constexpr Duration kMemory{8000};       // time constant of the exponential decay of counts
+  static constexpr double kMinLosses = 1.5;      // two losses, the first of them partly decayed
+  static constexpr double kDecisiveRatio = 3.3;  // log likelihood ratio: 1% by chance
+  // Prior counts of the class elsewhere: a class that fails from the start is assumed to fail everywhere.
+  static constexpr double kPriorLost = 1;
+  static constexpr double kPriorAll = 4;
+  static constexpr double kMinExcess = 0.1;  // smaller excess of the loss share is not worth avoiding
+  static constexpr Duration kAvoid{3000}, kMaxAvoid{16000};
+  static constexpr double kMaxAvoidedShare = 0.5;  // fraction of the servers, for one class
+  static constexpr std::size_t kMaxPairs = 4096;
 
-  // An answer came, or stayed away until it could not be expected any more (`lost`; an answer that comes
-  // later is not to be told). `hosts`: servers listed as ready. True if the pair is avoided from now on.
+  // Adds an answer. `lost`: an error, or no answer within the time it could be expected; a later answer to
+  // the same attempt must not be added. `hosts`: servers listed as ready. True if the pair is avoided from
+  // now on.
   bool Add(TimePoint now, std::uint32_t server, int request_class, bool lost, int hosts);
 
   bool Avoids(TimePoint now, std::uint32_t server, int request_class) const {
@@ -49,7 +51,7 @@
     return found != pairs_.end() && now < found->second.until;
   }
 
-  // Its number belongs to another server, or it runs anew.
+  // Erases a server that restarted, or whose number was given to another server.
   void Forget(std::uint32_t server);
   std::size_t pairs() const { return pairs_.size(); }
 
@@ -58,18 +60,18 @@
     double lost = 0, all = 0;
     TimePoint as_of{};
     void Add(TimePoint now, bool is_lost);
-    void Fade(TimePoint now);
+    void Decay(TimePoint now);
   };
   struct Pair {
-    Shares seen;    // since its first loss
-    int times = 0;  // that it was avoided and had not recovered
-    TimePoint until{};
-    TimePoint other_served{};  // when the server last answered something of another class
+    Shares seen;               // since its first loss, or since it was last avoided
+    int times_avoided = 0;     // times in a row that it was avoided without recovering
+    TimePoint until{};         // avoided until then
+    TimePoint other_served{};  // when the server last answered a request of another class
   };
   static std::uint64_t Key(std::uint32_t server, int request_class) {
     return std::uint64_t{server} << 32 | static_cast<std::uint32_t>(request_class);
   }
-  bool IsApart(TimePoint now, const Pair& pair, const Shares& of_class) const;
+  bool DiffersFromClass(TimePoint now, const Pair& pair, const Shares& class_shares) const;
   void NoteServed(TimePoint now, std::uint32_t server, int request_class);
   void DropStale(TimePoint now);
 
--- a/src/fleet/groups.h
+++ b/src/fleet/groups.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Who belongs to which group of one kind (zones, cells), each change at the same cost whatever the sizes.
-// Groups are numbered by key ahead of any change; there are no more of them than keys were ever seen.
+// Members by group (zone or cell). Adding and removing takes constant time. A group gets its number from its
+// key before the first change, and keeps it; groups are never erased.
 #ifndef KESTRELLINE_FLEET_GROUPS_H_
 #define KESTRELLINE_FLEET_GROUPS_H_
 
@@ -24,9 +24,9 @@
     if (added) groups_.emplace_back();
     return found->second;
   }
-  // A member is in one group at the most, and leaves the one that it is in.
+  // A member must not be in any group when it is added, and is removed from the group that it is in.
   void Add(Number group, Member member) {
-    places_.Widen(member + 1);
+    places_.GrowTo(member + 1);
     places_[member] = static_cast<std::uint32_t>(groups_[group].size());
     groups_[group].push_back(member);
   }
@@ -37,17 +37,17 @@
     places_[members[at]] = at;
     members.pop_back();
   }
-  // Nobody for a key that was never numbered.
+  // Empty for a key without a number.
   const std::vector<Member>& At(Key key) const {
-    static const std::vector<Member> kNobodyThere;
+    static const std::vector<Member> kNoMembers;
     const auto found = numbers_.find(key);
-    return found == numbers_.end() ? kNobodyThere : groups_[found->second];
+    return found == numbers_.end() ? kNoMembers : groups_[found->second];
   }
 
  private:
   boost::unordered_flat_map<Key, Number> numbers_;
   std::vector<std::vector<Member>> groups_;
-  Table<std::uint32_t> places_;  // by member: where in its group
+  Table<std::uint32_t> places_;  // by member: its position in its group
 };
 
 }  // namespace kestrelline::fleet
--- a/src/fleet/least_work.cpp
+++ b/src/fleet/least_work.cpp
@@ -10,11 +10,11 @@
   std::size_t below = members, changed = old;
   for (std::size_t level = 0; below > 0; ++level) {
     if (level == levels_.size()) levels_.emplace_back(), changed = 0;
-    below = (below + kWide - 1) / kWide, changed /= kWide;
+    below = (below + kFanOut - 1) / kFanOut, changed /= kFanOut;
     levels_[level].nodes.resize(below);
     levels_[level].loose.resize(below, 1);
     for (std::size_t node = changed; node < below; ++node) Tighten(level, node);
-    if (below <= kWide) {
+    if (below <= kFanOut) {
       levels_.resize(level + 1);
       return;
     }
@@ -27,16 +27,16 @@
   const Node bounds = NodeOf(keys_[at]);
   std::size_t node = at;
   for (Level& level : levels_) {
-    node /= kWide;
+    node /= kFanOut;
     level.nodes[node].TakeLower(bounds);
     level.loose[node] = 1;
   }
 }
 
-void LeastWork::TakeOut(Position at) {
+void LeastWork::Remove(Position at) {
   keys_[at] = Key();
   std::size_t node = at;
-  for (Level& level : levels_) level.loose[node /= kWide] = 1;
+  for (Level& level : levels_) level.loose[node /= kFanOut] = 1;
 }
 
 void LeastWork::Rescale(double factor, double usual) {
@@ -56,11 +56,11 @@
     return true;
   };
   for (std::size_t i = 0; i < keys_.size(); ++i) {
-    if (!bounds(levels_[0].nodes[i / kWide], NodeOf(keys_[i]))) return false;
+    if (!bounds(levels_[0].nodes[i / kFanOut], NodeOf(keys_[i]))) return false;
   }
   for (std::size_t level = 1; level < levels_.size(); ++level) {
     for (std::size_t n = 0; n < levels_[level - 1].size(); ++n) {
-      if (!bounds(levels_[level].nodes[n / kWide], levels_[level - 1].nodes[n])) return false;
+      if (!bounds(levels_[level].nodes[n / kFanOut], levels_[level - 1].nodes[n])) return false;
     }
   }
   return true;
@@ -71,7 +71,7 @@
   double low = 0, high = first;
   std::size_t column = 0;
   while (asked > high && column + 2 < kColumns - 1) ++column, low = high, high *= 2;
-  // Past the last value the bound goes on with the least slope that there is.
+  // Beyond the last column, extrapolates with the least `slow`.
   if (asked > high) return {column + 1, kColumns - 1, 1, asked - high, asked};
   const double part = (asked - low) / (high - low);
   return {column, column + 1, 1 - part, part, asked};
@@ -111,20 +111,20 @@
   Node& tight = levels_[level].nodes[node];
   tight.Clear();
   bool loose = false;
-  const std::size_t from = node * kWide;
+  const std::size_t from = node * kFanOut;
   if (level == 0) {
-    for (std::size_t i = from; i < std::min(keys_.size(), from + kWide); ++i)
+    for (std::size_t i = from; i < std::min(keys_.size(), from + kFanOut); ++i)
       tight.TakeLower(NodeOf(keys_[i]));
   } else {
     const Level& below = levels_[level - 1];
-    for (std::size_t n = from; n < std::min(below.size(), from + kWide); ++n) {
+    for (std::size_t n = from; n < std::min(below.size(), from + kFanOut); ++n) {
       tight.TakeLower(below.nodes[n]);
       loose |= below.loose[n] != 0;
     }
   }
   levels_[level].loose[node] = loose;
-  if (level + 1 < levels_.size() && node / kWide < levels_[level + 1].size())
-    levels_[level + 1].loose[node / kWide] = 1;
+  if (level + 1 < levels_.size() && node / kFanOut < levels_[level + 1].size())
+    levels_[level + 1].loose[node / kFanOut] = 1;
 }
 
 }  // namespace kestrelline::fleet
--- a/src/fleet/pick_index.cpp
+++ b/src/fleet/pick_index.cpp
@@ -4,18 +4,18 @@
 namespace kestrelline::fleet {
 namespace {
 
-constexpr std::size_t kLeastPlaces = 64;  // places are made in doubles, so that entering costs the same
+constexpr std::size_t kMinPlaces = 64;  // capacity doubles, so that Enter takes amortized constant time
 
 }  // namespace
 
 void PickIndex::Enter(Member member, Side side) {
   if (Has(member)) return;
-  places_.Widen(member + 1, kOut);
+  places_.GrowTo(member + 1, kOut);
   auto& members = members_[side];
   auto& empty = empty_[side];
   if (empty.empty()) {
     const auto old = static_cast<LeastWork::Position>(members.size());
-    members.resize(std::max<std::size_t>(kLeastPlaces, members.size() * 2), kNobody);
+    members.resize(std::max<std::size_t>(kMinPlaces, members.size() * 2), kNoMember);
     keys_[side].Resize(members.size());
     for (auto at = static_cast<LeastWork::Position>(members.size()); at > old;) empty.push_back(--at);
   }
@@ -29,8 +29,8 @@
 void PickIndex::Leave(Member member) {
   if (!Has(member)) return;
   const auto [side, at] = Unpacked(places_[member]);
-  keys_[side].TakeOut(at);
-  members_[side][at] = kNobody;
+  keys_[side].Remove(at);
+  members_[side][at] = kNoMember;
   empty_[side].push_back(at);
   places_[member] = kOut;
   --size_;
@@ -45,7 +45,7 @@
 void PickIndex::Hide(Member member) {
   if (!Has(member)) return;
   const auto [side, at] = Unpacked(places_[member]);
-  keys_[side].TakeOut(at);
+  keys_[side].Remove(at);
 }
 
 void PickIndex::Refresh(TimePoint now, double usual) {
@@ -67,7 +67,7 @@
   for (const Side side : {kHome, kAway}) {
     empty += empty_[side].size(), places += members_[side].size();
     for (std::size_t at = 0; at < members_[side].size(); ++at) {
-      if (members_[side][at] == kNobody && keys_[side].Holds(static_cast<LeastWork::Position>(at)))
+      if (members_[side][at] == kNoMember && keys_[side].Holds(static_cast<LeastWork::Position>(at)))
         return false;
     }
     if (!keys_[side].Sound()) return false;
--- a/src/fleet/ring.h
+++ b/src/fleet/ring.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Members on a ring, by a hash that everybody shares, kept in order: a change costs one pass over 8 bytes a
-// member, sorting only what changes.
+// Hash ring of members, stored as a sorted array. An update takes one pass over 8 bytes per member, and sorts
+// only what changes.
 #ifndef KESTRELLINE_FLEET_RING_H_
 #define KESTRELLINE_FLEET_RING_H_
 
@@ -13,56 +13,56 @@
 
 namespace kestrelline::fleet {
 
-struct Spot {
-  std::uint32_t place = 0;  // a hash of what the member is called
-  Member member = kNobody;
-  auto operator<=>(const Spot&) const = default;
+struct RingPoint {
+  std::uint32_t place = 0;  // hash of the member's id, the same in all processes
+  Member member = kNoMember;
+  auto operator<=>(const RingPoint&) const = default;
 };
 
 class Ring {
  public:
-  std::size_t size() const { return spots_.size(); }
-  Member operator[](std::size_t k) const { return spots_[k].member; }
-  std::uint32_t PlaceOf(std::size_t k) const { return spots_[k].place; }
+  std::size_t size() const { return points_.size(); }
+  Member operator[](std::size_t k) const { return points_[k].member; }
+  std::uint32_t PlaceOf(std::size_t k) const { return points_[k].place; }
 
-  // Takes out those that leave, for which `stays(member)` is false, and adds those that join, which are in
-  // order and were not there.
+  // Removes `leaving`, which are those for which `stays(member)` is false, and adds `joining`, which must be
+  // sorted and not be on the ring. Sorts `leaving`.
   template <typename Stays>
-  void Change(std::vector<Spot>* leaving, const std::vector<Spot>& joining, Stays&& stays) {
+  void Change(std::vector<RingPoint>* leaving, const std::vector<RingPoint>& joining, Stays&& stays) {
     if (leaving->size() > kFew) {
-      std::erase_if(spots_, [&](const Spot& spot) { return !stays(spot.member); });
+      std::erase_if(points_, [&](const RingPoint& point) { return !stays(point.member); });
     } else if (!leaving->empty()) {
       std::sort(leaving->begin(), leaving->end());
       auto next = leaving->begin();
-      const auto first = std::lower_bound(spots_.begin(), spots_.end(), *next);
-      spots_.erase(std::remove_if(first, spots_.end(),
-                                  [&](const Spot& spot) {
-                                    while (next != leaving->end() && *next < spot) ++next;
-                                    return next != leaving->end() && *next == spot;
-                                  }),
-                   spots_.end());
+      const auto first = std::lower_bound(points_.begin(), points_.end(), *next);
+      points_.erase(std::remove_if(first, points_.end(),
+                                   [&](const RingPoint& point) {
+                                     while (next != leaving->end() && *next < point) ++next;
+                                     return next != leaving->end() && *next == point;
+                                   }),
+                    points_.end());
     }
     if (joining.empty()) return;
-    // Exactly, where much joins: half of a large ring would stand empty.
-    if (joining.size() > spots_.size() / 8) spots_.reserve(spots_.size() + joining.size());
-    const auto old = static_cast<std::ptrdiff_t>(spots_.size());
-    spots_.insert(spots_.end(), joining.begin(), joining.end());
-    std::inplace_merge(spots_.begin(), spots_.begin() + old, spots_.end());
-    // One that left and came back at once may not have been taken out.
-    spots_.erase(std::unique(spots_.begin(), spots_.end()), spots_.end());
+    // Reserves exactly if many join: doubling would leave up to half of a large ring unused.
+    if (joining.size() > points_.size() / 8) points_.reserve(points_.size() + joining.size());
+    const auto old = static_cast<std::ptrdiff_t>(points_.size());
+    points_.insert(points_.end(), joining.begin(), joining.end());
+    std::inplace_merge(points_.begin(), points_.begin() + old, points_.end());
+    // A member that left and joined in the same change may not have been removed.
+    points_.erase(std::unique(points_.begin(), points_.end()), points_.end());
   }
 
-  // The first at `place` or after it, round the ring. The ring is not empty.
+  // Index of the first member at or after `place`, wrapping around. The ring must not be empty.
   std::size_t At(std::uint32_t place) const {
-    const auto found = std::lower_bound(spots_.begin(), spots_.end(), Spot{place, 0});
-    return found == spots_.end() ? 0 : static_cast<std::size_t>(found - spots_.begin());
+    const auto found = std::lower_bound(points_.begin(), points_.end(), RingPoint{place, 0});
+    return found == points_.end() ? 0 : static_cast<std::size_t>(found - points_.begin());
   }
 
  private:
-  static constexpr std::size_t kFew =
-      64;  // that leave: sorting them is cheaper than asking about each that stays
+  // Up to this many leaving members, sorting them is cheaper than calling `stays` for each member.
+  static constexpr std::size_t kFew = 64;
 
-  std::vector<Spot> spots_;
+  std::vector<RingPoint> points_;
 };
 
 }  // namespace kestrelline::fleet
--- a/src/fleet/roster.h
+++ b/src/fleet/roster.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Who is in the fleet: the servers that lists name, each with a dense number, on rings and in groups. A list
-// is read in slices, and takes effect whole or not at all: until its last entry is read the one before holds.
-// What an event does is bounded by the slice, and by the change that takes effect.
+// The servers of the fleet as listed by discovery, each with a dense number, on rings and in groups. A list
+// is read in slices and takes effect atomically: until its last entry is read, the previous state holds. The
+// cost of an event is bounded by the slice and by the change that takes effect.
 //
-// A server that goes keeps its number for `forget_after`, and longer while it is in use; then another may
-// have it.
+// A server that is gone keeps its number for `forget_after`, and for as long as it is in use; then the number
+// may be reused.
 //
-// Bounds: 8,192 servers that have gone, and those of the last minute; 72 bytes for each server known, 8 for
-// its number, 8 to 16 on rings, 8 in groups. Of lists that wait, a whole one takes the place of those before
-// it; when more than 64 wait, all are read at once.
+// Limits: records of 8,192 servers that are gone, plus those of the last minute; 72 bytes for each server
+// known, 8 for its number, 8 to 16 on rings, 8 in groups. A full list supersedes the lists waiting before it;
+// when more than 64 lists wait, they are read without slicing.
 #ifndef KESTRELLINE_FLEET_ROSTER_H_
 #define KESTRELLINE_FLEET_ROSTER_H_
 
@@ -35,8 +35,8 @@
 using brackenspoke::ServerState;
 using brackenspoke::TimePoint;
 
-// What is kept of an entry: what decisions are made of.
-struct Seat {
+// The part of a ServerEntry that decisions use.
+struct ServerRecord {
   ServerId server = 0;
   int zone = 0, cell = 0;
   ServerState state = ServerState::kGone;
@@ -46,18 +46,18 @@
 class Roster {
  public:
   struct Options {
-    int zone = 0;        // the own one
-    bool apart = false;  // home() and away() are kept
+    int zone = 0;                 // the home zone
+    bool separate_zones = false;  // maintain home() and away()
     brackenspoke::Duration forget_after{600000};
-    // Of many that have gone those are forgotten sooner, though none within a minute.
-    std::size_t most_gone = 8192;
+    // Above this number, servers that are gone are forgotten sooner, but not within a minute.
+    std::size_t max_gone = 8192;
   };
-  // What an entry of a list that has taken effect changed, in the order of the entries; servers that a whole
-  // list leaves out come last.
+  // The effect of one entry of a list, in the order of the entries; servers missing from a full list come
+  // last.
   struct Change {
-    Member member = kNobody;
-    bool placed = false;   // the number is new, or was another server's: nothing is known of it
-    bool started = false;  // new, or it started again
+    Member member = kNoMember;
+    bool placed = false;   // the number is new, or belonged to another server
+    bool started = false;  // the server is new or has restarted
     ServerState before = ServerState::kGone, after = ServerState::kGone;
     Groups::Number zone_group = 0, cell_group = 0;
   };
@@ -65,26 +65,26 @@
 
   explicit Roster(Options options) : options_(options) {}
 
-  // A list to be read; not one that failed.
+  // Queues a list to be read; not one of kind kFailed.
   void Take(const ListUpdate& list);
   bool Waiting() const { return !waiting_.empty(); }
-  // Reads entries, at most `*left`, which it counts down. True if a list took effect: see changes(). There
-  // may be more to read.
+  // Reads up to `*left` entries of the first list, and subtracts their number from `*left`. True if that list
+  // took effect; see changes(). More lists may be waiting.
   bool Read(TimePoint now, const InUse& in_use, std::size_t* left);
-  // Of the list that took effect, until more is read.
+  // Changes made by the list that took effect; valid until the next Read.
   const std::vector<Change>& changes() const { return changes_; }
-  // Gives the memory of a large one back.
+  // Frees the memory of a large list of changes.
   void DropChanges();
 
-  std::size_t size() const { return known_.size(); }  // numbers given, those of servers gone included
-  const Seat& operator[](Member member) const { return known_[member].entry; }
-  bool Ready(Member member) const { return known_[member].entry.state == ServerState::kReady; }
+  std::size_t size() const { return members_.size(); }  // numbers given, including servers that are gone
+  const ServerRecord& operator[](Member member) const { return members_[member].entry; }
+  bool Ready(Member member) const { return members_[member].entry.state == ServerState::kReady; }
 
-  // Those ready: all, those of the own zone, those of others.
+  // Ready servers: all, of the home zone, and of the other zones.
   const Ring& all() const { return rings_[0]; }
   const Ring& home() const { return rings_[kHomeSide]; }
   const Ring& away() const { return rings_[kAwaySide]; }
-  // Those ready of a zone, and of a cell of it.
+  // Ready servers of a zone, and of a cell.
   const std::vector<Member>& InZone(int zone) const { return zones_.At(ZoneKey(zone)); }
   const std::vector<Member>& InCell(const brackenspoke::Location& place) const {
     return cells_.At(CellKey(place));
@@ -92,17 +92,17 @@
 
  private:
   enum Side : std::uint8_t { kNoSide, kHomeSide, kAwaySide };
-  static constexpr std::size_t kMostWaiting = 64;
+  static constexpr std::size_t kMaxWaiting = 64;
 
-  struct Known {
-    Seat entry;
+  struct MemberRecord {
+    ServerRecord entry;
     TimePoint gone_since{};
-    std::uint32_t place = 0;    // on the rings: a hash of its id
-    std::uint32_t in_list = 0;  // the last list that named it, by its number
+    std::uint32_t place = 0;    // place on the rings: hash of its id
+    std::uint32_t in_list = 0;  // number of the last list that contained it
     Groups::Number zone_group = 0, cell_group = 0;
-    Side side = kNoSide;   // of the rings that it stands on
-    bool grouped = false;  // it stands in its groups
-    bool joins = false;    // it has to come to the rings of its side
+    Side side = kNoSide;   // of the ring that it is on
+    bool grouped = false;  // it is in its groups
+    bool joins = false;    // scheduled to join the rings of its side
   };
   struct List {
     ListKind kind;
@@ -119,22 +119,22 @@
   void Move(Member member);
   void ChangeRings();
   void Ungroup(Member member);
-  void NoteGone(TimePoint now, Member member);
+  void RecordGone(TimePoint now, Member member);
   bool StillGone(const std::pair<TimePoint, Member>& gone) const;
-  Side SideOf(const Known& known) const;
+  Side SideOf(const MemberRecord& record) const;
 
   Options options_;
   std::deque<List> waiting_;  // the first is being read
-  std::vector<Change>
-      changes_;  // of the list that is read; what is not known before it takes effect is set then
-  std::vector<Spot> leaving_[3];  // rings, at the end of the list that takes effect
+  // Of the list being read; the fields that are known only when it takes effect are set then.
+  std::vector<Change> changes_;
+  std::vector<RingPoint> leaving_[3];  // by ring: removed once the list has been applied
   bool some_join_ = false;
-  std::vector<Spot> staged_spots_;  // of those that the list names as ready, in the order of the ring
+  std::vector<RingPoint> staged_points_;  // ready servers of the list being read, in ring order
 
   boost::unordered_flat_map<ServerId, Member> numbers_;
-  Table<Known> known_;
-  std::uint32_t list_ = 0;                         // the number of the list that is read
-  std::deque<std::pair<TimePoint, Member>> gone_;  // by since when
+  Table<MemberRecord> members_;
+  std::uint32_t list_ = 0;                         // number of the list being read
+  std::deque<std::pair<TimePoint, Member>> gone_;  // by time; may hold stale entries
   Ring rings_[3];
   Groups zones_, cells_;
 };
--- a/src/fleet/table.h
+++ b/src/fleet/table.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A table by dense numbers, as fast as an array, that grows by an eighth: what stands empty is little, and
-// what is moved when 10,000 have become too many takes a tenth of a millisecond.
+// Array indexed by dense numbers that grows by an eighth: little memory is unused, and moving 10,000 rows
+// when it grows takes a tenth of a millisecond.
 #ifndef KESTRELLINE_FLEET_TABLE_H_
 #define KESTRELLINE_FLEET_TABLE_H_
 
@@ -19,16 +19,16 @@
   std::size_t size() const { return rows_.size(); }
 
   T& Add(T row = T()) {
-    if (rows_.size() == rows_.capacity()) rows_.reserve(rows_.size() + rows_.size() / 8 + kLeast);
+    if (rows_.size() == rows_.capacity()) rows_.reserve(rows_.size() + rows_.size() / 8 + kMinGrowth);
     return rows_.emplace_back(std::move(row));
   }
-  // At least so many, new ones being `row`.
-  void Widen(std::size_t size, const T& row = T()) {
+  // Grows to at least `size` rows; new ones are copies of `row`.
+  void GrowTo(std::size_t size, const T& row = T()) {
     while (rows_.size() < size) Add(row);
   }
 
  private:
-  static constexpr std::size_t kLeast = 16;
+  static constexpr std::size_t kMinGrowth = 16;
 
   std::vector<T> rows_;
 };
--- a/src/measures.h
+++ b/src/measures.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the decision module counts with: a random source, averages, memories and the record of a
-// request. No decisions.
+// Building blocks of the decision module: random numbers, averages, sliding windows, and the record of a
+// request. Makes no decisions.
 #ifndef BRACKENSPOKE_SRC_MEASURES_H_
 #define BRACKENSPOKE_SRC_MEASURES_H_
 
@@ -20,7 +20,8 @@
 
 namespace brackenspoke {
 
-// Deterministic from its seed alone; the standard distributions differ between libraries.
+// Random numbers determined by the seed alone. Standard distributions are avoided: they differ between
+// standard libraries.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
@@ -31,15 +32,15 @@
   std::mt19937_64 engine_;
 };
 
-// A hash that every proxy shares: all bits of an id mixed, as MurmurHash3 ends.
+// Finalizer of MurmurHash3. All proxies use it, so that they place an id at the same point of a ring.
 inline std::uint32_t MixBits(std::uint32_t x) {
   x = (x ^ (x >> 16)) * 0x85ebca6bu;
   x = (x ^ (x >> 13)) * 0xc2b2ae35u;
   return x ^ (x >> 16);
 }
 
-// Mean and mean deviation, exponentially weighted.
-struct Spread {
+// Exponentially weighted mean and mean deviation.
+struct MeanDeviation {
   double mean = 0, deviation = 0;
   int samples = 0;
 
@@ -51,8 +52,8 @@
   }
 };
 
-// Work this proxy sent to one cold server within the rule's window. Everything sent counts.
-class SentWindow {
+// Sum of the work sent to one cold server within a sliding window, whatever became of it.
+class WorkWindow {
  public:
   void Add(TimePoint now, double work) { sent_.emplace_back(now, work); }
   double Within(TimePoint now, Duration window) {
@@ -66,25 +67,25 @@
   std::vector<std::pair<TimePoint, double>> sent_;
 };
 
-// Of a server that has not all of its capacity yet.
+// Load record of a server that is warming up.
 struct ColdStart {
-  SentWindow sent;
-  TimePoint turn_since{};  // the last send to it, or its start as told
-  double turn_phase = 1;   // part of the time between sends that has to pass
+  WorkWindow sent;
+  TimePoint last_send{};  // when a request was last sent to it, or when its start became known
+  double send_phase = 1;  // fraction of the interval between sends that has to pass before the next
 };
 
-// First attempts and repeats of one retry budget over its window, in eighths of it.
+// First attempts and retries of one retry budget over its sliding window, counted in eighths of the window.
 class RepeatWindow {
  public:
   void First(TimePoint now, Duration window) { Roll(now, window), ++first_[slot_ % kSlots], ++firsts_; }
-  // Counts one more repeat if the budget allows it.
+  // Counts one more retry if the budget allows it; false if it does not.
   bool Take(TimePoint now, const RetryBudget& budget) {
     Roll(now, budget.window);
     if (!(repeats_ + 1 <= budget.at_least + budget.share * static_cast<double>(firsts_))) return false;
     ++repeat_[slot_ % kSlots], ++repeats_;
     return true;
   }
-  // Nothing was counted for a window.
+  // True if nothing was counted during the last window.
   bool Empty(TimePoint now) const { return window_.count() <= 0 || SlotOf(now, window_) - slot_ > kSlots; }
 
  private:
@@ -96,8 +97,7 @@
   }
   void Roll(TimePoint now, Duration window) {
     const std::int64_t slot = SlotOf(now, window);
-    // Of another length since a reload: what was counted by the old slots is not carried over, nor is a
-    // burst.
+    // The window's length was changed by a reload: starts from zero, so that no burst is carried over.
     if (window != window_) *this = RepeatWindow(), window_ = window, slot_ = slot;
     for (; slot_ < slot; ++slot_) {
       if (slot - slot_ > kSlots) slot_ = slot - kSlots;
@@ -112,8 +112,8 @@
   std::int64_t first_[kSlots] = {}, repeat_[kSlots] = {};
 };
 
-// What is open by each route and drawn on each budget.
-class RouteUse {
+// Requests in flight by route, and the retry budgets.
+class RouteUsage {
  public:
   bool Full(const RouteLimits& limits) const {
     const auto found = open_.find(limits.route);
@@ -127,14 +127,14 @@
   void First(TimePoint now, const RouteLimits& limits) {
     for (const RetryBudget& b : limits.budgets) budgets_[b.id].First(now, b.window);
   }
-  // Counts one more repeat if one of the budgets allows it, or there is none.
+  // Counts one more retry on the first budget that allows it. True if one did, or the route has no budget.
   bool Take(TimePoint now, const RouteLimits& limits) {
     return limits.budgets.empty() ||
            std::any_of(limits.budgets.begin(), limits.budgets.end(),
                        [&](const RetryBudget& b) { return budgets_[b.id].Take(now, b); });
   }
-  // Budgets without traffic for a window are forgotten.
-  void DropEmpty(TimePoint now) {
+  // Erases budgets that had no traffic for a window.
+  void EraseIdle(TimePoint now) {
     std::erase_if(budgets_, [now](auto& b) { return b.second.Empty(now); });
   }
 
@@ -143,11 +143,11 @@
   std::unordered_map<std::uint64_t, RepeatWindow> budgets_;  // by id
 };
 
-// Where keys were sent lately: a server that met a key serves it again with less work.
-class KeyMemory {
+// Which servers were recently sent which key: they serve it again with less work.
+class WarmKeys {
  public:
-  explicit KeyMemory(Duration kept) : kept_(kept) {}
-  void Met(std::uint64_t key, std::uint32_t server, TimePoint now) {
+  explicit WarmKeys(Duration kept) : kept_(kept) {}
+  void Record(std::uint64_t key, std::uint32_t server, TimePoint now) {
     while (!order_.empty() && now - order_.front().first >= kept_) {
       const auto found = met_.find(order_.front().second);
       if (found != met_.end()) {
@@ -162,7 +162,7 @@
     servers.emplace_back(server, now);
     order_.emplace_back(now, key);
   }
-  // Who met the key lately, by one look-up; good until the next Met.
+  // The servers that were recently sent a key. Valid until the next Met.
   class Servers {
    public:
     bool Has(std::uint32_t server) const {
@@ -178,10 +178,10 @@
     }
 
    private:
-    friend class KeyMemory;
+    friend class WarmKeys;
     Servers(const std::vector<std::pair<std::uint32_t, TimePoint>>* met, TimePoint now, Duration kept)
         : met_(met), now_(now), kept_(kept) {}
-    const std::vector<std::pair<std::uint32_t, TimePoint>>* met_;  // null: nobody
+    const std::vector<std::pair<std::uint32_t, TimePoint>>* met_;  // null: none
     TimePoint now_;
     Duration kept_;
   };
@@ -191,39 +191,39 @@
   }
 
  private:
-  static constexpr std::size_t kMost = 64;  // servers of a key
+  static constexpr std::size_t kMost = 64;  // servers kept per key
 
   Duration kept_;
   std::unordered_map<std::uint64_t, std::vector<std::pair<std::uint32_t, TimePoint>>> met_;
   std::deque<std::pair<TimePoint, std::uint64_t>> order_;
 };
 
-// Where a server stands, by which those that drop each other's repeats of a key are told.
+// Location of a server; determines which servers share a deduplication record (see Group).
 struct Location {
   int zone = 0, cell = 0;
   bool operator==(const Location&) const = default;
 };
-inline bool InGroup(Group group, const Location& a, const Location& b) {
+inline bool SameGroup(Group group, const Location& a, const Location& b) {
   return group == Group::kAll || (a.zone == b.zone && (group == Group::kZone || a.cell == b.cell));
 }
 
-// What may be done with a request now.
+// What may be done with a request at a given moment.
 struct Permission {
   bool dispatch = false;
-  bool refuse = false;
-  std::optional<Location> group_of;  // if set: only to servers that drop the repeats of those there
-  TimePoint by{Duration(1e300)};     // and only so long as they do
+  bool refuse = false;               // may end with Refuse; else only with Fail
+  std::optional<Location> group_of;  // if set: only to servers that deduplicate together with those there
+  TimePoint valid_until{Duration(1e300)};  // and only until then, while they remember the key
 };
 
-// ---- what is kept of requests --------------------------------------------------------------------------
-using ServerIndex = std::uint32_t;  // of the dense list of servers
+// ---- requests ------------------------------------------------------------------------------------------
+using ServerIndex = std::uint32_t;  // dense index of a server
 
 struct Attempt {
   ServerIndex server = 0;
   TimePoint sent_at{};
   bool outstanding = true;
   bool may_have_run = true;
-  bool overdue = false;  // out for longer than such answers take: it may never end by itself
+  bool overdue = false;  // outstanding for longer than is likely for its class: it may never be answered
 };
 
 struct Request {
@@ -234,12 +234,12 @@
   std::uint64_t key = 0;
   TimePoint arrived{}, due{}, refuse_at{};
   std::vector<Attempt> attempts;
-  std::shared_ptr<const std::vector<KeyClaim>> claims;  // of other tries of its key; null: none
-  std::shared_ptr<const RouteLimits> limits;            // null: none of a route
-  TimePoint paused_until{}, copy_at{};                  // of another attempt; of a second copy
+  std::shared_ptr<const std::vector<KeyClaim>> claims;  // other tries of its key; null: none
+  std::shared_ptr<const RouteLimits> limits;            // null: its route sets none
+  TimePoint paused_until{}, copy_at{};                  // end of the retry backoff; of the hedging delay
   bool finished = false, streaming = false, held = false, paused = false, copying = false;
-  bool passing = false;  // its body is still coming, and its attempts hold no server's time
-  bool bound = false;    // no other attempt can be made
+  bool receiving = false;     // its body is still being received, and its attempts do not count as load
+  bool body_dropped = false;  // its body is not buffered any more: no further attempt is possible
   int outstanding() const {
     return static_cast<int>(
         std::count_if(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.outstanding; }));
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How much this proxy has in flight, and what it turns away: limits of the whole proxy, shares of tenants.
+// Admission control: the proxy's concurrency limit, throttling of thin traffic, tenant quotas, class limits.
 #ifndef BRACKENSPOKE_SRC_POLICY_ADMISSION_H_
 #define BRACKENSPOKE_SRC_POLICY_ADMISSION_H_
 
@@ -8,39 +8,42 @@
 
 namespace brackenspoke {
 
-constexpr double kQueueShare = 0.33;   // of the aim that an attempt may take, in the mean
-constexpr double kChance = 1;          // deviations of the number in flight that are no overload
-constexpr double kCrowding = 3;        // and of what a mean request takes at servers that are not crowded
-constexpr double kAimShare = 0.7;      // of their aims that answers may take in the mean: the rest is spread
-constexpr double kAtEase = 0.7;        // of the pressure at which the throttle starts
-constexpr double kComfort = 2.5;       // times the uncrowded time, up to which all is let in
-constexpr double kMostFloor = 4;       // in flight at a proxy while answers come as fast as ever
-constexpr double kLeastPerServer = 3;  // in flight at a server, of all proxies, that are always in order
-constexpr int kLeastVotes = 4;         // answers of large requests; one slow one says little
+constexpr double kQueueFraction = 0.33;   // of the target time that an attempt may take on average
+constexpr double kAllowedDeviations = 1;  // standard deviations of the number in flight that are not overload
+constexpr double kMaxCrowding = 3;        // multiple of a mean request's time at uncrowded servers, likewise
+constexpr double kTargetFraction = 0.7;   // of the target time that answers may take on average; leaves room
+                                          // for their variance
+constexpr double kLowPressure = 0.7;      // fraction of the throttling pressure that counts as low
+constexpr double kUnthrottledCrowding = 2.5;  // multiple of the uncrowded response time that is not throttled
+constexpr double kMaxFloor = 4;        // minimum concurrency limit of a proxy while servers are not crowded
+constexpr double kMinPerServer = 3;    // requests in flight per server, from all proxies, always admitted
+constexpr int kMinStretchSamples = 4;  // answers to large requests needed, as one slow answer says little
 
 class Admission {
  public:
   explicit Admission(State& state) : state_(state), tokens_(state.settings.tenants.size(), 1) {}
 
-  // Exception, when the whole fleet is slow: by Little's law requests in flight are those answered a ms times
-  // their time; more in flight than kQueueShare of the aim at the rate of late could only queue, and more
-  // than kCrowding times what requests take uncrowded makes some servers slower the more they hold: once
-  // there, a fleet stayed at a fifth of its rate for as long as the load lasted (incident i42a2e5). The rest
-  // is held here, the most worth first, and refused while a try later can still be of use. Counted, not
-  // weighed: one huge request must neither be shut out nor shut out all others. `listed`: the servers.
-  bool Fits(double listed) const {
-    const double least = std::max(Floor(), kLeastPerServer * listed / state_.Sharing());
+  // Exception, when the whole fleet is slow: a concurrency limit from Little's law (in flight = answers per
+  // ms * response time). Requests beyond kQueueFraction of the target time at the recent rate could only
+  // queue. Beyond kMaxCrowding times the uncrowded time, some servers get slower the more they hold: a fleet
+  // in that state stayed at a fifth of its rate until the load ended. The other requests are queued here, the
+  // most valuable first, and refused while a retry can still succeed. Requests are counted, not weighted by
+  // work: one huge request must neither be locked out nor lock out all others. `listed`: the number of
+  // servers.
+  bool HasRoom(double listed) const {
+    const double min_limit = std::max(MinInFlight(), kMinPerServer * listed / state_.Proxies());
     const double uncrowded =
         state_.crowding.stretch > 0 ? state_.crowding.stretch * state_.request_work.mean : mean_aim_.mean;
-    const double useful = std::min(kQueueShare * mean_aim_.mean, kCrowding * uncrowded);
-    const double mean = state_.rates.answers() * useful;
-    return state_.in_flight - state_.overdue < std::max(least, mean + kChance * std::sqrt(mean));
+    const double useful_time = std::min(kQueueFraction * mean_aim_.mean, kMaxCrowding * uncrowded);
+    const double mean_in_flight = state_.rates.answers() * useful_time;
+    return state_.in_flight - state_.overdue <
+           std::max(min_limit, mean_in_flight + kAllowedDeviations * std::sqrt(mean_in_flight));
   }
 
-  // Exception, where traffic is thin: a limit of one or two in flight is too coarse to keep servers from
-  // choking. Arrivals are refused by chance, by how crowded answers are and how much of their aims they take
-  // (a fleet with a third of it gone answered everything, half of it late: i6ba857); those over their tenant
-  // share go first.
+  // Exception, where traffic is thin: a limit of one or two in flight is too coarse to protect servers from
+  // overload. Arrivals are refused at random, with a probability that rises with the slowdown of answers and
+  // with the fraction of their target time they take (without this, a fleet that lost a third of its servers
+  // answered everything, half of it late). Requests over their tenant's quota are refused first.
   bool Throttled(const Request& r) {
     const double pressure = Pressure();
     if (!state_.fleet.thin || pressure <= 1) return false;
@@ -48,35 +51,37 @@
     return state_.random.Unit() > std::pow(pressure, over_share ? -4 : -2);
   }
 
-  // What serving it is worth, `aim` being left of its class's.
+  // Value of serving the request when `aim` is left of its class's target time.
   double ValueOf(const Request& r, int tenant, Duration aim) {
     const ClassSettings& c = state_.settings.classes[r.cls];
     mean_aim_.Add(c.aim.count());
-    double value = c.worth * (WithinShare(tenant) ? 1 : state_.settings.over_share_worth);
-    // What is too large to be in time is worth little, or nothing: it must not take the place of others. Each
-    // such finding weakens the next: a slow spell must not shut a class out for good.
-    const bool at_ease = state_.fleet.thin && Pressure() < kAtEase;  // it takes nobody's place: may be lucky
-    const Duration alone(
-        at_ease || state_.crowding.stretch_votes < kLeastVotes ? 0 : r.work * state_.crowding.stretch);
-    if (alone > aim) value *= state_.now + alone > r.due ? 0 : c.late_worth;
-    if (alone > c.aim) state_.crowding.stretch *= 1 - 5 * kStretchGain;
+    double value = c.worth * (WithinQuota(tenant) ? 1 : state_.settings.over_share_worth);
+    // A request too large to be answered in time must not displace others. Each such finding lowers the
+    // estimate that led to it, so that a slow period cannot lock out a class for good.
+    const bool low_pressure =
+        state_.fleet.thin && Pressure() < kLowPressure;  // displaces nobody: worth a try
+    const Duration estimated_time(low_pressure || state_.crowding.stretch_samples < kMinStretchSamples
+                                      ? 0
+                                      : r.work * state_.crowding.stretch);
+    if (estimated_time > aim) value *= state_.now + estimated_time > r.due ? 0 : c.late_worth;
+    if (estimated_time > c.aim) state_.crowding.stretch *= 1 - 5 * kStretchGain;
     return value;
   }
 
-  // Exception, where clients listen: one whose aim could not be met would come back only to be late, and take
-  // the place of one in time. It is told to stay away for as long as it would have come back.
-  Duration StayAway(const Request& r) const {
+  // Exception, where clients heed retry-after: a request that could not be answered in time would be late on
+  // a retry as well, and displace one in time. The advice covers the time in which the client would retry.
+  Duration RetryAfter(const Request& r) const {
     return std::min(state_.settings.max_retry_after, state_.settings.classes[r.cls].deadline);
   }
 
-  // Of ClassLimit: one token is one request of the class.
+  // Sets the token bucket of a class; one token admits one request.
   void Limit(const ClassLimit& e) {
     if (e.request_class < 0 || e.request_class >= static_cast<int>(state_.classes.size())) return;
     if (std::isnan(e.per_s)) return;
     limits_.resize(state_.classes.size());
     limits_[e.request_class].per_s = e.per_s;
   }
-  bool TakesClass(const Request& r) {
+  bool AdmitsClass(const Request& r) {
     if (limits_.empty() || limits_[r.cls].per_s < 0) return true;
     double& tokens = limits_[r.cls].tokens;
     if (limits_[r.cls].per_s == 0 || tokens < 1) return false;
@@ -84,42 +89,43 @@
     return true;
   }
 
-  void FillShares(double elapsed) {
-    for (Limited& limit : limits_) {
-      const double rate = limit.per_s / state_.Sharing() / 1000;
+  void RefillTokens(double elapsed) {
+    for (ClassBucket& limit : limits_) {
+      const double rate = limit.per_s / state_.Proxies() / 1000;
       if (rate > 0) limit.tokens = std::min(std::max(1.0, rate * 1000), limit.tokens + rate * elapsed);
     }
     for (std::size_t t = 0; t < tokens_.size(); ++t) {
-      const double rate = state_.settings.tenants[t].quota_per_s / state_.Sharing() / 1000;
+      const double rate = state_.settings.tenants[t].quota_per_s / state_.Proxies() / 1000;
       tokens_[t] = std::min(std::max(1.0, rate * 2000), tokens_[t] + rate * elapsed);
     }
   }
 
  private:
-  // In flight at the least, which with many proxies bounds what servers hold: fewer, the more crowded they
-  // are.
-  double Floor() const {
-    return std::clamp(1.5 * kMostFloor / std::max(state_.crowding.times, 0.1), 1.0, kMostFloor);
+  // Minimum of the concurrency limit. With many proxies it determines the load of servers, so it falls as
+  // they get crowded.
+  double MinInFlight() const {
+    return std::clamp(1.5 * kMaxFloor / std::max(state_.crowding.slowdown, 0.1), 1.0, kMaxFloor);
   }
   double Pressure() const {
-    return std::max(state_.crowding.times / kComfort, state_.crowding.of_aim / kAimShare);
+    return std::max(state_.crowding.slowdown / kUnthrottledCrowding,
+                    state_.crowding.target_fraction / kTargetFraction);
   }
 
-  bool WithinShare(int tenant) {
+  bool WithinQuota(int tenant) {
     if (tenant < 0 || tenant >= static_cast<int>(tokens_.size())) return true;
     if (tokens_[tenant] < 1) return false;
     tokens_[tenant] -= 1;
     return true;
   }
 
-  struct Limited {
+  struct ClassBucket {
     double per_s = -1, tokens = 0;
   };
 
   State& state_;
-  std::vector<Limited> limits_;  // by class; empty: none was ever set
-  Spread mean_aim_;
-  std::vector<double> tokens_;  // of tenants
+  std::vector<ClassBucket> limits_;  // by class; empty until one is set
+  MeanDeviation mean_aim_;
+  std::vector<double> tokens_;  // quota buckets by tenant
 };
 
 }  // namespace brackenspoke
--- a/src/policy/cold_start.h
+++ b/src/policy/cold_start.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a server that started lately may be sent, and what the servers can do together.
+// Load limits of servers that are warming up, and the capacity of the fleet.
 #ifndef BRACKENSPOKE_SRC_POLICY_COLD_START_H_
 #define BRACKENSPOKE_SRC_POLICY_COLD_START_H_
 
@@ -10,9 +10,9 @@
 
 namespace brackenspoke {
 
-constexpr double kColdCaution = 0.55;       // of the fall multiple: the rest is for chance and for late news
-constexpr double kColdLeast = 0.25;         // standard cores that a warm server has at the very least
-constexpr Duration kWarmRateMemory{30000};  // of what a warm server serves: it does not lose its cores
+constexpr double kColdSafetyFactor = 0.55;  // used fraction of fall_multiple: margin for variance and delays
+constexpr double kMinWarmCores = 0.25;      // minimum capacity of a warm server, in standard cores
+constexpr Duration kWarmRateMemory{30000};  // long, as the capacity of a warm server does not change
 constexpr double kWindowSlack = 1.1;        // rolling window of the cold budget over the rule's, for delays
 
 class ColdStarts {
@@ -20,11 +20,11 @@
   explicit ColdStarts(State& state) : state_(state) {}
 
   bool any() const { return !cold_.empty(); }
-  // Servers that are listed, and that are in service; a cold one counts as its share.
+  // Number of servers listed, and in service; a cold server counts by its warm share.
   double listed() const { return listed_; }
   double in_service() const { return in_service_; }
 
-  // The share of its capacity that a server has at least.
+  // Lower bound on the fraction of its capacity that a server has by now.
   double WarmShare(const Server& s) const {
     const TimePoint up_since = state_.EntryOf(s).up_since;
     if (up_since.time_since_epoch().count() <= 0) return 1;
@@ -35,11 +35,12 @@
     return settings.cold_from + (1 - settings.cold_from) * std::max(0.0, age) / warm_up;
   }
 
-  // A cold server gets, over the rule's window, its share of what a warm one serves for this proxy. All
-  // proxies doing so, their sum is that share of what a warm server can do, whatever part of the traffic each
-  // has. What was sent is no measure: an overloaded fleet is sent far more than it can do. Where that budget
-  // is less than a request, one may go when the budget has paid for it, the first at a random point of that
-  // time: hundreds of proxies that each allowed themselves a first one at once pushed servers over.
+  // Whether the budget of a cold server allows `work`. Over the rule's window it gets its warm share of what
+  // a warm server serves for this proxy; with all proxies doing so, the sum is that share of a warm server's
+  // capacity, however traffic is split. The rate sent would be no measure: an overloaded fleet is sent far
+  // more than it serves. A request larger than the budget goes once the budget has accrued for it, the first
+  // at a random point of that time: hundreds of proxies that each sent a first one at once overloaded
+  // servers.
   bool Fits(const Server& s, double work) {
     const double share = WarmShare(s);
     if (share >= 1) return true;
@@ -47,19 +48,19 @@
     const Duration window = settings.overload_for * kWindowSlack;
     ColdStart& cold = cold_[s.index];
     const double sent = cold.sent.Within(state_.now, window);
-    const double rate = kColdCaution * settings.fall_multiple * share * warm_rate_;
+    const double rate = kColdSafetyFactor * settings.fall_multiple * share * warm_rate_;
     if (sent + work <= rate * settings.overload_for.count()) return true;
-    const double least = settings.fall_multiple * settings.cold_from * kColdLeast / state_.Sharing();
-    const double paid = std::max(rate, least);
-    return paid > 0 &&
-           state_.now - cold.turn_since >= cold.turn_phase * std::max(window, Duration(work / paid));
+    const double min_rate = settings.fall_multiple * settings.cold_from * kMinWarmCores / state_.Proxies();
+    const double accrual_rate = std::max(rate, min_rate);
+    return accrual_rate > 0 &&
+           state_.now - cold.last_send >= cold.send_phase * std::max(window, Duration(work / accrual_rate));
   }
 
   void Sent(const Server& s, double work) {
     if (WarmShare(s) >= 1) return;
     ColdStart& cold = cold_[s.index];
     cold.sent.Add(state_.now, work);
-    cold.turn_since = state_.now, cold.turn_phase = 1;
+    cold.last_send = state_.now, cold.send_phase = 1;
   }
 
   void Started(const Server& s) {
@@ -67,9 +68,9 @@
     if (WarmShare(s) < 1) cold_[s.index] = {{}, state_.now, state_.random.Unit()};
   }
 
-  // Work a ms that a warm server serves for this proxy, of which `rate` is served by all. Pooled over the
-  // fleet, as one server's own answers are too few to tell. What was seen once holds for a while: in a
-  // rolling deploy that leaves no warm server, a budget of what is served now starved itself.
+  // Updates the work per ms that a warm server serves for this proxy; `rate` is what all servers serve.
+  // Pooled over the fleet, as a single server gives too few answers. The peak is kept for a while: during a
+  // rolling deploy that left no warm server, a budget based on the current rate starved itself.
   void LearnWarmRate(Duration elapsed, double rate) {
     if (in_service_ <= 0) return;
     const double now_rate = rate / in_service_;
@@ -83,9 +84,9 @@
     for (const auto& [i, cold] : cold_) {
       const Server& s = state_.servers[i];
       if (!state_.Usable(s)) continue;
-      const double lacking = 1 - WarmShare(s);
-      listed_ -= lacking;
-      in_service_ -= s.health.ejected ? 0 : lacking;
+      const double missing_share = 1 - WarmShare(s);
+      listed_ -= missing_share;
+      in_service_ -= s.health.ejected ? 0 : missing_share;
     }
   }
 
--- a/src/policy/ejection.h
+++ b/src/policy/ejection.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// When a server is taken out of service, and until when.
+// Outlier ejection: when a server is taken out of service, and for how long.
 #ifndef BRACKENSPOKE_SRC_POLICY_EJECTION_H_
 #define BRACKENSPOKE_SRC_POLICY_EJECTION_H_
 
@@ -8,42 +8,42 @@
 
 namespace brackenspoke {
 
-// In A50's terms.
+// Parameters, named as in gRFC A50.
 constexpr Duration kInterval{2000};          // counts reset: long enough for the volume floor at 2 requests/s
 constexpr Duration kBaseEjectionTime{2000};  // first ejection: as long as one interval
 constexpr Duration kMaxEjectionTime{16000};  // a recovered server is tried again within this
-constexpr int kRequestVolume = 3;  // a proxy sees few requests a server; 3 of 3 failing is no chance
-constexpr Duration kLongestInterval{10000};  // A50's own; where traffic is thin counts have to be kept longer
-constexpr double kByChance = 0.01;      // thin traffic: failures that come together less often are no chance
-constexpr double kPriorFailures = 0.1;  // seen elsewhere before anything is
-constexpr int kMinimumHosts = 2;        // servers to compare with each other
-constexpr double kThreshold = 0.4;      // failure share; well over what noise and overlap produce
-constexpr double kMaxEjectionPercent = 50;  // the rest must be able to carry the load
+constexpr int kRequestVolume = 3;  // a proxy sends few requests to a server; 3 of 3 failing is not chance
+constexpr Duration kMaxInterval{10000};     // A50's default; with thin traffic counts are kept for longer
+constexpr double kSignificance = 0.01;      // thin traffic: significance level of failures in a row
+constexpr double kPriorFailures = 0.1;      // prior count of failures at the other servers
+constexpr int kMinimumHosts = 2;            // servers to compare with each other
+constexpr double kThreshold = 0.4;          // failure share; well above what noise and overlap produce
+constexpr double kMaxEjectionPercent = 50;  // the others must be able to carry the load
 constexpr double kEnforcingPercent = 100;   // every finding is enforced
 
-// gRFC A50, failure percentage, evaluated at each answer as DESIGN states it.
+// gRFC A50 outlier detection by failure percentage, evaluated at each answer instead of once an interval.
 class OutlierDetector {
  public:
   struct Host {
-    int successes = 0, failures = 0, multiplier = 0;  // as of `interval`: see Sync
+    int successes = 0, failures = 0, multiplier = 0;  // valid as of `interval`; see Sync
     int interval = 0;
     bool ejected = false;
     TimePoint return_at{};
     int attempts() const { return successes + failures; }
   };
 
-  // Running counts over the hosts: an answer must not cost a scan of the fleet.
+  // Running totals over the hosts, so that an answer does not cost a scan of the fleet.
   struct Fleet {
-    int hosts = 0, ejected = 0;  // listed as ready; of these out of service
-    // Since the interval began; the last two of hosts in service.
+    int hosts = 0, ejected = 0;  // hosts listed as ready, and the ejected ones among them
+    // Since the interval began; failures and attempts count hosts in service only.
     int qualifying = 0, failures = 0, attempts = 0;
     Duration interval{kInterval};
-    int number = 0;     // of the interval
-    bool thin = false;  // traffic does not bring the volume to each host within kInterval
+    int number = 0;     // of the current interval
+    bool thin = false;  // traffic is too low for kRequestVolume attempts per host within kInterval
   };
 
-  // The intervals that ended since the host was looked at: they reset its counts, and lower its multiplier
-  // while it is in service.
+  // Applies the intervals that ended since the last call: they reset the host's counts, and lower its
+  // multiplier while it is in service.
   static void Sync(Host& host, const Fleet& fleet) {
     const int ended = fleet.number - host.interval;
     if (ended == 0) return;
@@ -52,7 +52,7 @@
     host.interval = fleet.number;
   }
 
-  // Counts an answer and tests the host; true if it is ejected by it.
+  // Counts an answer and tests the host; true if this ejects it.
   static bool Record(Host& host, bool success, TimePoint now, Fleet& fleet, Random& random) {
     Sync(host, fleet);
     ++(success ? host.successes : host.failures);
@@ -61,8 +61,8 @@
     fleet.failures += !success;
     ++fleet.attempts;
     if (fleet.qualifying < kMinimumHosts) return false;
-    // The threshold rises with the share failing elsewhere, to twice that while it is small and to 1 with it:
-    // an overloaded fleet must not eject itself, but a server failing always goes, however bad the rest.
+    // The threshold rises with the failure share of the other hosts, e * (2 - e): an overloaded fleet must
+    // not eject itself, but a server that always fails is ejected however bad the others are.
     const int others_failed = fleet.failures - host.failures, others = fleet.attempts - host.attempts();
     const double elsewhere = others > 0 ? static_cast<double>(others_failed) / others : 0;
     const double threshold = std::max(kThreshold, elsewhere * (2 - elsewhere));
@@ -81,17 +81,17 @@
     return true;
   }
 
-  // Exception, where traffic is thin: the volume floor is never met there, so it falls to as many attempts as
-  // could hardly all fail by chance, going by the share that fails elsewhere. Proxies learn of a failure one
-  // by one then, and return times are spread so that they do not come back to the server in step.
+  // Exception, where traffic is thin and kRequestVolume would never be reached: the floor falls to the number
+  // of attempts that are unlikely to all fail by chance, given the failure share of the other hosts. Proxies
+  // then find a failure one by one, and return times are jittered so that they do not return in step.
   static int Volume(const Fleet& fleet, int others_failed, int others) {
     if (!fleet.thin) return kRequestVolume;
     const double elsewhere = (others_failed + kPriorFailures) / (others + 1);
     return elsewhere >= 1
                ? kRequestVolume
-               : std::min<int>(kRequestVolume, std::ceil(std::log(kByChance) / std::log(elsewhere)));
+               : std::min<int>(kRequestVolume, std::ceil(std::log(kSignificance) / std::log(elsewhere)));
   }
-  // What becomes of the multiplier of a host whose time is over: the fleet keeps it, as its page says.
+  // Whether the ejection multiplier of a returning host is lowered (Balancer) or kept (data plane).
   enum class OnReturn { kLowerMultiplier, kKeepMultiplier };
   static void Return(Host& host, const Fleet& fleet, OnReturn on_return = OnReturn::kLowerMultiplier) {
     Sync(host, fleet);
--- a/src/policy/estimates.h
+++ b/src/policy/estimates.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the module takes from answers and arrivals: how crowded servers are, rates, the time that clients
-// give. Averages, no decisions.
+// Estimates from answers and arrivals: how crowded servers are, rates, the timeout that clients use. Averages
+// only; decisions are made elsewhere.
 #ifndef BRACKENSPOKE_SRC_POLICY_ESTIMATES_H_
 #define BRACKENSPOKE_SRC_POLICY_ESTIMATES_H_
 
@@ -12,32 +12,32 @@
 
 namespace brackenspoke {
 
-constexpr double kSameTime = 0.04;         // part by which times of tries may differ and still be the same
-constexpr int kFirmVotes = 10;             // below, nothing is made of it: clients may differ widely
-constexpr int kMostVotes = 50;             // for the usual time of a try
-constexpr double kCrowdingGain = 0.1;      // of one answer
-constexpr Duration kCrowdingMemory{8000};  // what is not confirmed is forgotten
-constexpr double kMostCrowding = 16;       // one answer counts as no slower than this
-constexpr double kStretchGain = 0.01;      // of a slower answer; a faster one counts ten times as much
-constexpr Duration kGoodMemory{1500};      // averaging of the answers, for the limit of the whole proxy
-constexpr Duration kRateMemory{8000};      // averaging of work asked for, and served by warm servers
+constexpr double kSameTimeoutTolerance = 0.04;  // relative difference up to which two timeouts count as equal
+constexpr int kMinVotes = 10;                   // below, an estimate is not used: clients may differ widely
+constexpr int kMaxVotes = 50;                   // upper bound of the votes for a usual timeout
+constexpr double kCrowdingGain = 0.1;           // EWMA gain of one answer
+constexpr Duration kCrowdingMemory{8000};       // time constant with which crowding decays if not confirmed
+constexpr double kMaxCrowdingSample = 16;       // one answer counts as no slower than this
+constexpr double kStretchGain = 0.01;  // EWMA gain of a slower answer; a faster one has ten times as much
+constexpr Duration kAnswerRateMemory{1500};  // averaging of the answer rate, for the concurrency limit
+constexpr Duration kRateMemory{8000};        // averaging of the offered and the served work
 
-// How long clients of a class give a try, found by vote.
-class UsualTime {
+// The timeout that clients of a class usually set for one try, found by majority vote.
+class UsualTimeout {
  public:
-  // What has passed of `deadline` when a try comes that has `left`. A client's last try has what is left of
-  // its deadline, all others of a class have the same time.
-  Duration Elapsed(Duration left, Duration deadline, bool client_retry) {
-    const bool as_usual = std::abs((left - time_).count()) <= kSameTime * time_.count();
+  // Estimates how much of `deadline` has passed when a try with timeout `left` arrives. A client's last try
+  // has what is left of its deadline as timeout; all others of a class have the same timeout.
+  Duration EstimateElapsed(Duration left, Duration deadline, bool client_retry) {
+    const bool as_usual = std::abs((left - time_).count()) <= kSameTimeoutTolerance * time_.count();
     if (as_usual) {
-      votes_ = std::min(kMostVotes, votes_ + 1);
+      votes_ = std::min(kMaxVotes, votes_ + 1);
     } else if (!client_retry && --votes_ < 0) {
       time_ = left;
       votes_ = 0;
     }
-    if (votes_ < kFirmVotes) return Duration(0);
-    const Duration at_most = std::max(Duration(0), deadline - left);
-    return !as_usual ? at_most : client_retry ? at_most * 0.5 : Duration(0);
+    if (votes_ < kMinVotes) return Duration(0);
+    const Duration max_elapsed = std::max(Duration(0), deadline - left);
+    return !as_usual ? max_elapsed : client_retry ? max_elapsed * 0.5 : Duration(0);
   }
 
  private:
@@ -45,64 +45,64 @@
   int votes_ = 0;
 };
 
-// What this proxy has seen of a class.
+// Estimates for a class.
 struct ClassState {
-  Spread latency, work;  // time over WorkScale; hinted work
-  UsualTime usual_time;
+  MeanDeviation latency, work;  // response time divided by State::LatencyScale; hinted work
+  UsualTimeout usual_timeout;
 };
 
-// How crowded servers are, by the times of answers.
+// How crowded servers are, judged by response times.
 struct Crowding {
-  double of_aim = 0;  // share of their aims that answers take
-  double times = 3;   // time of answers over what they take uncrowded
-  int stretch_votes = 0;
-  double stretch = 0;  // time over work that large requests take at the least
+  double target_fraction = 0;  // mean fraction of their target time that answers take
+  double slowdown = 3;         // mean response time over the uncrowded response time
+  int stretch_samples = 0;
+  double stretch = 0;  // uncrowded response time per unit of work: low quantile over large requests
 
-  // An answer, or a time-out (`ok` false), after `took` ms to `work`, `mean` being that of requests.
+  // Adds an answer, or a timeout (`ok` false), that took `took` ms for `work`; `mean` is the mean work.
   void Add(double took, bool ok, double work, double mean, double aim) {
     if (!(took > 0)) return;
     if (stretch > 0) {
       const double usual = std::min(stretch * std::max(work, mean / 2), 0.5 * aim);
-      times += kCrowdingGain * (std::min(took / usual, kMostCrowding) - times);
-      of_aim += kCrowdingGain * (std::min(took / aim, kMostCrowding) - of_aim);
+      slowdown += kCrowdingGain * (std::min(took / usual, kMaxCrowdingSample) - slowdown);
+      target_fraction += kCrowdingGain * (std::min(took / aim, kMaxCrowdingSample) - target_fraction);
     }
     if (!ok || work < mean) return;
     const double x = took / work;
     const double gain = x < stretch ? 10 * kStretchGain : kStretchGain;
-    stretch += (++stretch_votes <= kFirmVotes ? 1.0 / stretch_votes : gain) * (x - stretch);
+    stretch += (++stretch_samples <= kMinVotes ? 1.0 / stretch_samples : gain) * (x - stretch);
   }
-  void Forget(double elapsed) {
-    const double forgotten = std::min(1.0, elapsed / kCrowdingMemory.count());
-    times += forgotten * (1 - times);
-    of_aim -= forgotten * of_aim;
+  void Decay(double elapsed) {
+    const double decayed = std::min(1.0, elapsed / kCrowdingMemory.count());
+    slowdown += decayed * (1 - slowdown);
+    target_fraction -= decayed * target_fraction;
   }
 };
 
-// Answers, and work served and asked for, a ms.
+// Rates per ms: answers, work served, work offered.
 class Rates {
  public:
   double answers() const { return answers_; }
   double served() const { return served_; }
-  double asked() const { return asked_; }
+  double offered() const { return offered_; }
 
-  void Asked(double work) { asked_work_ += work; }
+  void Offered(double work) { offered_work_ += work; }
   void Served(double work) { served_work_ += work, ++answered_; }
-  // A new proxy starts from little and trusts its first samples: one that floods the fleet at its start
-  // leaves queues that take far longer to drain than the start took.
+  // A new proxy starts from zero and weights its first samples more: one that floods the fleet when it starts
+  // leaves queues that take far longer to drain than the startup took.
   void Sample(double elapsed) {
     const double trust = 1.0 / ++samples_;
-    answers_ +=
-        std::min(1.0, std::max(elapsed / kGoodMemory.count(), trust)) * (answered_ / elapsed - answers_);
+    answers_ += std::min(1.0, std::max(elapsed / kAnswerRateMemory.count(), trust)) *
+                (answered_ / elapsed - answers_);
     const double gain = std::min(1.0, std::max(elapsed / kRateMemory.count(), trust));
     served_ += gain * (served_work_ / elapsed - served_);
-    asked_ += gain * (asked_work_ / elapsed - asked_);
-    answered_ = served_work_ = asked_work_ = 0;
+    offered_ += gain * (offered_work_ / elapsed - offered_);
+    answered_ = served_work_ = offered_work_ = 0;
   }
 
  private:
   int samples_ = 0;
-  double answered_ = 0, served_work_ = 0, asked_work_ = 0;  // since the last sample
-  double answers_ = 0, served_ = 0, asked_ = 0;
+  double answered_ = 0, served_work_ = 0, offered_work_ = 0;  // since the last sample
+  double answers_ = 0, served_ = 0, offered_ = 0;
 };
 
 }  // namespace brackenspoke
--- a/src/policy/state.h
+++ b/src/policy/state.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What all parts of the decision module go by: the settings, the servers, this moment. No decisions.
+// State shared by all parts of the decision module: settings, servers, current time. Makes no decisions.
 #ifndef BRACKENSPOKE_SRC_POLICY_STATE_H_
 #define BRACKENSPOKE_SRC_POLICY_STATE_H_
 
@@ -21,67 +21,67 @@
 
 namespace brackenspoke {
 
-constexpr double kLeastScale = 0.5;       // of the time of a class, for a request of no work
+constexpr double kMinLatencyScale = 0.5;  // of the latency of a class, for a request of no work
 constexpr Duration kForgetAfter{600000};  // a server gone for this long loses its state
 constexpr TimePoint kNever{Duration(1e300)};
 
 struct Server {
-  double own_work = 0;  // hinted, of this proxy, in flight
-  int own_count = 0;
-  int remembered = 0;  // attempts at it of requests that are not forgotten
+  double own_work = 0;  // hinted work of this proxy in flight
+  int own_count = 0;    // requests of this proxy in flight
+  int references = 0;   // attempts at this server, of requests not yet erased; its index is not reused before
   ServerIndex index = 0;
-  std::uint32_t subset : 31 = 0;  // the last subset that held it
-  std::uint32_t asleep : 1 = 0;   // cold, and over its budget until the next sample
+  std::uint32_t subset : 31 = 0;  // number of the last subset that contained it
+  std::uint32_t asleep : 1 = 0;   // cold and over its budget until the next sample
   OutlierDetector::Host health;
-  double excess = 0;  // time of its answers over what the fleet takes for the like, less 1; see SlownessOf
-  TimePoint quiet_since{};
+  double excess = 0;        // mean of response time over the fleet's, minus 1; see SlownessOf
+  TimePoint quiet_since{};  // last answer, or the first request in flight after none
 };
 
-// How many proxies what all have together is divided by, until a moment and after it.
-struct Sharers {
+// Number of proxies among which shared resources are divided: `now` before `until`, `after` from then on.
+struct ProxyCount {
   double now = 1, after = 1;
   TimePoint until{};
 };
 
-// What is not confirmed is forgotten: all slowness fades at one rate, so it is kept as of one moment, and one
-// factor makes it what it is now.
+// Time constant with which slowness decays if not confirmed. It is the same for all servers, so excesses are
+// stored as of one moment and a single factor brings them up to date.
 constexpr Duration kSlownessMemory{4000};
 
-// Few lines: each kind no closer than its gap.
+// Log lines are rate-limited by kind.
 enum class LogKind { kHealth, kEnding, kCold };
-constexpr Duration kLogGap{1000}, kLongLogGap{10000};  // between lines on health; between others of a kind
+constexpr Duration kLogGap{1000}, kLongLogGap{10000};  // minimum gap of kHealth; of each other kind
 
 struct State {
   State(Settings given, std::uint64_t seed)
       : settings(std::move(given)),
         random(seed),
-        zones_apart(settings.price_cross_zone > kestrelline::fleet::kWorthStaying),
-        roster({settings.zone, zones_apart, kForgetAfter}),
+        separate_zones(settings.price_cross_zone > kestrelline::fleet::kMinPriceForSeparateZones),
+        roster({settings.zone, separate_zones, kForgetAfter}),
         classes(settings.classes.size()),
-        sharers{static_cast<double>(settings.balancers), static_cast<double>(settings.balancers), {}} {}
+        proxy_count{static_cast<double>(settings.balancers), static_cast<double>(settings.balancers), {}} {}
   State(const State&) = delete;
   State& operator=(const State&) = delete;
 
-  const kestrelline::fleet::Seat& EntryOf(const Server& s) const { return roster[s.index]; }
+  const kestrelline::fleet::ServerRecord& EntryOf(const Server& s) const { return roster[s.index]; }
   bool Usable(const Server& s) const { return EntryOf(s).state == ServerState::kReady; }
   Location LocationOf(ServerIndex i) const { return {roster[i].zone, roster[i].cell}; }
-  double Sharing() const { return now < sharers.until ? sharers.now : sharers.after; }
+  double Proxies() const { return now < proxy_count.until ? proxy_count.now : proxy_count.after; }
 
-  // Of the time of its class, for this request's work.
-  double WorkScale(const Request& r) const {
+  // Factor on the mean latency of the class for this request's work.
+  double LatencyScale(const Request& r) const {
     const double mean = classes[r.cls].work.mean;
     const double ratio = mean > 0 ? r.work / mean : 1;
-    return ratio > 1 ? ratio : kLeastScale + (1 - kLeastScale) * ratio;
+    return ratio > 1 ? ratio : kMinLatencyScale + (1 - kMinLatencyScale) * ratio;
   }
 
-  double SlownessOf(const Server& s) const { return 1 + s.excess * fade; }
-  // That moment is moved on before numbers become too large.
-  void Fade() {
-    fade = std::exp((faded_since - now) / kSlownessMemory);
-    if (now - faded_since < kSlownessMemory * 10) return;
-    for (std::size_t i = 0; i < servers.size(); ++i) servers[i].excess *= fade;
-    faded_since = now;
-    fade = 1;
+  double SlownessOf(const Server& s) const { return 1 + s.excess * slowness_decay; }
+  // Updates the factor; rebases the stored excesses before they grow too large.
+  void DecaySlowness() {
+    slowness_decay = std::exp((decayed_at - now) / kSlownessMemory);
+    if (now - decayed_at < kSlownessMemory * 10) return;
+    for (std::size_t i = 0; i < servers.size(); ++i) servers[i].excess *= slowness_decay;
+    decayed_at = now;
+    slowness_decay = 1;
   }
 
   bool MayLog(LogKind kind) {
@@ -95,21 +95,21 @@
   Settings settings;
   Random random;
   TimePoint now{};
-  std::vector<Action>* out = nullptr;  // of the event in hand
+  std::vector<Action>* out = nullptr;  // actions of the event being handled
   kestrelline::fleet::Table<Server> servers;
-  const bool zones_apart;  // the own zone's servers are used beside an arc of all others
+  const bool separate_zones;  // the subset has an arc of the home zone and one of all other zones
   kestrelline::fleet::Roster roster;
-  const kestrelline::fleet::Ring& ring = roster.all();  // servers ready, by their place
+  const kestrelline::fleet::Ring& ring = roster.all();  // ready servers in ring order
   OutlierDetector::Fleet fleet;
   kestrelline::fleet::ClassLosses class_losses;
   std::vector<ClassState> classes;
-  Spread request_work;
+  MeanDeviation request_work;
   Crowding crowding;
   Rates rates;
-  Sharers sharers;
-  int in_flight = 0, overdue = 0;  // attempts, and those of them that are overdue
-  TimePoint faded_since{}, log_at[3] = {};
-  double fade = 1;  // of slowness, since then
+  ProxyCount proxy_count;
+  int in_flight = 0, overdue = 0;  // attempts in flight, and the overdue ones among them
+  TimePoint decayed_at{}, log_at[3] = {};
+  double slowness_decay = 1;  // decay of slowness since then
 };
 
 }  // namespace brackenspoke
--- a/tests/fleet/affinity_test.cpp
+++ b/tests/fleet/affinity_test.cpp
@@ -34,7 +34,7 @@
 using brackenspoke::testing::Usual;
 
 Ring RingOf(Member members, Member without = 0) {
-  std::vector<Spot> spots, none;
+  std::vector<RingPoint> spots, none;
   for (Member m = 1; m <= members; ++m) {
     if (m != without) spots.push_back({brackenspoke::MixBits(m), m});
   }
@@ -45,7 +45,7 @@
 }
 
 Member OwnerOf(const Ring& ring, std::uint64_t key) {
-  Member owner = kNobody;
+  Member owner = kNoMember;
   KeyOwners(ring, key).Try([&](Member m) { return owner = m, true; });
   return owner;
 }
--- a/tests/fleet/class_losses_test.cpp
+++ b/tests/fleet/class_losses_test.cpp
@@ -122,7 +122,7 @@
   Play(&losses, 0.005, 1, 3000, 3, &now);
   EXPECT_FALSE(losses.Avoids(At(now), 0, 0));
   EXPECT_FALSE(losses.Avoids(At(now), 0, 1));
-  now += ClassLosses::kMostAvoid.count();
+  now += ClassLosses::kMaxAvoid.count();
   Play(&losses, 0, 0, 6000, 4, &now);
   EXPECT_FALSE(losses.Avoids(At(now), 0, 2));
   now += 1e5;
@@ -159,9 +159,9 @@
   ClassLosses losses;
   for (std::uint32_t server = 0; server < 20000; ++server)
     losses.Add(At(1e6), server, static_cast<int>(server % 3), true, 20000);
-  EXPECT_LE(losses.pairs(), ClassLosses::kMostPairs);
+  EXPECT_LE(losses.pairs(), ClassLosses::kMaxPairs);
   losses.Forget(1);
-  EXPECT_LT(losses.pairs(), ClassLosses::kMostPairs);
+  EXPECT_LT(losses.pairs(), ClassLosses::kMaxPairs);
 }
 
 // The module: server 1 keeps silent on class 2 and answers all else within 10 ms.
--- a/tests/fleet/pick_index_test.cpp
+++ b/tests/fleet/pick_index_test.cpp
@@ -85,10 +85,10 @@
         now_, asked, crossing, [&](Member m) { return !out.contains(m); },
         [&](std::uint64_t n) { return Below(n); });
     if (least == 1e300) {
-      ASSERT_EQ(found, kNobody);
+      ASSERT_EQ(found, kNoMember);
       return;
     }
-    ASSERT_NE(found, kNobody);
+    ASSERT_NE(found, kNoMember);
     ASSERT_FALSE(out.contains(found));
     ASSERT_FALSE(members_.at(found).hidden);
     ASSERT_NEAR(ScoreOf(members_.at(found), asked, crossing), least, 1e-9 * (1 + std::abs(least) + asked));
--- a/tests/fleet/subset_test.cpp
+++ b/tests/fleet/subset_test.cpp
@@ -21,14 +21,14 @@
 class Site {
  public:
   explicit Site(Member servers) : has_(kProxies) {
-    std::vector<Spot> joining, none;
+    std::vector<RingPoint> joining, none;
     for (Member m = 1; m <= servers; ++m) joining.push_back({brackenspoke::MixBits(m), m});
     std::sort(joining.begin(), joining.end());
     ring_.Change(&none, joining, [](Member) { return true; });
     Use();
   }
   void Change(std::vector<Member> leave, std::vector<Member> join) {
-    std::vector<Spot> leaving, joining;
+    std::vector<RingPoint> leaving, joining;
     for (const Member m : leave) leaving.push_back({brackenspoke::MixBits(m), m});
     for (const Member m : join) joining.push_back({brackenspoke::MixBits(m), m});
     std::sort(joining.begin(), joining.end());
@@ -139,9 +139,9 @@
 
 TEST(Ring, EqualPlacesAreTold) {
   Ring ring;
-  std::vector<Spot> none;
+  std::vector<RingPoint> none;
   ring.Change(&none, {{7, 1}, {7, 2}, {7, 3}, {9, 4}}, [](Member) { return true; });
-  std::vector<Spot> leaving = {{7, 2}};
+  std::vector<RingPoint> leaving = {{7, 2}};
   ring.Change(&leaving, {{7, 5}}, [](Member m) { return m != 2; });
   ASSERT_EQ(ring.size(), 4u);
   EXPECT_EQ(ring[0], 1u);
