--- a/src/data_plane/retry_budget.h
+++ b/src/data_plane/retry_budget.h
@@ -61,7 +61,7 @@
   int proxies_ = kProxiesAtFirst;
   bool known_ = false;
   brackenspoke::TimePoint confirmed_{};
-  std::unordered_map<std::string, brackenspoke::RepeatWindow> windows_;  // a few services
+  std::unordered_map<std::string, brackenspoke::RetryWindow> windows_;  // a few services
 };
 
 }  // namespace kestrelline::data_plane
--- a/src/measures.h
+++ b/src/measures.h
@@ -75,7 +75,7 @@
 };
 
 // First attempts and retries of one retry budget over its sliding window, counted in eighths of the window.
-class RepeatWindow {
+class RetryWindow {
  public:
   void First(TimePoint now, Duration window) { Roll(now, window), ++first_[slot_ % kSlots], ++firsts_; }
   // Counts one more retry if the budget allows it; false if it does not.
@@ -98,7 +98,7 @@
   void Roll(TimePoint now, Duration window) {
     const std::int64_t slot = SlotOf(now, window);
     // The window's length was changed by a reload: starts from zero, so that no burst is carried over.
-    if (window != window_) *this = RepeatWindow(), window_ = window, slot_ = slot;
+    if (window != window_) *this = RetryWindow(), window_ = window, slot_ = slot;
     for (; slot_ < slot; ++slot_) {
       if (slot - slot_ > kSlots) slot_ = slot - kSlots;
       const auto oldest = static_cast<std::size_t>((slot_ + 1) % kSlots);
@@ -140,7 +140,7 @@
 
  private:
   std::unordered_map<std::uint64_t, int> open_;
-  std::unordered_map<std::uint64_t, RepeatWindow> budgets_;  // by id
+  std::unordered_map<std::uint64_t, RetryWindow> budgets_;  // by id
 };
 
 // Which servers were recently sent which key: they serve it again with less work.
