--- a/include/brackenspoke/balancer.h
+++ b/include/brackenspoke/balancer.h
@@ -151,7 +151,8 @@
   std::uint64_t key = 0;  // 0: none
   bool has_hint = false;
   bool client_retry = false;
-  // The body is still being received: `due` is an estimate until BodyNews, and no attempt runs before then.
+  // The body is still being received: `due` is an estimate until BodyProgress, and no attempt runs before
+  // then.
   bool body_follows = false;
   bool withheld = false;  // the peers' claims on the key could not be learned: refused without being sent
   double work_ms = 0;     // hinted work in ms on a standard core
@@ -165,7 +166,7 @@
   KeyClaim claim;
 };
 // Progress of a request body, for a request submitted with body_follows.
-struct BodyNews {
+struct BodyProgress {
   RequestId request = 0;
   bool bound = false;  // part of the body is no longer buffered: no further attempt is possible
   bool whole = false;  // the last byte was received, and `due` is final
@@ -203,7 +204,7 @@
 struct TimerFired {
   std::uint64_t token = 0;
 };
-using Event = std::variant<ListUpdate, Submit, BodyNews, Claimed, Share, ClassLimit, StreamStarted,
+using Event = std::variant<ListUpdate, Submit, BodyProgress, Claimed, Share, ClassLimit, StreamStarted,
                            AttemptEnded, ClientGone, TimerFired>;
 
 // ---- actions ------------------------------------------------------------------------------------------
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -95,7 +95,7 @@
     sent_.emplace_back(now_, r.id);
   }
 
-  void On(const BodyNews& e) {
+  void On(const BodyProgress& e) {
     const auto found = requests_.find(e.request);
     if (found == requests_.end()) return;
     Request& r = found->second;
--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -69,7 +69,7 @@
   const auto found = pending_.find(id);
   if (found == pending_.end()) return;
   const Upload& upload = *found->second.upload;
-  BodyNews news;
+  BodyProgress news;
   news.request = id;
   news.bound = upload.bound();
   news.whole = upload.whole();
--- a/tests/bodies/bodies_test.cpp
+++ b/tests/bodies/bodies_test.cpp
@@ -155,9 +155,11 @@
   s.body_follows = true;
   return s;
 }
-BodyNews News(RequestId id, bool bound, bool whole, double due = 0) { return {id, bound, whole, At(due)}; }
+BodyProgress News(RequestId id, bool bound, bool whole, double due = 0) {
+  return {id, bound, whole, At(due)};
+}
 
-TEST(BodyNews, ABoundRequestIsNotSentAgainWhateverItsClassAndRefusedIfItNeverRan) {
+TEST(BodyProgress, ABoundRequestIsNotSentAgainWhateverItsClassAndRefusedIfItNeverRan) {
   for (const int cls : {0, 1, 2}) {
     Rig rig;
     rig.Servers(3);
@@ -171,7 +173,7 @@
   }
 }
 
-TEST(BodyNews, AnUnboundOneIsSentAgain) {
+TEST(BodyProgress, AnUnboundOneIsSentAgain) {
   Rig rig;
   rig.Servers(3);
   rig.Do(Following(1, 2));
@@ -180,7 +182,7 @@
   EXPECT_EQ(rig.Count<Dispatch>(), 1);
 }
 
-TEST(BodyNews, ABoundRequestThatMayHaveRunFails) {
+TEST(BodyProgress, ABoundRequestThatMayHaveRunFails) {
   Rig rig;
   rig.Servers(3);
   rig.Do(Following(1, 2));
@@ -191,7 +193,7 @@
   EXPECT_EQ(rig.Count<Fail>(), 1);
 }
 
-TEST(BodyNews, UploadsTakeNoPlaceUntilTheirLastByte) {
+TEST(BodyProgress, UploadsTakeNoPlaceUntilTheirLastByte) {
   Rig one, two;
   for (Rig* rig : {&one, &two}) rig->Servers(1);
   for (RequestId id = 1; id <= 200; ++id) one.Do(Following(id, 0));
@@ -204,7 +206,7 @@
   EXPECT_TRUE(one.Ask(1002));
 }
 
-TEST(BodyNews, AnUploadOfAMinuteIsNotLateAndItsServerNotToBlame) {
+TEST(BodyProgress, AnUploadOfAMinuteIsNotLateAndItsServerNotToBlame) {
   Rig rig;
   rig.Servers(2);
   for (RequestId id = 1; id <= 100; ++id) {  // answers take 10 ms
@@ -228,7 +230,7 @@
   EXPECT_GT(again, 20);  // it is chosen as the other is
 }
 
-TEST(BodyNews, OfARequestThatIsNotKnownSaysNothing) {
+TEST(BodyProgress, OfARequestThatIsNotKnownSaysNothing) {
   Rig rig;
   rig.Servers(1);
   rig.Do(News(7, true, true, rig.now));
