--- a/include/brackenspoke/balancer.h
+++ b/include/brackenspoke/balancer.h
@@ -161,7 +161,7 @@
   std::shared_ptr<const std::vector<KeyClaim>> claims;
 };
 // Another claim became known for a request that has no final answer yet.
-struct Claimed {
+struct KeyClaimed {
   RequestId request = 0;
   KeyClaim claim;
 };
@@ -204,7 +204,7 @@
 struct TimerFired {
   std::uint64_t token = 0;
 };
-using Event = std::variant<ListUpdate, Submit, BodyProgress, Claimed, Share, ClassLimit, StreamStarted,
+using Event = std::variant<ListUpdate, Submit, BodyProgress, KeyClaimed, Share, ClassLimit, StreamStarted,
                            AttemptEnded, ClientGone, TimerFired>;
 
 // ---- actions ------------------------------------------------------------------------------------------
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -107,7 +107,7 @@
     }
   }
 
-  void On(const Claimed& e) {
+  void On(const KeyClaimed& e) {
     const auto found = requests_.find(e.request);
     if (found == requests_.end()) return;
     Request& r = found->second;
--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -183,7 +183,7 @@
   const AttemptEnded end = MootEnd(action, attempt, !pending.responder);
   ForgetIfOver(action.request);
   if (go == Go::kElsewhere) {
-    for (const KeyClaim& claim : known) Feed(Claimed{action.request, claim});
+    for (const KeyClaim& claim : known) Feed(KeyClaimed{action.request, claim});
   }
   Feed(end);
 }
--- a/tests/support/rules_world.h
+++ b/tests/support/rules_world.h
@@ -146,7 +146,7 @@
     const KeyClaim claim{Roll(2), Roll(3), At(now_ + Roll(600))};
     if (r.cls != 1 || r.finals > 0) return;
     r.claims.push_back(claim);
-    Do(Claimed{id, claim});
+    Do(KeyClaimed{id, claim});
   }
 
   void EndTries() {
