--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -524,7 +524,7 @@
   RouteUsage routes_;
   int outcomes_ = 0;         // attempts ended, up to kMinOutcomes
   bool retry_held_ = false;  // something changed that may let a queued request be sent
-  kestrelline::fleet::Asking asking_{settings_.must_ask_within};
+  kestrelline::fleet::SubscriptionTimer asking_{settings_.must_ask_within};
   TimePoint armed_ = kNever;
 };
 
--- a/src/fleet/asking.h
+++ b/src/fleet/asking.h
@@ -11,7 +11,7 @@
 
 namespace kestrelline::fleet {
 
-class Asking {
+class SubscriptionTimer {
  public:
   using Duration = brackenspoke::Duration;
   using TimePoint = brackenspoke::TimePoint;
@@ -21,7 +21,7 @@
   static constexpr Duration kMostWait{3000}, kMostBackoff{1500};
 
   // `within`: time within which a call is required.
-  explicit Asking(Duration within) : within_(within) {}
+  explicit SubscriptionTimer(Duration within) : within_(within) {}
 
   TimePoint due() const { return due_; }
   // A call was made. It is repeated if no answer comes.
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -346,7 +346,7 @@
   EXPECT_LE(options.call + milliseconds(500) + milliseconds(2000), milliseconds(6000));
   EXPECT_LT(options.silence + milliseconds(500), milliseconds(6000));
   for (const double within : {500.0, 4000.0, 60000.0}) {
-    kestrelline::fleet::Asking asking{Duration(within)};
+    kestrelline::fleet::SubscriptionTimer asking{Duration(within)};
     const TimePoint now{Duration(1000)};
     asking.Asked(now);
     const auto hung = asking.due();
