--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -12,7 +12,7 @@
 #include <set>
 #include <unordered_map>
 
-#include "fleet/asking.h"
+#include "fleet/subscription_timer.h"
 #include "policy/admission.h"
 #include "policy/attempts.h"
 #include "policy/cold_start.h"
--- a/src/fleet/asking.h
+++ b/src/fleet/subscription_timer.h
@@ -2,8 +2,8 @@
 //
 // Decides when to subscribe to the server list, where discovery does not push it. Retries failed calls with
 // exponential backoff and jitter.
-#ifndef KESTRELLINE_FLEET_ASKING_H_
-#define KESTRELLINE_FLEET_ASKING_H_
+#ifndef KESTRELLINE_FLEET_SUBSCRIPTION_TIMER_H_
+#define KESTRELLINE_FLEET_SUBSCRIPTION_TIMER_H_
 
 #include <algorithm>
 
@@ -48,4 +48,4 @@
 
 }  // namespace kestrelline::fleet
 
-#endif  // KESTRELLINE_FLEET_ASKING_H_
+#endif  // KESTRELLINE_FLEET_SUBSCRIPTION_TIMER_H_
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <set>
 
-#include "fleet/asking.h"
+#include "fleet/subscription_timer.h"
 #include "support/loopback.h"
 
 namespace brackenspoke::testing {
