--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The adapter as a process: frames in, frames out, exit codes, complaints.
+// Tests of the adapter process: reply frames, exit codes and warnings.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -24,7 +24,7 @@
   std::string out, err;
 };
 
-std::string Slurp(const std::string& path) {
+std::string ReadFile(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
   text << in.rdbuf();
@@ -40,8 +40,8 @@
   const int status = std::system(command.c_str());
   ProcessRun run;
   run.exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  run.out = Slurp(base + "/out");
-  run.err = Slurp(base + "/err");
+  run.out = ReadFile(base + "/out");
+  run.err = ReadFile(base + "/err");
   for (const char* name : {"/in", "/out", "/err"}) unlink((base + name).c_str());
   rmdir(base.c_str());
   return run;
@@ -68,7 +68,7 @@
   EXPECT_EQ(run.err, "");
 }
 
-TEST(Adapter, MalformedInputIsOneLineAndAFailure) {
+TEST(Adapter, MalformedInputPrintsOneLineAndFails) {
   for (const std::string& input :
        {Hex("0000"), Hex("0000000000000000 ffffffff 00000000"), Frame(1, Hex("19 ff000000 03000000")),
         Frame(1, Hex("12 04000000 03000000"))}) {
@@ -78,7 +78,7 @@
   }
 }
 
-TEST(Adapter, UnknownCodesAreToldOnce) {
+TEST(Adapter, UnknownCodesAreReportedOnce) {
   const ProcessRun run = Adapter(Frame(2, Hex("63 02000000 ffff 63 00000000")));
   EXPECT_EQ(run.exit_code, 0);
   EXPECT_EQ(Lines(run.err), 1) << run.err;
@@ -110,10 +110,10 @@
   EXPECT_EQ(run.exit_code, 0) << run.err;
   EXPECT_NE(run.out.find(Hex("1b 18000000 03000000 c4913a5dc9090800")), std::string::npos);
   EXPECT_NE(run.out.find(Hex("12 05000000 03000000 01")), std::string::npos)
-      << "asks for the list where it must";
+      << "subscribes to the list if required";
 }
 
-TEST(Adapter, ACrashedInstanceIsGone) {
+TEST(Adapter, ACrashedInstanceIsRemoved) {
   const ProcessRun run =
       Adapter(Frame(3, CreateRecord(testing::kSampleSettings) + Hex("19 04000000 03000000") +
                            Hex("16 0c000000 03000000 4d00000000000000")));
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The module's decisions, each at its boundary. Events are written out; no bench is needed.
+// Unit tests of the Balancer's decisions at their boundaries, on explicit sequences of events.
 #include "brackenspoke/balancer.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
 
 RequestId next_id = 1;
 
-// One request and its answer, which fails if it came from one of `failing`.
+// Sends one request and ends it: with `outcome` if it went to one of `failing`, else with success.
 void AnswerOne(Rig& rig, Outcome outcome, std::set<ServerId> failing, double took = 10) {
   const RequestId id = next_id++;
   const auto server = rig.Ask(id, 2, 10, 5000);  // unsafe: one attempt, so nothing is sent again
@@ -45,6 +45,7 @@
   return server;
 }
 
+// Whether one of three concurrent requests goes to `server`. They are cancelled, which changes no statistics.
 bool InService(Rig& rig, ServerId server) {
   std::vector<std::pair<RequestId, ServerId>> open;
   bool seen = false;
@@ -59,7 +60,7 @@
   return seen;
 }
 
-// Gives each of three servers `per_server` answers; `failures` of server 1's fail, first ones first.
+// Gives each of three servers `per_server` answers. The first `failures` answers of server 1 fail.
 void Answers(Rig& rig, int per_server, int failures, Outcome outcome = Outcome::kError) {
   for (int i = 0; i < per_server; ++i) {
     std::map<ServerId, RequestId> open;
@@ -69,7 +70,7 @@
       ASSERT_TRUE(s.has_value());
       open[*s] = id;
     }
-    // Server 1 last: the others qualify by then.
+    // Server 1 is last, so that the others have reached the request volume by then.
     for (auto it = open.rbegin(); it != open.rend(); ++it) {
       const auto [s, id] = *it;
       rig.End(id, 0, s, s == 1 && i < failures ? outcome : Outcome::kOk);
@@ -77,7 +78,7 @@
   }
 }
 
-// Traffic that brings the volume to each server within the interval.
+// Sends enough traffic to reach the request volume at each server within an interval.
 void Busy(Rig& rig) {
   for (int i = 0; i < 100; ++i) rig.Tick(5), AnswerOne(rig, Outcome::kOk, {});
 }
@@ -94,7 +95,7 @@
 TEST(OutlierDetection, TheVolumeFloorIsTheServersOwn) {
   Rig rig;
   rig.Servers(3);
-  Answers(rig, 3, 3, Outcome::kCancelled);  // the others qualify, server 1 has no answer that counts
+  Answers(rig, 3, 3, Outcome::kCancelled);  // the others reach the volume; server 1 has no answer that counts
   Answers(rig, 2, 2);
   EXPECT_TRUE(InService(rig, 1));
   Answers(rig, 1, 1);
@@ -118,11 +119,11 @@
 }
 
 TEST(OutlierDetection, ThresholdIsStrict) {
-  Rig at;
-  at.Servers(3);
-  // 2 of 5 failing is exactly 0.4; successes first so that no shorter prefix is over the threshold.
-  for (int i = 0; i < 5; ++i) Answers(at, 1, i >= 3 ? 1 : 0);
-  EXPECT_TRUE(InService(at, 1));
+  Rig equal;
+  equal.Servers(3);
+  // 2 failures of 5 are exactly 0.4; successes come first, so that no shorter prefix exceeds the threshold.
+  for (int i = 0; i < 5; ++i) Answers(equal, 1, i >= 3 ? 1 : 0);
+  EXPECT_TRUE(InService(equal, 1));
   Rig over;
   over.Servers(3);
   for (int i = 0; i < 4; ++i) Answers(over, 1, i >= 2 ? 1 : 0);
@@ -133,10 +134,10 @@
   Rig rig;
   rig.Servers(1);
   for (int i = 0; i < 10; ++i) AnswerOne(rig, Outcome::kError, {1});
-  EXPECT_TRUE(InService(rig, 1)) << "there is nothing to compare a lone server with";
+  EXPECT_TRUE(InService(rig, 1)) << "a single server cannot be compared with others";
 }
 
-TEST(OutlierDetection, CancelsAndMootTellNothing) {
+TEST(OutlierDetection, CancelledAndMootAttemptsAreNotCounted) {
   for (Outcome outcome : {Outcome::kCancelled, Outcome::kMoot, Outcome::kUnknown}) {
     Settings settings = Usual();
     settings.max_attempts = 1;
@@ -175,7 +176,8 @@
   rig.Servers(3);
   Busy(rig);
   rig.Tick(1500);
-  // 1 at ejection, 0 at return, 1 at the next: the same time again, as A50's step 6b has it.
+  // The multiplier is 1 at ejection, 0 at return and 1 at the next ejection, which lasts as long again (A50,
+  // step 6b).
   for (int round = 0; round < 3; ++round) {
     Answers(rig, 3, 3);
     EXPECT_FALSE(InService(rig, 1));
@@ -190,7 +192,7 @@
   rig.Servers(3);
   Busy(rig);
   rig.Tick(1500);
-  rig.Tick(1000);  // half way through an interval
+  rig.Tick(1000);  // halfway through an interval
   Answers(rig, 3, 3);
   rig.Tick(1500);  // it ends while the server is out
   rig.Tick(500);
@@ -201,8 +203,9 @@
   EXPECT_TRUE(InService(rig, 1)) << "twice as long had the multiplier not fallen";
 }
 
-// At full size three attempts to one server within two seconds never come, and nothing was ever ejected.
-TEST(OutlierDetection, ThinTrafficEjectsOnWhatCouldHardlyBeChance) {
+// With many proxies, no server gets three attempts of one proxy within two seconds; no server was ever
+// ejected.
+TEST(OutlierDetection, ThinTrafficEjectsOnSignificantFailures) {
   for (const bool failing_elsewhere : {false, true}) {
     Rig rig;
     rig.Servers(8);
@@ -219,12 +222,12 @@
     if (!failing_elsewhere) {
       EXPECT_LE(sent, 7) << "one or two failures eject; an eighth of 120 would be 15";
     } else {
-      EXPECT_GT(after_two, 2) << "a third fails everywhere: two failures say little";
+      EXPECT_GT(after_two, 2) << "a third fails everywhere: two failures are not significant";
     }
   }
 }
 
-TEST(OutlierDetection, TheCapLeavesServersIn) {
+TEST(OutlierDetection, MaxEjectionPercentKeepsHalfInService) {
   Rig rig;
   rig.Servers(4);
   for (int i = 0; i < 60; ++i) {
@@ -249,8 +252,8 @@
   EXPECT_EQ(in, 3);
 }
 
-// With half the fleet failing, twice the share elsewhere passed 1 and nothing was ejected any more.
-TEST(OutlierDetection, AServerAlwaysFailingGoesHoweverBadTheRest) {
+// With a threshold of twice the failure share of the others, nothing was ejected once half the fleet failed.
+TEST(OutlierDetection, AServerAlwaysFailingIsEjectedHoweverBadTheOthersAre) {
   Settings settings = Usual();
   settings.max_attempts = 1;
   Rig rig(settings);
@@ -273,7 +276,7 @@
   EXPECT_FALSE(InService(rig, 1));
 }
 
-TEST(Pick, LeastHintedWorkOfItsOwnInFlight) {
+TEST(Pick, LeastHintedWorkInFlight) {
   Rig rig;
   rig.Servers(3);
   const auto a = rig.Ask(1001, 0, 50), b = rig.Ask(1002, 0, 20), c = rig.Ask(1003, 0, 40);
@@ -291,7 +294,7 @@
   EXPECT_EQ(rig.Ask(1013, 0, 0), a);
 }
 
-TEST(Pick, AmongIdleServersTheOwnZoneGoesFirstWhereCrossingHasAPrice) {
+TEST(Pick, AmongIdleServersTheHomeZoneIsPreferredWhereCrossingHasAPrice) {
   Settings s = Usual();
   s.price_cross_zone = 0.02;
   Rig rig(s);
@@ -311,7 +314,7 @@
   EXPECT_EQ(seen.size(), 4u);
 }
 
-// A slow server that answers within its time-out is never ejected; idle, it looked as good as any other.
+// A slow server that answers within the timeout is never ejected. While idle, it was picked like any other.
 TEST(Pick, AServerThatAnswersSlowerCountsAsBusier) {
   Rig rig;
   rig.Servers(2);
@@ -321,13 +324,13 @@
     rig.End(id, 0, *server, Outcome::kOk, *server == 1 ? 60 : 20);
   }
   for (int i = 0; i < 10; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
-  // And with that one busy it still serves.
+  // With the other server busy, the slow one is still used.
   const RequestId busy = next_id++;
   EXPECT_EQ(rig.Ask(busy, 0, 100, 900), ServerId{2});
   EXPECT_EQ(rig.Ask(next_id++, 0, 10, 900), ServerId{1});
 }
 
-// Spread evenly, a key was served afresh by one server after the other: up to half of all work for nothing.
+// Without key affinity, one server after the other served a key cold, which wasted up to half of all work.
 TEST(Pick, AKeyGoesWhereItIsWarmUnlessThatIsFarBusier) {
   Settings settings = Usual();
   settings.warm_keys = true;
@@ -335,10 +338,10 @@
   rig.Servers(4);
   auto ask = [&](std::uint64_t key, double work = 10) { return *rig.Ask(next_id++, 0, work, 5000, key); };
   const ServerId home = ask(7);
-  EXPECT_EQ(ask(7), home) << "10 in flight there, but the key saves its work";
+  EXPECT_EQ(ask(7), home) << "10 in flight there, but the warm key saves the work";
   EXPECT_NE(ask(8), home) << "another key";
   EXPECT_NE(ask(0), home) << "no key";
-  EXPECT_NE(ask(7, 1), home) << "20 in flight there weigh more than so small a saving";
+  EXPECT_NE(ask(7, 1), home) << "20 in flight there outweigh the small saving";
 
   Rig forgets(settings);
   forgets.Servers(4);
@@ -366,7 +369,7 @@
   EXPECT_EQ(rig.Ask(next_id++), ServerId{1});
 }
 
-TEST(Drains, NothingNewFromTheMomentItIsKnown) {
+TEST(Drains, NoNewRequestsOnceItIsKnown) {
   for (ServerState state : {ServerState::kDraining, ServerState::kGone}) {
     Rig rig;
     rig.Servers(2);
@@ -379,7 +382,7 @@
   for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
 }
 
-TEST(Discovery, AsksAtStartAndAgainAfterAFailure) {
+TEST(Discovery, SubscribesAtStartAndAgainAfterAFailure) {
   Settings s = Usual();
   s.must_ask_for_list = true;
   s.must_ask_within = Duration(10000);
@@ -393,7 +396,7 @@
   while (rig.Count<Subscribe>() == 0 && waited < 20000) rig.Tick(10), waited += 10;
   EXPECT_GE(waited, 200);
   EXPECT_LE(waited, 2500);
-  EXPECT_EQ(rig.Ask(next_id++), ServerId{1}) << "the old list serves";
+  EXPECT_EQ(rig.Ask(next_id++), ServerId{1}) << "the old list stays in use";
   rig.List({Entry(1)});
   for (int i = 0; i < 1000; ++i) {
     rig.Tick(100);
@@ -401,7 +404,7 @@
   }
 }
 
-TEST(Discovery, PushIsNeverAsked) {
+TEST(Discovery, PushNeedsNoSubscription) {
   Rig rig;
   rig.List({Entry(1)}, ListKind::kCached);
   for (int i = 0; i < 200; ++i) {
@@ -410,14 +413,15 @@
   }
 }
 
-// What follows an attempt of each class that ended in each way: sent again, refused or failed.
+// Expected result of an attempt of a class with an outcome: whether it is retried, and whether the request
+// may be refused rather than failed.
 struct Verdict {
   int cls;
   Outcome outcome;
-  bool again, refusable;
+  bool retried, refusable;
 };
 
-TEST(Attempts, OnlyWhatIsPermittedIsSentAgainOrRefused) {
+TEST(Attempts, OnlyWhatIsPermittedIsRetriedOrRefused) {
   const Verdict verdicts[] = {
       {0, Outcome::kError, true, true},         {0, Outcome::kTimeout, true, true},
       {0, Outcome::kReset, true, true},         {0, Outcome::kFull, true, true},
@@ -436,13 +440,13 @@
     const auto first = rig.Ask(1, v.cls);
     ASSERT_TRUE(first.has_value());
     rig.End(1, 0, *first, v.outcome);
-    EXPECT_EQ(rig.SentTo(1).has_value(), v.again);
-    if (v.again) {
-      EXPECT_NE(rig.SentTo(1), first) << "elsewhere";
+    EXPECT_EQ(rig.SentTo(1).has_value(), v.retried);
+    if (v.retried) {
+      EXPECT_NE(rig.SentTo(1), first) << "at another server";
     } else {
       EXPECT_EQ(rig.Count<Fail>(), 1);
     }
-    // And with no attempt left: refused only where that is permitted.
+    // With no attempt left, it is refused only where that is permitted.
     Settings s = Usual();
     s.max_attempts = 1;
     Rig last(s);
@@ -454,7 +458,7 @@
   }
 }
 
-TEST(Attempts, KeyedRepeatsStayInTheGroupAndTheWindow) {
+TEST(Attempts, KeyedRetriesStayInTheGroupAndTheWindow) {
   for (int gone : {0, 1}) {
     Rig rig;
     rig.List({Entry(1, 0, 1), Entry(2, 0, 1), Entry(3, 0, 2), Entry(4, 1, 1)});
@@ -475,7 +479,7 @@
   }
 }
 
-// Second copies of slow requests took more from others than they won, where they were allowed.
+// Hedging without a route that asks for it cost other requests more than it gained.
 TEST(Attempts, OneAtATime) {
   Rig rig;
   rig.Servers(3);
@@ -491,20 +495,20 @@
   EXPECT_TRUE(rig.sent.empty());
 }
 
-// Time-outs of what was merely late doubled its work; a silent server must still be shown before the client's
-// end.
-TEST(Attempts, OnlyASilentServerGetsATimeOut) {
+// Timing out attempts that were merely late doubled their work. A silent server must still be detected before
+// the client gives up.
+TEST(Attempts, OnlyASilentServerGetsATimeout) {
   Rig rig;
   rig.Servers(1);
   for (int i = 0; i < 40; ++i) AskAndEnd(rig);
   rig.Ask(next_id++, 0, 10, 900);
-  EXPECT_EQ(rig.sent.back().timeout.count(), 0) << "it owes nothing yet";
+  EXPECT_EQ(rig.sent.back().timeout.count(), 0) << "nothing is outstanding yet";
   rig.Tick(5);
   rig.Ask(next_id++, 0, 10, 900);
-  EXPECT_EQ(rig.sent.back().timeout.count(), 0) << "what it owes is not overdue";
+  EXPECT_EQ(rig.sent.back().timeout.count(), 0) << "the outstanding answer is not overdue";
 }
 
-TEST(Attempts, ASilentServerGetsATimeOutWhereARepeatIsPermitted) {
+TEST(Attempts, ASilentServerGetsATimeoutWhereARetryIsPermitted) {
   for (int cls : {0, 1, 2}) {
     Rig rig;
     rig.Servers(1);
@@ -534,7 +538,7 @@
   EXPECT_EQ(rig.Count<Refuse>(), 1);
 }
 
-TEST(Attempts, AFailingFleetMeetsNoStorm) {
+TEST(Attempts, AFailingFleetGetsNoRetryStorm) {
   Rig rig;
   rig.Servers(5);
   for (int i = 0; i < 300; ++i) {
@@ -545,11 +549,11 @@
       s = rig.SentTo(id);
     }
   }
-  EXPECT_LE(rig.sent.size(), 300u + 20u + 61u) << "a store of 20, and a fifth of the first sends";
+  EXPECT_LE(rig.sent.size(), 300u + 20u + 61u) << "a burst of 20, and a fifth of the first attempts";
   EXPECT_GE(rig.sent.size(), 300u + 20u);
 }
 
-// Incident ib02092: one zone's servers were full and the others idle, but every proxy of that zone stayed.
+// One zone's servers were full and the others idle, but all proxies of that zone kept using their own.
 TEST(Pick, AFullHomeZoneIsLeftAndAGoodOneKept) {
   for (const bool full : {true, false}) {
     Settings settings = Usual();
@@ -565,20 +569,20 @@
       const auto s = rig.Ask(id, 2, 10);
       if (!s) continue;  // refused as too slow
       if (i >= 40) away += *s > 20;
-      const bool late = full && *s <= 20;  // answered, but long after the aim: A50 counts no failure
+      const bool late = full && *s <= 20;  // answered, but long after the target time: no failure for A50
       if (late) rig.now += 400;
       rig.End(id, 0, *s, Outcome::kOk, late ? 400 : 20);
     }
     if (full) {
       EXPECT_GT(away, 30) << "of 80";
     } else {
-      EXPECT_EQ(away, 0) << "a crossing costs, and nothing is gained";
+      EXPECT_EQ(away, 0) << "crossing has a price, and nothing is gained";
     }
   }
 }
 
-// The memory of keys must outlive its own forgetting: the same key twice at one server, then silence.
-TEST(Pick, KeysAreForgottenAndMetAgain) {
+// Guards the expiry of warm keys, with the same key recorded twice at one server and then no traffic.
+TEST(Pick, WarmKeysExpireAndAreRecordedAgain) {
   Settings settings = Usual();
   settings.warm_keys = true;
   Rig rig(settings);
@@ -595,8 +599,8 @@
   }
 }
 
-// Incident i0f08a6: hundreds of proxies each held a connection to every server, more than servers accept.
-TEST(Subset, ThinTrafficUsesFewServersAndAllProxiesTogetherUseThemAlike) {
+// Hundreds of proxies each connected to every server, which exceeded the servers' connection limits.
+TEST(Subset, ThinTrafficUsesFewServersAndAllProxiesTogetherUseThemEvenly) {
   constexpr int kProxies = 400, kServers = 80;
   std::map<ServerId, int> proxies_at;
   for (int me = 0; me < kProxies; ++me) {
@@ -620,7 +624,8 @@
   for (const auto& [s, proxies] : proxies_at) EXPECT_NEAR(proxies, mean, mean / 4) << s;
 }
 
-// A shrunk fleet: a fixed subset brought 133 proxies to each server (tsoa big-1), and old connections stayed.
+// When the fleet shrank, a subset of fixed size led to 133 proxies per server, and old connections stayed
+// open.
 TEST(Subset, FewServersAreSharedByNoMoreProxiesThanTheyCanHold) {
   Settings settings = Usual();
   settings.balancers = 640;
@@ -639,7 +644,7 @@
   EXPECT_LE(used.size(), 4u) << "640 x 3 / 30 is 64";
 }
 
-TEST(Subset, AnEjectedServersConnectionsAreGivenBack) {
+TEST(Subset, IdleConnectionsToAnEjectedServerAreClosed) {
   Rig rig;
   rig.Servers(8);
   int closed = 0;
@@ -678,8 +683,8 @@
   EXPECT_LT(sent[true], 45);
 }
 
-// tsoa big-1, i6ba857: a proxy restarted in a crowd took slow answers for usual ones and let everything in.
-TEST(Admission, AProxyBornInACrowdThrottlesByTheAim) {
+// A proxy that restarted while the fleet was overloaded took slow answers as normal and admitted everything.
+TEST(Admission, AProxyStartedDuringOverloadThrottlesByTheTargetTime) {
   Settings settings = Usual();
   settings.balancers = 400;
   settings.classes[2].late_worth = 0.5;
@@ -690,7 +695,7 @@
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, 2, 10, 5000);
     if (s && i >= 60) ++sent;
-    if (s) rig.End(id, 0, *s, Outcome::kOk, 240);  // of an aim of 200
+    if (s) rig.End(id, 0, *s, Outcome::kOk, 240);  // the target time is 200
     rig.Tick(200);
   }
   EXPECT_LT(sent, 50);
@@ -714,7 +719,7 @@
   Rig rig;
   std::vector<ServerEntry> list = {Entry(1), Entry(2), Entry(3)};
   rig.List(list);
-  // 30 ms of work every 10 ms, answered at once, for 20 s: each warm server gets about 1 a ms.
+  // 30 ms of work every 10 ms, answered at once, for 20 s: each warm server gets about 1 ms of work per ms.
   auto run = [&](double ms) {
     std::vector<std::pair<double, double>> sent;
     for (double t = 0; t < ms; t += 10) {
@@ -732,22 +737,23 @@
     return sent;
   };
   run(20000);
-  rig.List({Entry(3, 0, 0, ServerState::kReady, rig.now)}, ListKind::kDelta);  // the same id, started again
+  rig.List({Entry(3, 0, 0, ServerState::kReady, rig.now)}, ListKind::kDelta);  // the same id, restarted
   const double start = rig.now;
   const auto sent = run(10000);
-  double most = 0;
+  double max_ratio = 0;
   for (std::size_t i = 0; i < sent.size(); ++i) {
     double window = 0;
     for (std::size_t k = i; k < sent.size() && sent[k].first - sent[i].first < 1000; ++k)
       window += sent[k].second;
     const double share = 0.25 + 0.75 * std::min(1.0, (sent[i].first - start + 1000) / 10000);
-    most = std::max(most, window / (share * 1000));
+    max_ratio = std::max(max_ratio, window / (share * 1000));
   }
-  EXPECT_LE(most, 2.5) << "of what a warm server was sent, times the cold share; it falls over at 3";
-  EXPECT_GT(sent.size(), 100u) << "and it is brought back";
+  EXPECT_LE(max_ratio, 2.5) << "times the warm share of what a warm server was sent; it falls over at 3";
+  EXPECT_GT(sent.size(), 100u) << "it must be used again";
 }
 
-// An overloaded fleet is sent far more than it serves; the cold server's budget must follow what is served.
+// An overloaded fleet is sent far more than it serves; the budget of a cold server must follow what is
+// served.
 TEST(ColdStart, TheBudgetFollowsWhatWarmServersServe) {
   Settings s = Usual();
   s.max_attempts = 1;
@@ -762,11 +768,10 @@
     sent += *server == 3;
     rig.End(id, 0, *server, i % 20 ? Outcome::kFull : Outcome::kOk, 5);
   }
-  EXPECT_LE(sent, 6) << "4 s, of a fleet that served 0.05 of 2 ms of work a ms";
+  EXPECT_LE(sent, 6) << "in 4 s, with a fleet that served 0.05 of 2 ms of work per ms";
 }
 
-// A rolling deploy turned every server cold, and a budget of what is served now starved itself (catalogue
-// big-2).
+// When a rolling deploy left no warm server, a budget based on the currently served work starved itself.
 TEST(ColdStart, ABudgetDoesNotStarveItselfWhenNoServerIsWarm) {
   Settings settings = Usual();
   settings.warm_up = Duration(20000);
@@ -791,7 +796,7 @@
   served = false;
   run(250);
   served = true;
-  EXPECT_GT(run(100), 70) << "after five seconds in which nothing was answered";
+  EXPECT_GT(run(100), 70) << "after five seconds without an answer";
 }
 
 TEST(ColdStart, RejectedWorkCountsToo) {
@@ -803,20 +808,20 @@
     const auto s = rig.Ask(id, 2, 10, 2000);
     if (s) ++sent, rig.End(id, 0, *s, Outcome::kFull);
   }
-  EXPECT_LE(sent, 2) << "nothing is known of warm servers: one mean request a window";
+  EXPECT_LE(sent, 2) << "the rate of warm servers is unknown: one mean request per window";
 }
 
-TEST(ColdStart, AProxyThatKnowsNothingStillServes) {
+TEST(ColdStart, AProxyWithoutStatisticsStillServes) {
   Rig rig;
   rig.List({Entry(1, 0, 0, ServerState::kReady, 99999), Entry(2, 0, 0, ServerState::kReady, 99999)});
   const RequestId id = next_id++;
   bool sent = rig.Ask(id, 0).has_value();
   for (int i = 0; i < 20 && !sent; ++i) rig.Tick(5), sent = rig.SentTo(id).has_value();
-  EXPECT_TRUE(sent) << "within half of the aim";
+  EXPECT_TRUE(sent) << "within half of the target time";
 }
 
-// Hundreds of proxies that each sent a starting server one first request at once pushed it over (big-1 and
-// big-2 of a catalogue: 4.1 times what it could do).
+// Hundreds of proxies that each sent one first request at once to a starting server made it fall over, at 4.1
+// times its capacity.
 TEST(ColdStart, ManyProxiesTakeTurnsAtAStartingServer) {
   Settings settings = Usual();
   settings.balancers = 400;
@@ -836,26 +841,26 @@
         at_once += *s == 3, rig.End(next_id - 1, 0, *s, Outcome::kOk);
     }
   }
-  // Each warm server serves 400 x 10 ms of work each 600 ms: 6.7 a ms. A cold one does 0.1 to 0.19 of that in
-  // its first second, and falls over at 3 times as much.
+  // Each warm server serves 400 x 10 ms of work in 600 ms: 6.7 per ms. A cold one can serve 0.1 to 0.19 of
+  // that in its first second, and falls over at 3 times as much.
   EXPECT_LE(at_once * 10, 3 * 0.145 * 6.7 * 1000);
-  EXPECT_GT(at_once, 50) << "and it is used";
+  EXPECT_GT(at_once, 50) << "it must be used";
 }
 
 TEST(Admission, HoldsBeyondTheLimitAndRefusesInTime) {
   Rig rig;
   rig.Servers(1);
-  rig.Tick(10000), rig.Tick(10000);  // not crowded, as far as it knows
+  rig.Tick(10000), rig.Tick(10000);  // the initial crowding estimate decays
   for (int i = 0; i < 4; ++i) ASSERT_TRUE(rig.Ask(next_id++, 2, 10, 5000).has_value());
   EXPECT_FALSE(rig.Ask(next_id++, 2, 10, 5000).has_value());
   double waited = 0;
   while (rig.Count<Refuse>() == 0 && waited < 2000) rig.Tick(5), waited += 5;
   EXPECT_EQ(rig.Count<Refuse>(), 1);
-  EXPECT_LE(waited, 205) << "within the aim, not at the deadline";
+  EXPECT_LE(waited, 205) << "within the target time, not at the deadline";
 }
 
-// Hundreds of proxies with a fixed floor in flight together held more than servers bear: they choked.
-TEST(Admission, TheFloorFollowsHowCrowdedServersAre) {
+// With a fixed minimum of the concurrency limit, hundreds of proxies together overloaded the servers.
+TEST(Admission, TheMinimumLimitFollowsHowCrowdedServersAre) {
   std::size_t in_flight[2];
   for (const bool crowded : {false, true}) {
     Settings settings = Usual();
@@ -876,8 +881,8 @@
   EXPECT_LE(in_flight[true], 2u);
 }
 
-// Logs of i0f08a6 and i6ba857: refused with nothing in flight, as the first answer had been slow.
-TEST(Admission, OneSlowFirstAnswerShutsNothingOut) {
+// Proxies refused requests with nothing in flight because the first answer had been slow.
+TEST(Admission, OneSlowFirstAnswerDoesNotCauseRefusals) {
   Rig rig;
   rig.Servers(3);
   const RequestId first = next_id++;
@@ -885,11 +890,11 @@
   ASSERT_TRUE(s.has_value());
   rig.End(first, 0, *s, Outcome::kOk, 190);
   EXPECT_TRUE(rig.Ask(next_id++, 2, 20, 350).has_value())
-      << "380 ms at that pace, after the aim and its patience";
+      << "380 ms at that speed, more than the target time and the client's timeout";
 }
 
-// tsoa-lookup's quiet day: the heaviest requests, which carry much worth, were refused by idle proxies.
-TEST(Admission, WhatIsTooLargeIsTriedWhileThereIsRoomAndRefusedInACrowd) {
+// At low traffic, idle proxies refused the heaviest requests, which are worth a lot.
+TEST(Admission, ATooLargeRequestIsTriedAtLowPressureAndRefusedUnderLoad) {
   for (const bool crowded : {false, true}) {
     Settings settings = Usual();
     settings.balancers = 400;
@@ -901,11 +906,11 @@
       if (s) rig.End(id, 0, *s, Outcome::kOk, crowded && i >= 30 ? 180 : 20);
       rig.Tick(200);
     }
-    EXPECT_EQ(rig.Ask(next_id++, 0, 600, 900).has_value(), !crowded) << "1.2 s at this pace";
+    EXPECT_EQ(rig.Ask(next_id++, 0, 600, 900).has_value(), !crowded) << "1.2 s at this speed";
   }
 }
 
-TEST(Admission, TheMostWorthGoesFirst) {
+TEST(Admission, TheMostValuableRequestGoesFirst) {
   Settings s = Usual();
   s.classes[2].worth = 1;
   s.classes[0].worth = 9;
@@ -926,9 +931,7 @@
   EXPECT_EQ(std::find(order.begin(), rich_at, poor), rich_at);
 }
 
-// A limit in work held back and refused one large request after another on a quiet day.
-// Heavy tails: a few requests that cannot be in time whatever is done took the place of all others.
-TEST(Admission, BeyondItsShareATenantComesLast) {
+TEST(Admission, BeyondItsQuotaATenantComesLast) {
   Settings s = Usual();
   s.tenants = {{1}, {1}};
   s.over_share_worth = 0.2;
@@ -943,18 +946,18 @@
     rig.Do(submit);
     return rig.SentTo(id).has_value();
   };
-  EXPECT_TRUE(ask(9001, 0));  // takes the one request a second of its share
+  EXPECT_TRUE(ask(9001, 0));  // uses the quota of one request per second
   EXPECT_TRUE(ask(9002, 0));
   EXPECT_FALSE(ask(9003, 1));
   rig.now += 1;
-  EXPECT_FALSE(ask(9004, 0)) << "newer, but beyond its share";
+  EXPECT_FALSE(ask(9004, 0)) << "newer, but beyond its quota";
   rig.End(9001, 0, 1, Outcome::kOk);
   EXPECT_TRUE(rig.SentTo(9003).has_value());
   EXPECT_FALSE(rig.SentTo(9004).has_value());
 }
 
-// 65 servers that had just started tripled what was always in order, and the fleet was overdriven.
-TEST(Admission, ColdServersRaiseTheFloorByTheirShareOnly) {
+// 65 servers that had just started tripled the minimum of the concurrency limit, which overloaded the fleet.
+TEST(Admission, ColdServersRaiseTheMinimumLimitByTheirWarmShareOnly) {
   Settings s = Usual();
   s.balancers = 4;
   Rig rig(s);
@@ -962,10 +965,11 @@
   for (ServerId id = 3; id <= 10; ++id) list.push_back(Entry(id, 0, 0, ServerState::kReady, rig.now));
   rig.List(list);
   for (int i = 0; i < 50; ++i) rig.Ask(next_id++, 0, 10, 900);
-  EXPECT_EQ(rig.sent.size(), 3u) << "2 + 8 x 0.25 servers, 3 each, of 4 proxies";
+  EXPECT_EQ(rig.sent.size(), 3u) << "2 + 8 x 0.25 servers, 3 requests each, divided by 4 proxies";
 }
 
-// Oldest first, an overloaded proxy would send only what has hardly any of its aim left.
+// With the oldest first, an overloaded proxy would send only requests with hardly any of their target time
+// left.
 TEST(Admission, OfEqualWorthTheNewestGoesFirst) {
   Settings s = Usual();
   s.balancers = 2;
@@ -981,17 +985,19 @@
   EXPECT_FALSE(rig.SentTo(601).has_value());
 }
 
-// A new proxy that floods the fleet before it knows any rate leaves queues that last far longer.
-TEST(Admission, ANewProxyStartsFromLittle) {
+// A new proxy that floods the fleet before it has any estimate of the rate leaves queues that last far longer
+// than its startup.
+TEST(Admission, ANewProxyStartsWithALowLimit) {
   Settings s = Usual();
   s.balancers = 4;
   Rig rig(s);
   rig.Servers(4);
   for (int i = 0; i < 50; ++i) rig.Ask(next_id++, 0, 10, 900);
-  EXPECT_EQ(rig.sent.size(), 3u) << "3 a server, of 4 proxies";
+  EXPECT_EQ(rig.sent.size(), 3u) << "4 servers, 3 requests each, divided by 4 proxies";
 }
 
-TEST(Admission, WhatIsTooLargeToBeInTimeIsRefusedAtOnce) {
+// With heavy-tailed work, a few requests that could never be answered in time displaced all others.
+TEST(Admission, ARequestTooLargeToBeInTimeIsRefusedAtOnce) {
   Rig rig;
   rig.Servers(3);
   for (int i = 0; i < 100; ++i) {
@@ -999,12 +1005,13 @@
     rig.Tick(50);
   }
   rig.Ask(next_id++, 0, 1000, 900);
-  EXPECT_EQ(rig.Count<Refuse>(), 1) << "about 1500 ms of 900";
+  EXPECT_EQ(rig.Count<Refuse>(), 1) << "about 1500 ms, with a timeout of 900 ms";
   rig.Ask(next_id++, 0, 100, 900);
   EXPECT_EQ(rig.Count<Dispatch>(), 1);
 }
 
-TEST(Admission, AHugeRequestIsNotShutOutByTheLimitOfTheProxy) {
+// A concurrency limit in units of work refused one large request after another at low traffic.
+TEST(Admission, AHugeRequestIsNotLockedOutByTheConcurrencyLimit) {
   Rig rig;
   rig.Servers(3);
   for (int i = 0; i < 100; ++i) {
@@ -1014,9 +1021,9 @@
   EXPECT_TRUE(rig.Ask(next_id++, 2, 150, 5000).has_value());
 }
 
-// A client's last try has what is left of its deadline. Served in its place, it was late for certain and made
-// others late: 17 proxies answered a fifth of all requests after their aim (incidents i896537, ied95d3).
-TEST(Admission, WhatHasPassedOfTheDeadlineHasPassedOfTheAim) {
+// A client's last try has what is left of its deadline as timeout. Served in arrival order it was certainly
+// late and delayed others: 17 proxies answered a fifth of all requests after their target time.
+TEST(Admission, TimeSpentOnTheDeadlineIsSubtractedFromTheTargetTime) {
   Settings settings = Usual();
   settings.max_retry_after = Duration(300);
   Rig rig(settings);
@@ -1034,30 +1041,30 @@
     if (server) rig.End(s.request, 0, *server, Outcome::kOk);
     return server.has_value();
   };
-  for (int i = 0; i < 10; ++i) EXPECT_TRUE(served(i % 2 ? 600 : 500)) << "no usual time yet";
+  for (int i = 0; i < 10; ++i) EXPECT_TRUE(served(i % 2 ? 600 : 500)) << "no usual timeout yet";
   for (int i = 0; i < 20; ++i) EXPECT_TRUE(served(600));
-  EXPECT_TRUE(served(900)) << "100 of its 1000 are gone, of an aim of 200";
-  EXPECT_FALSE(served(780)) << "220 are";
-  EXPECT_FALSE(served(600, true)) << "200 or so: half of what may have passed before a marked repeat";
+  EXPECT_TRUE(served(900)) << "100 of the 1000 ms have passed, with a target time of 200";
+  EXPECT_FALSE(served(780)) << "220 ms have passed";
+  EXPECT_FALSE(served(600, true)) << "about 200 ms: half of what may have passed before a marked retry";
   const auto* refused = std::get_if<Refuse>(&rig.actions.front());
   ASSERT_NE(refused, nullptr);
-  EXPECT_EQ(refused->retry_after.count(), 300) << "another try would be later still";
+  EXPECT_EQ(refused->retry_after.count(), 300) << "another try would be even later";
   EXPECT_TRUE(served(600));
 }
 
-// Clients' retries kept an overloaded fleet overloaded: every answer late, none refused.
-TEST(Admission, AFleetSlowThroughoutGetsNoMoreThanItAnswersInTime) {
+// Clients' retries kept an overloaded fleet overloaded: all answers were late, and none was refused.
+TEST(Admission, ASlowFleetGetsNoMoreThanItAnswersInTime) {
   Settings s = Usual();
   s.balancers = 2;
   Rig rig(s);
   rig.Servers(3);
   std::deque<std::tuple<double, RequestId, ServerId>> out;
-  std::size_t most = 0;
+  std::size_t max_in_flight = 0;
   for (int i = 0; i < 2000; ++i) {
     rig.Tick(5);
     const RequestId id = next_id++;
     if (const auto to = rig.Ask(id, 2, 10, 900)) out.emplace_back(rig.now, id, *to);
-    // The fleet answers one in 20 ms, the oldest first.
+    // The fleet answers one request every 20 ms, the oldest first.
     if (i % 4 == 0 && !out.empty()) {
       const auto [at, oldest, server] = out.front();
       out.pop_front();
@@ -1069,14 +1076,15 @@
           out.emplace_back(rig.now, d.request, d.server);
       }
     }
-    if (i > 1000) most = std::max(most, out.size());
+    if (i > 1000) max_in_flight = std::max(max_in_flight, out.size());
   }
-  EXPECT_LE(most, 8u) << "0.05 a ms x a third of the aim of 200 ms, and its deviation, is 5";
+  EXPECT_LE(max_in_flight, 8u)
+      << "0.05 per ms x a third of the target time of 200 ms, plus a deviation, is 5";
 }
 
-// What arrives by chance is no overload: with few in flight a limit at their mean refused a tenth for
-// nothing.
-TEST(Admission, TheLimitLeavesRoomForChance) {
+// Random arrivals are not overload: with few requests in flight, a limit at their mean refused a tenth of
+// them for no reason.
+TEST(Admission, TheLimitAllowsForRandomArrivals) {
   Settings settings = Usual();
   settings.classes[2].aim = Duration(1000);
   settings.classes[2].deadline = Duration(5000);
@@ -1087,11 +1095,12 @@
     rig.Tick(2);
   }
   for (int i = 0; i < 40; ++i) rig.Ask(next_id++, 2, 10, 5000);
-  EXPECT_EQ(rig.sent.size() - 4000, 19u) << "0.5 a ms x 3 x 10 ms is 15, and its deviation 3.9";
+  EXPECT_EQ(rig.sent.size() - 4000, 19u) << "0.5 per ms x 3 x 10 ms is 15, with a deviation of 3.9";
 }
 
-// Long aims let queues grow until servers choked on them; a fleet in that state did a fifth of its work.
-TEST(Admission, LongAimsDoNotCrowdServers) {
+// With long target times, queues grew until they overloaded the servers; the fleet then served a fifth of its
+// capacity.
+TEST(Admission, LongTargetTimesDoNotCrowdServers) {
   Settings settings = Usual();
   settings.classes[2].aim = Duration(1000);
   settings.classes[2].deadline = Duration(5000);
@@ -1104,11 +1113,12 @@
   }
   for (int i = 0; i < 40; ++i) rig.Ask(next_id++, 2, 10, 5000);
   const auto out = rig.sent.size() - 200;
-  EXPECT_EQ(out, 5u)
-      << "0.05 a ms x 3 x 10 ms is less than 3 a server, of 2 proxies; a third of the aim would be 16";
+  EXPECT_EQ(out, 5u) << "0.05 per ms x 3 x 10 ms is less than 3 per server, divided by 2 proxies; a third of "
+                        "the target time "
+                        "would give 16";
 }
 
-TEST(Logs, FewLinesEachNamingServerAndReason) {
+TEST(Logs, RateLimitedLinesNameServerAndReason) {
   Rig rig;
   std::vector<std::string> lines;
   auto note = [&] {
@@ -1119,7 +1129,7 @@
     rig.Ask(next_id++, 0, 10, -50);  // due in the past
     note();
   }
-  ASSERT_EQ(lines.size(), 1u) << "others within ten seconds are not told";
+  ASSERT_EQ(lines.size(), 1u) << "others within ten seconds are not logged";
   EXPECT_NE(lines[0].find("refusing: not in time"), std::string::npos) << lines[0];
   rig.Tick(20000);
   rig.Tick(20000);
@@ -1135,13 +1145,13 @@
 TEST(BadInput, IsIgnoredOrRefused) {
   const double inf = std::numeric_limits<double>::infinity(), nan = std::numeric_limits<double>::quiet_NaN();
   Rig rig;
-  EXPECT_FALSE(rig.Ask(1, 0).has_value()) << "no list yet: held";
+  EXPECT_FALSE(rig.Ask(1, 0).has_value()) << "no list yet: queued";
   rig.List({});
   rig.End(77, 0, 1, Outcome::kOk);
   rig.Do(ClientGone{77});
   rig.Do(StreamStarted{77, 0});
   rig.Servers(1);
-  EXPECT_EQ(rig.SentTo(1), ServerId{1}) << "held ones go once a server is listed";
+  EXPECT_EQ(rig.SentTo(1), ServerId{1}) << "queued requests are sent once a server is listed";
   rig.End(1, 9, 1, Outcome::kOk);
   rig.End(1, -1, 1, Outcome::kOk);
   rig.Ask(1, 0);
@@ -1171,7 +1181,7 @@
   EXPECT_TRUE(rig.Ask(next_id + 1000, 0).has_value());
 }
 
-TEST(Odd, AnEmptyListHoldsWhileThereIsTimeAndThenRefuses) {
+TEST(EdgeCases, AnEmptyListQueuesRequestsAndRefusesThemInTime) {
   Rig rig;
   rig.List({});
   EXPECT_FALSE(rig.Ask(next_id++, 0, 10, 1000).has_value());
@@ -1182,7 +1192,7 @@
   EXPECT_LE(waited, 1000);
 }
 
-TEST(Odd, AHeldRequestGoesToTheFirstServerThatIsListed) {
+TEST(EdgeCases, AQueuedRequestGoesToTheFirstServerThatIsListed) {
   Rig rig;
   rig.List({});
   const RequestId id = next_id++;
@@ -1192,7 +1202,7 @@
   EXPECT_EQ(rig.SentTo(id), std::optional<ServerId>(9));
 }
 
-TEST(Odd, AThousandServersAndNoHints) {
+TEST(EdgeCases, AThousandServersAndNoHints) {
   Settings settings = Usual();
   settings.balancers = 3000;
   settings.me = 2999;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The codec against frames written out by hand.
+// Tests of the codec against hand-written frames.
 #include "codec.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   return batch.value_or(Batch{});
 }
 
-// One record in a frame at 0 ms.
+// Decodes a frame at 0 ms with one record.
 Batch One(const std::string& record) {
   std::string header(8, '\0');
   const auto length = static_cast<std::uint32_t>(record.size() + 4);
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A Balancer under test, its clock, and short ways to say what happens.
+// Test harness: a Balancer with a simulated clock, and short helpers to feed it events.
 #ifndef BRACKENSPOKE_TESTS_HARNESS_H_
 #define BRACKENSPOKE_TESTS_HARNESS_H_
 
@@ -26,7 +26,7 @@
   return c;
 }
 
-// Three classes: 0 safe, 1 keyed (cell), 2 unsafe.
+// Default settings for tests. Three classes: 0 safe, 1 keyed with groups by cell, 2 unsafe.
 inline Settings Usual() {
   Settings s;
   s.classes = {Class(Effect::kSafe), Class(Effect::kKeyed), Class(Effect::kUnsafe)};
@@ -57,7 +57,7 @@
   explicit Rig(Settings settings = Usual(), std::uint64_t seed = 1) : balancer_(std::move(settings), seed) {}
 
   double now = 100000;
-  std::vector<Action> actions;  // of the last event
+  std::vector<Action> actions;  // actions of the last event
 
   const std::vector<Action>& Do(const Event& event) {
     actions.clear();
@@ -75,7 +75,7 @@
     for (int i = 1; i <= n; ++i) entries.push_back(Entry(static_cast<ServerId>(i)));
     List(entries);
   }
-  // Submits and returns the server it was sent to at once, if any.
+  // Submits a request and returns the server it was sent to at once, if any.
   std::optional<ServerId> Ask(RequestId id, int cls = 0, double work = 10, double patience = 1000,
                               std::uint64_t key = 0) {
     Submit s;
@@ -117,7 +117,7 @@
     return n;
   }
 
-  std::vector<Dispatch> sent;
+  std::vector<Dispatch> sent;  // by all events
 
  private:
   Balancer balancer_;
--- a/tests/hex.h
+++ b/tests/hex.h
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Hexadecimal literals for tests of wire formats.
 #ifndef BRACKENSPOKE_TESTS_HEX_H_
 #define BRACKENSPOKE_TESTS_HEX_H_
 
@@ -7,7 +9,7 @@
 
 namespace brackenspoke::testing {
 
-// Bytes from hexadecimal digits; blanks are for the reader.
+// Decodes hexadecimal digits; spaces are ignored.
 inline std::string Hex(std::string_view text) {
   std::string digits, bytes;
   for (char c : text) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Lists as they come, whole and in part: whatever the way there, a proxy picks among the servers among which
-// one picks that was told the last state at once.
+// Server lists, full and incremental. Whatever the sequence of lists, a proxy must use the same servers as a
+// fresh proxy that gets the final state in one list.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,14 +18,13 @@
 using testing::Entry;
 using testing::Rig;
 
-// The servers that one after the other of eight requests goes to, none of which is answered: with thin
-// traffic they are those of the subset, each once.
+// The servers that eight concurrent requests go to. With thin traffic these are the servers of the subset,
+// each once.
 std::set<ServerId> Used(Rig& rig) {
   static RequestId id = 1000000;
   std::set<ServerId> used;
   std::vector<std::pair<RequestId, ServerId>> asked;
-  for (int i = 0; i < 100 && asked.size() < 8; ++i) {  // some are refused by chance
-
+  for (int i = 0; i < 100 && asked.size() < 8; ++i) {  // some are refused at random
     const auto server = rig.Ask(++id, 0, 10, 100000);
     if (!server) continue;
     used.insert(*server);
@@ -43,7 +42,7 @@
   return all;
 }
 
-TEST(Membership, AnyWayToAListLeadsToTheSameServers) {
+TEST(Membership, AnySequenceOfListsLeadsToTheSameServers) {
   for (std::uint32_t seed = 1; seed <= 400; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937 draw(seed);
@@ -54,7 +53,7 @@
     for (; next <= 30; ++next) listed[next] = Entry(next);
     rig.List(All(listed));
     for (int steps = static_cast<int>(draw() % 40); steps > 0; --steps) {
-      rig.now += chance(10) ? 700000 : 50;  // the first: long enough to be forgotten
+      rig.now += chance(10) ? 700000 : 50;  // 700 s: long enough for servers that are gone to be forgotten
       std::vector<ServerEntry> delta;
       for (unsigned n = 1 + draw() % 8; n > 0; --n) {
         if (chance(4)) {
@@ -76,7 +75,7 @@
         rig.List(delta, ListKind::kDelta);
       }
     }
-    // Asked once: traffic would change the size of the subset.
+    // Compared only at the end, as traffic would change the size of the subset.
     Rig fresh;
     fresh.now = rig.now;
     fresh.List(All(listed));
@@ -88,9 +87,9 @@
   }
 }
 
-// Every id is new, as in a fleet that is deployed all day: places of those that are long gone are used again,
-// and never one whose attempt is still out.
-TEST(Membership, PlacesOfServersLongGoneAreUsedAgainButNotUnderAnAttempt) {
+// Each list names a new id, as in a fleet with continuous deployment. Numbers of servers long gone are
+// reused, but not while an attempt at the server is in flight.
+TEST(Membership, NumbersOfServersLongGoneAreReusedButNotDuringAnAttempt) {
   Rig rig;
   rig.List({Entry(1)});
   ASSERT_EQ(rig.Ask(1, 0, 10, 5000000), 1u);
@@ -102,14 +101,14 @@
       rig.End(id, 0, id, Outcome::kOk);
     }
   }
-  rig.End(1, 0, 1, Outcome::kCancelled);  // of a server that is gone: nobody else's work
+  rig.End(1, 0, 1, Outcome::kCancelled);  // must not be subtracted from the work of another server
   rig.List({Entry(199), Entry(200)});
   std::vector<ServerId> sent;
-  for (RequestId id = 500; id < 600 && sent.size() < 2; ++id) {  // some are refused by chance
+  for (RequestId id = 500; id < 600 && sent.size() < 2; ++id) {  // some are refused at random
     if (const auto server = rig.Ask(id, 0, 6, 5000)) sent.push_back(*server);
   }
   ASSERT_EQ(sent.size(), 2u);
-  EXPECT_NE(sent[0], sent[1]);  // the least work: each has none
+  EXPECT_NE(sent[0], sent[1]);  // both servers have no work in flight
 }
 
 }  // namespace
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Random but legal rounds of events, fixed seeds, checked by the oracle of support/rules_world.h.
+// Property tests of the rules: random but valid event sequences with fixed seeds, checked by the oracle of
+// support/rules_world.h.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,13 +21,13 @@
 using testing::Usual;
 using testing::World;
 
-// Rule four over many proxies: what all together send a cold server within the rule's window stays under the
-// multiple of what it can do then. The fleet has a load of 0.7; servers restart at random and are as slow to
-// warm as the settings allow.
-TEST(Rules, ColdServersAreNotPushedOverByManyProxies) {
+// The work that many proxies together send a cold server within the rule's window must stay below
+// fall_multiple times its capacity at that time. The fleet has a load of 0.7; servers restart at random and
+// warm up as slowly as the settings allow.
+TEST(Rules, ManyProxiesTogetherDoNotOverloadColdServers) {
   constexpr int kProxies = 60, kServers = 12;
   constexpr double kWork = 10, kEveryMs = 200, kWindow = 1000;
-  const double capacity = kProxies * kWork / kEveryMs / kServers / 0.7;  // work a ms of a warm server
+  const double capacity = kProxies * kWork / kEveryMs / kServers / 0.7;  // work per ms of a warm server
   std::size_t to_cold = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SCOPED_TRACE(seed);
@@ -91,7 +92,7 @@
   EXPECT_GT(to_cold, 1000u) << "cold servers must be used at all";
 }
 
-TEST(Rules, RandomRoundsKeepThem) {
+TEST(Rules, HoldInRandomRounds) {
   std::size_t attempts = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
@@ -106,16 +107,16 @@
   EXPECT_GT(attempts, 2000u) << "the rounds must exercise something";
 }
 
-// What others claim of a key, when it comes and while it is held or out, narrows what is sent and what is
-// refused, and widens nothing.
-TEST(Rules, ClaimsOfOtherTriesBindAKey) {
+// Claims on a key, known at submission or learned while the request is queued or in flight, only narrow what
+// may be sent and refused.
+TEST(Rules, ClaimsOfOtherTriesRestrictAKey) {
   std::size_t attempts = 0, bound = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
     Settings s = Usual();
     s.classes[1].group = seed % 2 ? Group::kCell : Group::kZone;
     World world(s, seed, nullptr, [](Submit* submit, std::mt19937_64& random) {
-      std::vector<KeyClaim> claims;  // an empty list says as much as none
+      std::vector<KeyClaim> claims;  // an empty list is equivalent to none
       for (auto n = submit->request_class == 1 ? random() % 3 : 0; n > 0; --n)
         claims.push_back({static_cast<int>(random() % 2), static_cast<int>(random() % 3),
                           submit->due - Duration(static_cast<double>(random() % 700))});
--- a/tests/sample_settings.h
+++ b/tests/sample_settings.h
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Settings as the simulator sends them to the adapter, for tests.
 #ifndef BRACKENSPOKE_TESTS_SAMPLE_SETTINGS_H_
 #define BRACKENSPOKE_TESTS_SAMPLE_SETTINGS_H_
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Tests of the parser of the simulator's settings.
 #include "settings.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +24,7 @@
   return Without(key) + key + "=" + value + "\n";
 }
 
-std::string Complaint(const std::string& text) {
+std::string ErrorText(const std::string& text) {
   try {
     ParseSettings(text);
   } catch (const BadSettings& error) {
@@ -31,7 +33,7 @@
   return "";
 }
 
-TEST(SettingsParser, ReadsWhatItNeeds) {
+TEST(SettingsParser, ReadsAllUsedKeys) {
   const Settings s = ParseSettings(kSampleSettings);
   EXPECT_EQ(s.balancers, 2);
   ASSERT_EQ(s.classes.size(), 2u);
@@ -50,13 +52,13 @@
   EXPECT_EQ(s.max_retry_after.count(), 600);
 }
 
-TEST(SettingsParser, ItsOwnNumberAmongTheProxies) {
+TEST(SettingsParser, IndexOfTheProxy) {
   EXPECT_EQ(ParseSettings(std::string(kSampleSettings) + "me=17\n").me, 17);
-  EXPECT_EQ(Complaint(std::string(kSampleSettings) + "me=-1\n"), "setting out of range: me");
+  EXPECT_EQ(ErrorText(std::string(kSampleSettings) + "me=-1\n"), "setting out of range: me");
 }
 
-TEST(SettingsParser, UnknownKeysAndOddLinesAreIgnored) {
-  EXPECT_EQ(Complaint(std::string(kSampleSettings) + "newKey=7\nno equals sign\n\n"), "");
+TEST(SettingsParser, UnknownKeysAndMalformedLinesAreIgnored) {
+  EXPECT_EQ(ErrorText(std::string(kSampleSettings) + "newKey=7\nno equals sign\n\n"), "");
 }
 
 TEST(SettingsParser, AbsentOptionalKeys) {
@@ -68,15 +70,15 @@
   EXPECT_FALSE(ParseSettings(Without("specifics.warmKeys")).warm_keys);
 }
 
-TEST(SettingsParser, NeededKeysAbsentAreNamed) {
+TEST(SettingsParser, ErrorsNameAbsentRequiredKeys) {
   for (const char* key :
        {"classes.count", "classes.0.effect", "classes.0.goalTimeMs", "classes.0.deadlineMs",
         "classes.1.group", "classes.1.windowMs", "permissions.maxAttempts", "rules.coldFrom",
         "rules.warmUpMs", "rules.fallMultiple", "rules.overloadForMs", "rules.mustAskInMs", "zone"})
-    EXPECT_NE(Complaint(Without(key)).find(key), std::string::npos) << key;
+    EXPECT_NE(ErrorText(Without(key)).find(key), std::string::npos) << key;
 }
 
-TEST(SettingsParser, BadValuesAreNamed) {
+TEST(SettingsParser, ErrorsNameKeysWithInvalidValues) {
   const std::pair<const char*, const char*> bad[] = {
       {"classes.count", "0"},           {"classes.count", "two"},
       {"classes.0.effect", "odd"},      {"classes.0.goalTimeMs", "-1"},
@@ -86,7 +88,7 @@
       {"registryMode", "pull"},         {"tenants.0.quotaPerS", "-3"},
       {"classes.1.lateWorth", "1e9"},   {"overShareWorth", "0.5x"}};
   for (const auto& [key, value] : bad)
-    EXPECT_NE(Complaint(With(key, value)).find(key), std::string::npos) << key << "=" << value;
+    EXPECT_NE(ErrorText(With(key, value)).find(key), std::string::npos) << key << "=" << value;
 }
 
 }  // namespace
