--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -436,7 +436,7 @@
     if (now_ >= sample_at_) Sample();
     if (now_ >= asking_.due()) {
       out_->push_back(Subscribe{});
-      asking_.Asked(now_);
+      asking_.OnSubscribe(now_);
     }
     while (!wakeups_.empty() && wakeups_.begin()->first <= now_) {
       const auto found = requests_.find(wakeups_.begin()->second);
--- a/src/fleet/subscription_timer.h
+++ b/src/fleet/subscription_timer.h
@@ -25,7 +25,7 @@
 
   TimePoint due() const { return due_; }
   // A call was made. It is repeated if no answer comes.
-  void Asked(TimePoint now) { due_ = now + std::min(within_ / 2, kMostWait); }
+  void OnSubscribe(TimePoint now) { due_ = now + std::min(within_ / 2, kMostWait); }
   // An answer came. After a failure the next call is due after a backoff between a twentieth and a quarter of
   // `within`, with jitter from `unit()`, a random number from 0 to 1 that is drawn only then.
   template <typename Unit>
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -348,7 +348,7 @@
   for (const double within : {500.0, 4000.0, 60000.0}) {
     kestrelline::fleet::SubscriptionTimer asking{Duration(within)};
     const TimePoint now{Duration(1000)};
-    asking.Asked(now);
+    asking.OnSubscribe(now);
     const auto hung = asking.due();
     Duration pause{0};
     for (int i = 0; i < 20; ++i) {
