--- a/bench/pick_bench.cpp
+++ b/bench/pick_bench.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Ways to find the server with the least work, compared in a closed model: what a pick and its two changes
-// cost, how far the pick is from the best, and what queues come of it. Figures: docs/design/scale.md.
+// Compares algorithms that find the server with the least work, in a closed queueing model: the time of a
+// pick and its two updates, the loss against the best pick, and the resulting queues. Results:
+// docs/design/scale.md.
 //
 //   pick_bench [SERVERS ...]
 #include <algorithm>
@@ -27,7 +28,7 @@
 using kestrelline::fleet::PickIndex;
 using WallClock = std::chrono::steady_clock;
 
-constexpr double kMemory = 4000;  // ms in which what is known of slowness fades
+constexpr double kMemory = 4000;  // ms; time constant with which slowness decays
 
 struct Key {
   double work = 0, excess = 0, since = 0;
@@ -36,14 +37,14 @@
   }
 };
 
-class Way {
+class Algorithm {
  public:
-  virtual ~Way() = default;
+  virtual ~Algorithm() = default;
   virtual void Set(Member member, const Key& key) = 0;
   virtual Member Pick(double now, double asked) = 0;
 };
 
-class Scan : public Way {
+class Scan : public Algorithm {
  public:
   explicit Scan(std::size_t n) : keys_(n) {}
   void Set(Member member, const Key& key) override { keys_[member] = key; }
@@ -61,8 +62,8 @@
   std::vector<Key> keys_;
 };
 
-// The best of k by chance.
-class Choices : public Way {
+// The best of k random members.
+class Choices : public Algorithm {
  public:
   Choices(std::size_t n, int k) : keys_(n), k_(k) {}
   void Set(Member member, const Key& key) override { keys_[member] = key; }
@@ -83,8 +84,8 @@
   std::mt19937 draw_{2};
 };
 
-// A winner tree over the score of a usual request, as it was when the key was set: stale, and of one size.
-class Tournament : public Way {
+// A winner tree over the score of a usual request when the key was set: ignores decay and the request's size.
+class Tournament : public Algorithm {
  public:
   Tournament(std::size_t n, double usual) : usual_(usual) {
     while (leaves_ < n) leaves_ *= 2;
@@ -113,8 +114,9 @@
   std::vector<double> least_;
 };
 
-// Buckets of a tenth of a usual request, by the score as it was when the key was set; any of the first one.
-class Buckets : public Way {
+// Buckets of a tenth of a usual request, by the score when the key was set; picks a random member of the
+// first.
+class Buckets : public Algorithm {
  public:
   Buckets(std::size_t n, double usual) : usual_(usual), at_(n), buckets_(4000) {
     for (std::size_t m = 0; m < n; ++m) Put(static_cast<Member>(m), 0);
@@ -145,7 +147,7 @@
   std::mt19937 draw_{3};
 };
 
-class Index : public Way {
+class Index : public Algorithm {
  public:
   Index(std::size_t n, double usual) : index_(Duration(kMemory)), usual_(usual) {
     index_.Refresh(TimePoint(Duration(1e6)), usual);
@@ -170,17 +172,17 @@
   std::mt19937_64 draw_{4};
 };
 
-struct Ended {
+struct Completion {
   double at;
   Member member;
   double work, took;
-  bool operator>(const Ended& other) const { return at > other.at; }
+  bool operator>(const Completion& other) const { return at > other.at; }
 };
 
-// Servers serve one request after the other; each at a speed of its own, half to twice the mean, or `skewed`,
-// where one is 1,000 times as fast as the others. As many requests are in flight as there are servers: half
-// of the fleet could idle if the other half was doubly asked.
-void Play(const std::string& name, std::size_t servers, bool skewed, Way* way) {
+// Servers process requests sequentially, each at its own speed of half to twice the mean; if `skewed`, one is
+// 1,000 times as fast. The number of requests in flight equals the number of servers, so a poor pick leaves
+// servers idle.
+void Simulate(const std::string& name, std::size_t servers, bool skewed, Algorithm* algorithm) {
   constexpr double kUsual = 20;
   std::mt19937 draw(1);
   std::vector<double> speed(servers);
@@ -189,15 +191,15 @@
   std::vector<Key> keys(servers);
   std::vector<double> free_at(servers);
   std::vector<int> count(servers);
-  std::priority_queue<Ended, std::vector<Ended>, std::greater<>> ends;
+  std::priority_queue<Completion, std::vector<Completion>, std::greater<>> ends;
   std::exponential_distribution<> work_of(1 / kUsual);
-  double now = 0, way_ns = 0, loss = 0, sojourn = 0;
+  double now = 0, algorithm_ns = 0, loss = 0, sojourn = 0;
   int worst = 0, judged = 0, all = 0;
   const int turns = static_cast<int>(std::clamp<std::size_t>(20 * servers, 20000, 60000));
   for (int turn = 0; turn < 3 * turns; ++turn) {
     const bool counts = turn >= 2 * turns;
     if (ends.size() >= servers) {
-      const Ended end = ends.top();
+      const Completion end = ends.top();
       ends.pop();
       now = end.at;
       Key& key = keys[end.member];
@@ -206,14 +208,14 @@
       key.excess = faded + 0.08 * (std::min(8.0, end.took / end.work) - 1 - faded);
       key.since = now;
       const auto begun = WallClock::now();
-      way->Set(end.member, key);
-      way_ns += counts * std::chrono::duration<double, std::nano>(WallClock::now() - begun).count();
+      algorithm->Set(end.member, key);
+      algorithm_ns += counts * std::chrono::duration<double, std::nano>(WallClock::now() - begun).count();
       if (counts) sojourn += end.took / end.work, ++all;
     }
     const double work = std::max(0.5, work_of(draw));
     const auto begun = WallClock::now();
-    const Member picked = way->Pick(now, work);
-    way_ns += counts * std::chrono::duration<double, std::nano>(WallClock::now() - begun).count();
+    const Member picked = algorithm->Pick(now, work);
+    algorithm_ns += counts * std::chrono::duration<double, std::nano>(WallClock::now() - begun).count();
     if (counts && turn % 16 == 0) {
       double least = 1e300;
       for (const Key& key : keys) least = std::min(least, key.Score(now, work));
@@ -226,11 +228,11 @@
     free_at[picked] = std::max(free_at[picked], now) + work / speed[picked];
     ends.push({free_at[picked], picked, work, free_at[picked] - now});
     const auto sent = WallClock::now();
-    way->Set(picked, key);
-    way_ns += counts * std::chrono::duration<double, std::nano>(WallClock::now() - sent).count();
+    algorithm->Set(picked, key);
+    algorithm_ns += counts * std::chrono::duration<double, std::nano>(WallClock::now() - sent).count();
   }
   std::printf("%8zu %-6s %-14s %10.0f %12.2f %12d %14.2f\n", servers, skewed ? "skewed" : "even",
-              name.c_str(), way_ns / turns, loss / judged, worst, sojourn / all);
+              name.c_str(), algorithm_ns / turns, loss / judged, worst, sojourn / all);
   std::fflush(stdout);
 }
 
@@ -244,14 +246,16 @@
               "worst queue", "time over work");
   for (const std::size_t n : sizes) {
     for (const bool skewed : {false, true}) {
-      const auto play = [&](const char* name, std::unique_ptr<Way> way) { Play(name, n, skewed, way.get()); };
-      play("scan", std::make_unique<Scan>(n));
-      play("index", std::make_unique<Index>(n, 20));
-      play("tournament", std::make_unique<Tournament>(n, 20));
-      play("buckets", std::make_unique<Buckets>(n, 20));
-      play("2 choices", std::make_unique<Choices>(n, 2));
-      play("8 choices", std::make_unique<Choices>(n, 8));
-      play("64 choices", std::make_unique<Choices>(n, 64));
+      const auto run = [&](const char* name, std::unique_ptr<Algorithm> algorithm) {
+        Simulate(name, n, skewed, algorithm.get());
+      };
+      run("scan", std::make_unique<Scan>(n));
+      run("index", std::make_unique<Index>(n, 20));
+      run("tournament", std::make_unique<Tournament>(n, 20));
+      run("buckets", std::make_unique<Buckets>(n, 20));
+      run("2 choices", std::make_unique<Choices>(n, 2));
+      run("8 choices", std::make_unique<Choices>(n, 8));
+      run("64 choices", std::make_unique<Choices>(n, 64));
     }
   }
   return 0;
--- a/bench/scale_bench.cpp
+++ b/bench/scale_bench.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the decision module costs by the size of the fleet: a request, the longest event, and lists. One core,
-// the module alone, half as many requests in flight as there are servers. Figures: docs/design/scale.md.
+// Cost of the decision module by fleet size: time per request, longest event, time to apply lists. One core,
+// the module alone, half as many requests in flight as there are servers. Results: docs/design/scale.md.
 #include <malloc.h>
 
 #include <algorithm>
@@ -39,17 +39,17 @@
  public:
   explicit Model(unsigned servers) : balancer_(SettingsOf(), 1), servers_(servers) {}
 
-  // The time of one event, in microseconds; its attempts are put on their way.
-  double Do(const Event& event) {
+  // Handles an event and schedules the ends of its attempts. Returns the time taken in microseconds.
+  double Handle(const Event& event) {
     actions_.clear();
     const auto begun = WallClock::now();
     balancer_.Handle(now_, event, &actions_);
     const double us = std::chrono::duration<double, std::micro>(WallClock::now() - begun).count();
     for (const Action& action : actions_) {
       if (const auto* d = std::get_if<Dispatch>(&action)) {
-        // Longer at large fleets: their subset grows with the clock, not with the number of requests.
+        // Longer with large fleets: their subset grows with time, not with the number of requests.
         std::exponential_distribution<> work(1.0 / std::clamp(servers_ / 50.0, 20.0, 200.0));
-        // Servers differ: the slowest takes three times as long as the fastest.
+        // Servers differ in speed: the slowest takes three times as long as the fastest.
         const Duration took((1 + work(draw_)) * (0.5 + (d->server % 101) / 100.0));
         ends_.push({now_ + took, d->request, d->server, took});
       }
@@ -64,47 +64,47 @@
     entry.server = i + 1, entry.state = state, entry.cell = static_cast<int>(i % 7);
     return entry;
   }
-  ListUpdate Whole(unsigned from = 0) const {
+  ListUpdate FullList(unsigned from = 0) const {
     ListUpdate list{ListKind::kFull, {}};
     for (unsigned i = from; i < servers_; ++i) list.entries.push_back(Entry(i));
     return list;
   }
 
-  // A list until it holds: a large one is read in slices, one an event. The time of all of them.
-  double Listed(const ListUpdate& list) {
+  // Applies a list; a large one is read in slices, one per event. Returns the total time in microseconds.
+  double ApplyList(const ListUpdate& list) {
     const auto timer_now = [this] {
       return std::any_of(actions_.begin(), actions_.end(), [this](const Action& action) {
         const auto* timer = std::get_if<SetTimer>(&action);
         return timer && timer->at <= now_;
       });
     };
-    longest_slice_ = Do(list);
+    longest_slice_ = Handle(list);
     double all = longest_slice_;
     while (timer_now()) {
-      const double us = Do(TimerFired{});
+      const double us = Handle(TimerFired{});
       longest_slice_ = std::max(longest_slice_, us), all += us;
     }
     return all;
   }
   double longest_slice() const { return longest_slice_; }
 
-  double Submitted() {
+  double SubmitOne() {
     Submit submit;
     submit.request = ++last_;
     submit.due = now_ + Duration(2000);
     submit.has_hint = true, submit.work_ms = 10 + static_cast<double>(draw_() % 20);
-    return Do(submit);
+    return Handle(submit);
   }
-  // The next attempt ends, and another request comes: the time of both.
-  double Turn(double* longest) {
-    if (ends_.empty()) return Submitted();
+  // Ends the next attempt and submits another request. Returns the time of both.
+  double EndAndSubmit(double* longest) {
+    if (ends_.empty()) return SubmitOne();
     const auto [at, request, server, took] = ends_.top();
     ends_.pop();
     now_ = std::max(now_, at);
     AttemptEnded end;
     end.request = request, end.server = server, end.outcome = Outcome::kOk, end.settled = true;
     end.took = took;
-    const double ended = Do(end), sent = Submitted();
+    const double ended = Handle(end), sent = SubmitOne();
     *longest = std::max({*longest, ended, sent});
     return ended + sent;
   }
@@ -123,7 +123,7 @@
   double longest_slice_ = 0;
 };
 
-// Bytes that the program has allocated.
+// Bytes allocated by the program.
 double Allocated() {
   const struct mallinfo2 info = mallinfo2();
   return static_cast<double>(info.uordblks + info.hblkhd);
@@ -131,20 +131,20 @@
 
 void Measure(unsigned servers, unsigned most_turns) {
   Model model(servers);
-  const ListUpdate whole = model.Whole();
+  const ListUpdate whole = model.FullList();
   const double empty = Allocated();
-  const double first = model.Listed(whole);
+  const double first = model.ApplyList(whole);
   const double known = (Allocated() - empty) / servers;
   double slice = model.longest_slice();
   double ignored = 0;
   for (unsigned i = 0; model.in_flight() < servers / 2 && i < 20 * servers; ++i)
-    i % 4 == 0 ? model.Turn(&ignored) : model.Submitted();
+    i % 4 == 0 ? model.EndAndSubmit(&ignored) : model.SubmitOne();
   const unsigned turns = most_turns ? most_turns : std::clamp(20 * servers, 20000u, 50000u);
-  for (unsigned i = 0; i < 2 * turns; ++i) model.Turn(&ignored);
+  for (unsigned i = 0; i < 2 * turns; ++i) model.EndAndSubmit(&ignored);
   double longest = 0, all = 0;
-  for (unsigned i = 0; i < turns; ++i) all += model.Turn(&longest);
+  for (unsigned i = 0; i < turns; ++i) all += model.EndAndSubmit(&longest);
   const double used = (Allocated() - empty) / servers;
-  const double again = model.Listed(model.Whole());
+  const double again = model.ApplyList(model.FullList());
   slice = std::max(slice, model.longest_slice());
   std::vector<double> deltas;
   for (int round = 0; round < 51; ++round) {
@@ -152,13 +152,13 @@
       ListUpdate delta{ListKind::kDelta, {}};
       for (unsigned i = 0; i < std::min(10u, servers / 2); ++i)
         delta.entries.push_back(model.Entry((i * 37 + static_cast<unsigned>(round)) % servers, state));
-      deltas.push_back(model.Do(delta));
+      deltas.push_back(model.Handle(delta));
     }
   }
   std::sort(deltas.begin(), deltas.end());
-  const double half = model.Listed(model.Whole(servers / 2));
+  const double half = model.ApplyList(model.FullList(servers / 2));
   slice = std::max(slice, model.longest_slice());
-  const double back = model.Listed(model.Whole());
+  const double back = model.ApplyList(model.FullList());
   slice = std::max(slice, model.longest_slice());
   std::printf("%8u %10.2f %10.0f %10.0f %10.0f %10.1f %10.0f %10.0f %10.0f %10zu %10.0f %10.0f\n", servers,
               all / turns, longest, first, again, deltas[deltas.size() / 2], half, back, slice,
@@ -168,8 +168,8 @@
 
 }  // namespace
 
-// [--turns N] SERVERS ...: only these sizes; N requests are measured. Under callgrind, with two numbers of
-// turns, the difference of what is collected in Balancer::Handle is the instructions of so many requests.
+// Arguments: [--turns N] SERVERS ...; measures N requests at each of these fleet sizes. To count instructions
+// per request, run it under callgrind with two values of N and compare the totals of Balancer::Handle.
 int main(int argc, char** argv) {
   std::printf("%8s %10s %10s %10s %10s %10s %10s %10s %10s %10s %10s %10s\n", "servers", "us/request",
               "longest", "first list", "same list", "delta 10", "half lost", "half back", "slice",
--- a/bench/shares_bench.cpp
+++ b/bench/shares_bench.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How evenly keys are shared out among servers, and servers among proxies, and what a change moves, by
-// several ways. Counts, not times, but for a look-up. Figures: docs/design/scale.md.
+// Compares algorithms that distribute keys over servers, and servers over proxies: how even they are, and
+// what a change moves. Apart from the lookup time, it prints counts. Results: docs/design/scale.md.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -22,11 +22,11 @@
 
 std::uint64_t Mixed(std::uint64_t a, std::uint64_t b) { return XXH3_64bits_withSeed(&a, sizeof(a), b); }
 
-// Members 1 to n but those in `without`, on a ring with `spots` spots each.
-Ring RingOf(Member n, const std::set<Member>& without, int spots) {
+// Ring of the members 1 to n except those in `without`, with `points` points each.
+Ring RingOf(Member n, const std::set<Member>& without, int points) {
   std::vector<RingPoint> all, none;
   for (Member m = 1; m <= n; ++m) {
-    for (int k = 0; k < spots && !without.contains(m); ++k) {
+    for (int k = 0; k < points && !without.contains(m); ++k) {
       const std::uint32_t place = k == 0
                                       ? brackenspoke::MixBits(m)
                                       : static_cast<std::uint32_t>(Mixed(m, static_cast<std::uint64_t>(k)));
@@ -48,8 +48,8 @@
     return owner;
   };
 }
-Owner BySpots(Member n, const std::set<Member>& without, int spots) {
-  return [ring = RingOf(n, without, spots)](std::uint64_t key) {
+Owner ByPoints(Member n, const std::set<Member>& without, int points) {
+  return [ring = RingOf(n, without, points)](std::uint64_t key) {
     return ring[ring.At(static_cast<std::uint32_t>(Mixed(key, 0)))];
   };
 }
@@ -64,7 +64,7 @@
     return best;
   };
 }
-// Eisenbud and others, 2016.
+// Maglev hashing (Eisenbud et al., 2016).
 Owner ByMaglev(Member n, const std::set<Member>& without) {
   constexpr std::uint64_t kTable = 65537;
   std::vector<Member> table(kTable, kNoMember);
@@ -81,8 +81,8 @@
   return [table](std::uint64_t key) { return table[Mixed(key, 3) % kTable]; };
 }
 
-void Keys(const char* name, const std::function<Owner(const std::set<Member>&)>& way, Member n) {
-  const Owner before = way({}), after = way({n / 2});
+void Keys(const char* name, const std::function<Owner(const std::set<Member>&)>& make_owner, Member n) {
+  const Owner before = make_owner({}), after = make_owner({n / 2});
   const std::uint64_t keys = std::uint64_t{1000} * n;
   std::vector<int> owned(n + 1);
   std::uint64_t others = 0;
@@ -94,9 +94,9 @@
     const Member owner = before(key);
     others += owner != n / 2 && owner != after(key);
   }
-  const int most = *std::max_element(owned.begin() + 1, owned.end());
-  const int least = *std::min_element(owned.begin() + 1, owned.end());
-  std::printf("%-14s %8u %10.2f %10.2f %14.2f %10.0f\n", name, n, most / 1000.0, least / 1000.0,
+  const int max = *std::max_element(owned.begin() + 1, owned.end());
+  const int min = *std::min_element(owned.begin() + 1, owned.end());
+  std::printf("%-14s %8u %10.2f %10.2f %14.2f %10.0f\n", name, n, max / 1000.0, min / 1000.0,
               100.0 * static_cast<double>(others) / static_cast<double>(keys),
               ns / static_cast<double>(keys));
   std::fflush(stdout);
@@ -106,23 +106,23 @@
 
 constexpr int kProxies = 1000;
 constexpr Member kServers = 10000;
-constexpr std::size_t kUses = 80;
+constexpr std::size_t kSubsetSize = 80;
 
 using Users = std::vector<std::vector<Member>>;  // by proxy, sorted
 
-// Replaces ten servers a step; `used` says what each proxy uses of a ring.
+// Replaces ten servers per step; `used` returns the subset of a proxy.
 void Subsets(const char* name, const std::function<std::vector<Member>(const Ring&, int proxy)>& used) {
   std::mt19937 draw(20261201);
   std::vector<Member> listed;
   for (Member m = 1; m <= kServers; ++m) listed.push_back(m);
-  std::vector<RingPoint> none, spots;
-  for (const Member m : listed) spots.push_back({brackenspoke::MixBits(m), m});
-  std::sort(spots.begin(), spots.end());
+  std::vector<RingPoint> none, points;
+  for (const Member m : listed) points.push_back({brackenspoke::MixBits(m), m});
+  std::sort(points.begin(), points.end());
   Ring ring;
-  ring.Change(&none, spots, [](Member) { return true; });
+  ring.Change(&none, points, [](Member) { return true; });
   Member next = kServers + 1;
   Users before(kProxies);
-  int least = kProxies, most = 0;
+  int min = kProxies, max = 0;
   long moved = 0;
   constexpr int kSteps = 40;
   for (int step = 0; step <= kSteps; ++step) {
@@ -137,11 +137,11 @@
       std::sort(joining.begin(), joining.end());
       ring.Change(&leaving, joining, [](Member) { return true; });
     }
-    std::map<Member, int> sharers;
+    std::map<Member, int> proxies_of;
     for (int p = 0; p < kProxies; ++p) {
       auto now = used(ring, p);
       std::sort(now.begin(), now.end());
-      for (const Member m : now) ++sharers[m];
+      for (const Member m : now) ++proxies_of[m];
       auto& old = before[static_cast<std::size_t>(p)];
       std::vector<Member> fresh;
       std::set_difference(now.begin(), now.end(), old.begin(), old.end(), std::back_inserter(fresh));
@@ -149,16 +149,16 @@
       old = std::move(now);
     }
     for (std::size_t k = 0; k < ring.size(); ++k) {
-      least = std::min(least, sharers[ring[k]]), most = std::max(most, sharers[ring[k]]);
+      min = std::min(min, proxies_of[ring[k]]), max = std::max(max, proxies_of[ring[k]]);
     }
   }
-  std::printf("%-28s %8d %8d %14.1f\n", name, least, most, static_cast<double>(moved) / (10 * kSteps));
+  std::printf("%-28s %8d %8d %14.1f\n", name, min, max, static_cast<double>(moved) / (10 * kSteps));
   std::fflush(stdout);
 }
 
 std::vector<Member> ArcFrom(const Ring& ring, std::size_t begin) {
   std::vector<Member> arc;
-  for (std::size_t k = 0; k < kUses; ++k) arc.push_back(ring[(begin + k) % ring.size()]);
+  for (std::size_t k = 0; k < kSubsetSize; ++k) arc.push_back(ring[(begin + k) % ring.size()]);
   return arc;
 }
 
@@ -171,9 +171,9 @@
     Keys(
         "21 probes", [n](const auto& without) { return ByProbes(n, without); }, n);
     Keys(
-        "1 spot", [n](const auto& without) { return BySpots(n, without, 1); }, n);
+        "1 spot", [n](const auto& without) { return ByPoints(n, without, 1); }, n);
     Keys(
-        "100 spots", [n](const auto& without) { return BySpots(n, without, 100); }, n);
+        "100 spots", [n](const auto& without) { return ByPoints(n, without, 100); }, n);
     Keys(
         "Maglev", [n](const auto& without) { return ByMaglev(n, without); }, n);
     if (n < 100)
@@ -186,8 +186,8 @@
     return ArcFrom(ring,
                    static_cast<std::size_t>((turns - std::floor(turns)) * static_cast<double>(ring.size())));
   });
-  for (const std::size_t slack : {kUses / 16, kUses / 8}) {
-    // The same, kept where it began until it is off its place by more than the slack.
+  for (const std::size_t slack : {kSubsetSize / 16, kSubsetSize / 8}) {
+    // The same, but an arc is moved only when it is off its position by more than the slack.
     std::vector<std::uint32_t> kept(kProxies);
     Subsets(("the same, off by " + std::to_string(slack) + " at most").c_str(), [&](const Ring& ring, int p) {
       const double turns = p * kGoldenRatio;
--- a/models/list.pml
+++ b/models/list.pml
@@ -1,16 +1,16 @@
 /* SPDX-License-Identifier: Apache-2.0
  *
- * The life of a list: discovery tells one proxy of one server over a watch, by changes and by whole lists; lines come garbled
- * or again, watches break, the proxy restarts with the last list it had. Checked with SPIN: see check.sh.
+ * Model of a server list: discovery reports one server to one proxy over a watch, by changes and by full lists; lines are
+ * garbled or repeated, watches break, and the proxy restarts with its last list. Checked with SPIN; see check.sh.
  *
- * A MUTATION takes one guard away; each must be found by the property named with it:
+ * A MUTATION removes one guard; each must violate the property named next to it:
  *
- *   1  a garbled line is passed over, and its watch goes on      no_divergence
- *   2  a restarted proxy goes by its cached list alone           kept_up
- *   3  a server that drains is still sent to                     drains_kept
- *   4  a change older than what is known is taken                never_back
- *   5  a watch that broke is not opened again                    kept_up
- *   6  a new watch asks from its beginning, and takes what it is told for changes of the present     no_divergence
+ *   1  a garbled line is skipped, and its watch continues        no_divergence
+ *   2  a restarted proxy uses only its cached list               kept_up
+ *   3  requests are still sent to a draining server              drains_kept
+ *   4  a change older than the known revision is applied         never_back
+ *   5  a broken watch is not opened again                        kept_up
+ *   6  a new watch starts at revision 0, and applies the old changes to the present state            no_divergence
  */
 #ifndef MUTATION
 #define MUTATION 0
@@ -20,11 +20,11 @@
 #define DRAINING 1
 #define GONE 2
 
-/* Discovery: what the server was at each revision. */
+/* Discovery: state of the server at each revision. */
 byte revision = 0;
 byte phase[5];
 
-/* The watch, and the one line that is on its way. */
+/* The watch, and the one line in transit. */
 bool watch = false, line = false, whole, again;
 byte from, to, told = 0;
 
@@ -43,7 +43,7 @@
   :: !whole && to < known && MUTATION != 4 -> printf("ignored\n")
   :: !whole && !(to < known && MUTATION != 4) ->
      if :: to < known -> went_back = true :: else fi;
-     /* It holds what differs between the two, and nothing of a server that did not change. */
+     /* A delta holds only what differs between the two revisions. */
      if :: phase[to] != phase[from] -> known_phase = phase[to]; printf("delta %d\n", known_phase) :: else fi;
      known = to
   fi;
@@ -56,12 +56,12 @@
   :: atomic { revision < MOST ->
        if :: phase[revision + 1] = READY :: phase[revision + 1] = DRAINING :: phase[revision + 1] = GONE fi;
        revision++ }
-  /* A watch begins from the revision that it is asked from: with what changed since, or with the whole list. */
+  /* A watch starts at the requested revision, with the changes since then or with a full list. */
   :: atomic { asks && !watch -> watch = true; asks = false; line = true; again = false; to = revision; told = revision;
        asked = (MUTATION == 6 -> 0 : known); from = asked;
        if :: !has_list -> whole = true :: has_list -> whole = true :: has_list -> whole = false fi }
   :: atomic { watch && !line && told < revision -> line = true; again = false; whole = false; from = told; to = revision; told = revision }
-  /* An agent that has lost its place says an old line again. */
+  /* An agent that lost its position repeats an old line. */
   :: atomic { watch && !line && has_list && known > 0 && repeats < 1 -> repeats++; line = true; again = true; whole = false; from = known - 1; to = known - 1 }
   :: atomic { line -> Take() }
   :: atomic { line && breaks < 2 -> breaks++;
@@ -78,5 +78,5 @@
 ltl never_back { [] !went_back }
 ltl no_divergence { [] !diverged }
 ltl drains_kept { [] !sent_to_draining }
-/* It watches or is about to; and once it has been told all, it knows the present. */
+/* The proxy watches or is about to; once all revisions were sent, it knows the latest. */
 ltl kept_up { [] (watch || asks) && [] ((watch && !line && told == revision) -> known == revision) }
--- a/models/request.pml
+++ b/models/request.pml
@@ -1,21 +1,21 @@
 /* SPDX-License-Identifier: Apache-2.0
  *
- * The life of one request at one proxy: attempts, time-outs, answers that cross them, connections that break before and after
- * the last byte was written, a client that leaves, a restart of the proxy. Checked with SPIN: see check.sh.
+ * Model of one request at one proxy: attempts, timeouts, answers that cross them, connections that break before and after the
+ * last byte was written, a client that disconnects, a restart of the proxy. Checked with SPIN; see check.sh.
  *
- * The module and the world are apart, as in the code: the module hears of ends and decides, and never looks at what the world
- * knows (ran, runs, remembers). What is printed is what the bridge replays against the real module.
+ * Balancer and environment are separate, as in the code: the balancer is told how attempts end and decides; it never reads the
+ * state of the environment (ran, runs, remembers). The printed trace is replayed against the real Balancer by the bridge test.
  *
- * EFFECT is 0 safe, 1 keyed, 2 unsafe. A MUTATION takes one guard away; each must be found by the property named with it:
+ * EFFECT is 0 safe, 1 keyed, 2 unsafe. A MUTATION removes one guard; each must violate the property named next to it:
  *
- *   1  a reset is taken for never having run, though the last byte was written     no_effect_twice
- *   2  an attempt is sent while one is out                                         one_at_once
- *   3  an answer that comes after the final one is passed on                       one_answer
- *   4  a key is repeated when its window is over                                   no_effect_twice
- *   5  the failure of the last attempt is told nobody                              answered
- *   6  an attempt that timed out is taken for one that never ran                   no_effect_twice
- *   7  a restarted proxy takes up the request that it had sent                     no_effect_twice
- *   8  the window has no margin: an attempt may be read after the group forgot     no_effect_twice
+ *   1  a reset is taken as proof that the attempt never ran, after the last byte   no_effect_twice
+ *   2  an attempt is sent while another is outstanding                             one_at_once
+ *   3  an answer that arrives after the final one is passed on                     one_answer
+ *   4  a key is retried after its deduplication window                             no_effect_twice
+ *   5  the failure of the last attempt is not reported to the client               answered
+ *   6  a timeout is taken as proof that the attempt never ran                      no_effect_twice
+ *   7  a restarted proxy resumes the request that it had sent                      no_effect_twice
+ *   8  the window has no margin: an attempt may be read after the key expired      no_effect_twice
  */
 #ifndef EFFECT
 #define EFFECT 2
@@ -24,25 +24,25 @@
 #define MUTATION 0
 #endif
 #ifndef QUIET
-#define QUIET 0 /* 1, for walks that get farther: no client leaves and no proxy dies */
+#define QUIET 0 /* 1, for longer traces: no client disconnects and no proxy dies */
 #endif
 #define SAFE 0
 #define KEYED 1
 #define UNSAFE 2
-#define MOST 3 /* attempts; a fourth adds states and no kind of them */
+#define MOST 3 /* attempts; a fourth adds states but no new kind of state */
 
-/* The world's truth. */
+/* State of the environment. */
 byte runs = 0;              /* times that the effect took place */
 byte out = 0;               /* attempts on open connections */
-byte late = 0;              /* answers on their way that nobody waits for any more */
-bool remembers = false;     /* the group drops a repeat of the key */
-byte answers = 0;           /* final answers that the client was given */
+byte late = 0;              /* answers in transit that nobody waits for any more */
+bool remembers = false;     /* the group deduplicates the key */
+byte answers = 0;           /* final answers given to the client */
 bool client_waits = true, over = false;
 
-/* The attempt that is out, as its server sees it. */
+/* The outstanding attempt, as seen by its server. */
 bool written, ran;
 
-/* The module's knowledge. */
+/* State of the balancer. */
 bool finished = false, outstanding = false, may_have_run = false, window_over = false;
 byte attempts = 0;
 
@@ -58,7 +58,7 @@
   written = false; ran = false
 }
 
-/* The server does the work: once for all attempts while the group remembers the key. */
+/* The server executes the request: once for all attempts while the group remembers the key. */
 inline Run() {
   ran = true;
   if
@@ -67,7 +67,7 @@
   fi
 }
 
-/* An attempt has ended without an answer that counts. */
+/* An attempt has ended without a usable answer. */
 inline Again(proves_it_never_ran) {
   out--;
   outstanding = (out > 0);
@@ -92,24 +92,24 @@
        out--; outstanding = (out > 0);
        if :: !finished -> Answer() :: else fi }
   :: atomic { outstanding && written && ran -> printf("end error\n"); Again(false) }
-  /* A server that breaks a connection may have run what came on it, or not, or run it yet. */
+  /* A server that breaks a connection may have run the request, may run it later, or never. */
   :: atomic { outstanding && written -> printf("end reset\n");
        if :: !ran -> if :: Run() :: true fi :: else fi;
        Again(MUTATION == 1) }
-  /* Given up by closing the connection: the answer may be on its way, and the work may begin all the same. */
+  /* A timeout closes the connection: the answer may be in transit, and the work may still begin. */
   :: atomic { outstanding && written -> printf("end timeout\n");
        if :: !ran -> if :: Run() :: true fi :: else fi;
        late = 1;
        Again(MUTATION == 6) }
   :: atomic { late > 0 -> late = 0;
        if :: MUTATION == 3 && finished && client_waits -> Answer() :: else fi }
-  /* A second attempt beside the first. */
+  /* A second attempt in parallel with the first. */
   :: atomic { MUTATION == 2 && outstanding && out == 1 && !finished && attempts < MOST -> Send() }
   :: atomic { !QUIET && client_waits && !finished -> printf("gone\n"); client_waits = false; finished = true }
   :: atomic { EFFECT == KEYED && remembers && !window_over -> printf("window\n"); window_over = true }
-  /* The module stops a tenth of the window early: by the time that the group forgets, what was sent in time has been read. */
+  /* The balancer stops a tenth of the window early, so that what was sent in time is read before the group forgets the key. */
   :: atomic { window_over && remembers && (out == 0 || ran || MUTATION == 8) -> remembers = false }
-  /* The proxy dies: its connections close. The client is told nothing, which it may take for an end. */
+  /* The proxy dies and its connections close. The client gets no answer, and may treat that as final. */
   :: atomic { !QUIET && !finished && outstanding -> printf("dies\n");
        if :: written && !ran -> if :: Run() :: true fi :: else fi;
        out = 0; outstanding = false;
@@ -121,7 +121,7 @@
   od
 }
 
-/* A request that its client left, or that died with its proxy, has no answer; all others have one. */
+/* A request has no answer if its client disconnected or its proxy died; all others have exactly one. */
 ltl one_answer { [] (answers <= 1) }
 ltl answered { [] (over -> (answers == 1 || !client_waits)) }
 ltl ends { <> over }
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -382,7 +382,8 @@
 
   // ---- Discovery -----------------------------------------------------------------------------------
   void On(const ListUpdate& e) {
-    if (settings_.must_ask_for_list) asking_.OnList(e.kind, now_, [this] { return state_.random.Unit(); });
+    if (settings_.must_ask_for_list)
+      subscription_timer_.OnList(e.kind, now_, [this] { return state_.random.Unit(); });
     if (e.kind != ListKind::kFailed) roster_.Take(e);
   }
 
@@ -434,9 +435,9 @@
     }
     if (used_.Entering()) used_.EnterSlice();
     if (now_ >= sample_at_) Sample();
-    if (now_ >= asking_.due()) {
+    if (now_ >= subscription_timer_.due()) {
       out_->push_back(Subscribe{});
-      asking_.OnSubscribe(now_);
+      subscription_timer_.OnSubscribe(now_);
     }
     while (!wakeups_.empty() && wakeups_.begin()->first <= now_) {
       const auto found = requests_.find(wakeups_.begin()->second);
@@ -492,7 +493,7 @@
   }
 
   void Arm() {
-    TimePoint at = std::min(asking_.due(), held_.empty() ? kNever : sample_at_);
+    TimePoint at = std::min(subscription_timer_.due(), held_.empty() ? kNever : sample_at_);
     if (roster_.Waiting() || used_.Entering()) at = now_;
     if (!wakeups_.empty()) at = std::min(at, wakeups_.begin()->first);
     if (at >= armed_) return;
@@ -524,7 +525,7 @@
   RouteUsage routes_;
   int outcomes_ = 0;         // attempts ended, up to kMinOutcomes
   bool retry_held_ = false;  // something changed that may let a queued request be sent
-  kestrelline::fleet::SubscriptionTimer asking_{settings_.must_ask_within};
+  kestrelline::fleet::SubscriptionTimer subscription_timer_{settings_.must_ask_within};
   TimePoint armed_ = kNever;
 };
 
--- a/tests/fleet/affinity_test.cpp
+++ b/tests/fleet/affinity_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Requests of one key at one server: who owns keys, what a change of the fleet moves, and a bound on load
-// that no sequence of keys passes.
+// Key affinity: ownership of keys, the keys that move when the fleet changes, and the load bound, which must
+// hold for any sequence of keys.
 #include "fleet/affinity.h"
 
 #include <gtest/gtest.h>
@@ -34,13 +34,13 @@
 using brackenspoke::testing::Usual;
 
 Ring RingOf(Member members, Member without = 0) {
-  std::vector<RingPoint> spots, none;
+  std::vector<RingPoint> points, none;
   for (Member m = 1; m <= members; ++m) {
-    if (m != without) spots.push_back({brackenspoke::MixBits(m), m});
+    if (m != without) points.push_back({brackenspoke::MixBits(m), m});
   }
-  std::sort(spots.begin(), spots.end());
+  std::sort(points.begin(), points.end());
   Ring ring;
-  ring.Change(&none, spots, [](Member) { return true; });
+  ring.Change(&none, points, [](Member) { return true; });
   return ring;
 }
 
@@ -50,13 +50,14 @@
   return owner;
 }
 
-TEST(KeyOwners, KeysAreSharedOutEvenly) {
+TEST(KeyOwners, KeysAreSpreadEvenly) {
   for (const Member members : {15u, 1000u}) {
     const Ring ring = RingOf(members);
     std::vector<int> owned(members + 1);
     const int each = 200;
     for (std::uint64_t key = 0; key < members * std::uint64_t{each}; ++key) ++owned[OwnerOf(ring, key)];
-    // None owns much more than its share; a few, which stand close behind another, own much less.
+    // No member owns much more than its share; a few, which follow another closely on the ring, own much
+    // less.
     Member few = 0;
     for (Member m = 1; m <= members; ++m) {
       EXPECT_LT(owned[m], each * 14 / 10) << m;
@@ -66,7 +67,7 @@
   }
 }
 
-TEST(KeyOwners, OneThatGoesMovesItsOwnKeysAlone) {
+TEST(KeyOwners, AMemberThatLeavesMovesOnlyItsOwnKeys) {
   const Ring before = RingOf(500), after = RingOf(500, 77);
   int moved = 0;
   std::set<Member> heirs;
@@ -79,10 +80,10 @@
     }
   }
   EXPECT_GT(moved, 100);
-  EXPECT_GT(heirs.size(), 50u);  // not one neighbour alone
+  EXPECT_GT(heirs.size(), 50u);  // spread over many members, not moved to one neighbour
 }
 
-TEST(KeyOwners, EveryMemberIsTriedInTheEnd) {
+TEST(KeyOwners, EveryMemberIsVisited) {
   const Ring ring = RingOf(100);
   std::set<Member> tried;
   KeyOwners(ring, 5).Try([&](Member m) { return tried.insert(m), false; });
@@ -90,7 +91,7 @@
   KeyOwners(Ring(), 5).Try([](Member) { return ADD_FAILURE() << "of an empty ring", false; });
 }
 
-// ---- as the module uses it ------------------------------------------------------------------------------
+// ---- affinity in the Balancer ---------------------------------------------------------------------------
 
 class Keyed {
  public:
@@ -142,7 +143,7 @@
   }
 }
 
-TEST(Affinity, WhoeverOwnsAKeyGoesAndComesBack) {
+TEST(Affinity, AKeyReturnsToItsOwnerWhenTheOwnerComesBack) {
   Keyed keyed(1.25);
   keyed.rig().Servers(100);
   const auto owner = keyed.Ask(1, 42);
@@ -157,8 +158,8 @@
   EXPECT_EQ(keyed.Ask(3, 42), owner);
 }
 
-// After an attempt that never ran: not the owner again, though the key still says so.
-TEST(Affinity, AnotherAttemptGoesElsewhere) {
+// A retry must not go to the owner again, although it still owns the key.
+TEST(Affinity, ARetryGoesToAnotherServer) {
   Keyed keyed(10);
   keyed.rig().Servers(20);
   const auto owner = keyed.Ask(1, 42, 10, 2);
@@ -169,7 +170,7 @@
   EXPECT_NE(next, owner);
 }
 
-TEST(Affinity, NoSequenceOfKeysPassesTheBound) {
+TEST(Affinity, NoSequenceOfKeysExceedsTheBound) {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 draw(seed);
@@ -191,17 +192,17 @@
     };
     for (int k = 0; k < 4000; ++k) {
       keyed.rig().now += 0.5;
-      // One of a million keys has half of the traffic, or all of it.
+      // One of a million keys gets half of the traffic, or all of it.
       const std::uint64_t key = draw() % 2 || seed % 5 == 0 ? 1 : 2 + draw() % 1000000;
       keyed.Ask(++id, key, 1 + static_cast<double>(draw() % 100));
-      note();  // its own, and of those that were held
+      note();  // its own dispatch, and those of queued requests
       if (out.size() > 10 + draw() % 60) {
         const std::size_t i = draw() % out.size();
         const auto [ended, from] = out[i];
         out[i] = out.back(), out.pop_back();
         --at[from];
         keyed.rig().End(ended, 0, from, Outcome::kOk, 10, true);
-        note();  // one that was held may go now
+        note();  // a queued request may be sent now
       }
     }
     EXPECT_GT(id, 3000u);
--- a/tests/fleet/class_losses_test.cpp
+++ b/tests/fleet/class_losses_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Servers that lose one class and serve the others: found soon, not where none is, given up on for a while
-// only, and passed over by the module itself.
+// Servers that fail one class and serve the others must be detected quickly and without false alarms, be
+// avoided for a limited time only, and be avoided by the Balancer.
 #include "fleet/class_losses.h"
 
 #include <gtest/gtest.h>
@@ -22,16 +22,17 @@
 
 constexpr int kServers = 15, kClasses = 3;
 
-struct Played {
-  int sent_to_sick = 0, avoided = 0, found_after = -1;
+struct SimulationResult {
+  int sent_to_faulty = 0, avoided = 0, detected_after = -1;
 };
 
-// Requests every 3 ms of three classes, to any server that is not avoided for the class. Server 0 loses class
-// 2 with probability `sick`; all others lose `usual` of all.
-Played Play(ClassLosses* losses, double usual, double sick, int requests, std::uint64_t seed, double* now) {
+// Sends requests of three classes every 3 ms, each to a random server that is not avoided for its class.
+// Server 0 loses class 2 with probability `faulty`; all other requests are lost with probability `base_loss`.
+SimulationResult Simulate(ClassLosses* losses, double base_loss, double faulty, int requests,
+                          std::uint64_t seed, double* now) {
   std::mt19937_64 draw(seed);
   const auto unit = [&] { return static_cast<double>(draw() >> 11) * 0x1.0p-53; };
-  Played played;
+  SimulationResult result;
   for (int i = 0; i < requests; ++i) {
     *now += 3;
     const int request_class = static_cast<int>(draw() % kClasses);
@@ -39,25 +40,25 @@
     do {
       server = static_cast<std::uint32_t>(draw() % kServers);
     } while (losses->Avoids(At(*now), server, request_class));
-    const bool is_sick = server == 0 && request_class == 2 && sick > 0;
-    played.sent_to_sick += is_sick;
-    const bool lost = unit() < (is_sick ? sick : usual);
+    const bool is_faulty = server == 0 && request_class == 2 && faulty > 0;
+    result.sent_to_faulty += is_faulty;
+    const bool lost = unit() < (is_faulty ? faulty : base_loss);
     if (!losses->Add(At(*now), server, request_class, lost, kServers)) continue;
-    ++played.avoided;
-    if (is_sick && played.found_after < 0) played.found_after = played.sent_to_sick;
+    ++result.avoided;
+    if (is_faulty && result.detected_after < 0) result.detected_after = result.sent_to_faulty;
   }
-  return played;
+  return result;
 }
 
 TEST(ClassLosses, AServerThatNeverAnswersOneClassIsFoundByTheSecondRequest) {
   ClassLosses losses;
   double now = 1e6;
-  Play(&losses, 0.005, 0, 3000, 1, &now);
-  const Played played = Play(&losses, 0.005, 1, 6000, 2, &now);
-  EXPECT_LE(played.found_after, 3);
-  // 18 s: a third of 6,000 over 15 servers would have been 133.
-  EXPECT_LE(played.sent_to_sick, 15);
-  EXPECT_GE(played.sent_to_sick, 2);  // it is tried again
+  Simulate(&losses, 0.005, 0, 3000, 1, &now);
+  const SimulationResult result = Simulate(&losses, 0.005, 1, 6000, 2, &now);
+  EXPECT_LE(result.detected_after, 3);
+  // In 18 s: a third of 6,000 requests over 15 servers would be 133.
+  EXPECT_LE(result.sent_to_faulty, 15);
+  EXPECT_GE(result.sent_to_faulty, 2);  // it is probed again
 }
 
 TEST(ClassLosses, HalfOfTheClassLostIsEnoughWhileOthersLoseAFew) {
@@ -65,28 +66,28 @@
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     ClassLosses losses;
     double now = 1e6;
-    Play(&losses, 0.02, 0, 3000, seed, &now);
-    const Played played = Play(&losses, 0.02, 0.5, 3000, seed + 100, &now);
-    found += played.found_after >= 0 && played.found_after <= 15;
+    Simulate(&losses, 0.02, 0, 3000, seed, &now);
+    const SimulationResult result = Simulate(&losses, 0.02, 0.5, 3000, seed + 100, &now);
+    found += result.detected_after >= 0 && result.detected_after <= 15;
   }
   EXPECT_GE(found, 45) << "of 50";
 }
 
-TEST(ClassLosses, WhereAllLoseTheSameFewAreAvoided) {
-  for (const double usual : {0.001, 0.02, 0.2, 0.6}) {
+TEST(ClassLosses, FewFalseAlarmsIfAllServersLoseTheSameShare) {
+  for (const double base_loss : {0.001, 0.02, 0.2, 0.6}) {
     ClassLosses losses;
     double now = 1e6;
-    // 100 s, 45 pairs. Each false alarm keeps a fifteenth of the fleet from a class for 3 s.
-    const Played played = Play(&losses, usual, 0, 33000, 7, &now);
-    EXPECT_LE(played.avoided, 40) << usual;
+    // 100 s with 45 pairs. Each false alarm keeps a class from a fifteenth of the fleet for 3 s.
+    const SimulationResult result = Simulate(&losses, base_loss, 0, 33000, 7, &now);
+    EXPECT_LE(result.avoided, 40) << base_loss;
     EXPECT_LE(losses.pairs(), static_cast<std::size_t>(kServers * kClasses));
   }
 }
 
-TEST(ClassLosses, OneThatAnswersNothingIsNotItsBusiness) {
+TEST(ClassLosses, AServerThatAnswersNothingIsLeftToOutlierEjection) {
   ClassLosses losses;
   double now = 1e6;
-  Play(&losses, 0.005, 0, 3000, 6, &now);
+  Simulate(&losses, 0.005, 0, 3000, 6, &now);
   for (int i = 0; i < 50; ++i) EXPECT_FALSE(losses.Add(At(now + i), 0, 2, true, kServers));
 }
 
@@ -116,24 +117,24 @@
   EXPECT_GE(most, 4);
 }
 
-TEST(ClassLosses, OneThatHasRecoveredIsBackAndAnotherClassWasNeverKeptAway) {
+TEST(ClassLosses, ARecoveredServerIsUsedAgainAndOtherClassesWereNeverAvoided) {
   ClassLosses losses;
   double now = 1e6;
-  Play(&losses, 0.005, 1, 3000, 3, &now);
+  Simulate(&losses, 0.005, 1, 3000, 3, &now);
   EXPECT_FALSE(losses.Avoids(At(now), 0, 0));
   EXPECT_FALSE(losses.Avoids(At(now), 0, 1));
   now += ClassLosses::kMaxAvoid.count();
-  Play(&losses, 0, 0, 6000, 4, &now);
+  Simulate(&losses, 0, 0, 6000, 4, &now);
   EXPECT_FALSE(losses.Avoids(At(now), 0, 2));
   now += 1e5;
   losses.Add(At(now), 3, 1, false, kServers);
-  EXPECT_EQ(losses.pairs(), 0u);  // all of it is forgotten
+  EXPECT_EQ(losses.pairs(), 0u);  // all pairs have been erased
 }
 
-TEST(ClassLosses, EachRelapseIsFoundByOneAndLastsLonger) {
+TEST(ClassLosses, ARelapseIsDetectedByOneLossAndAvoidedForLonger) {
   ClassLosses losses;
   double now = 1e6;
-  Play(&losses, 0, 0, 3000, 5, &now);
+  Simulate(&losses, 0, 0, 3000, 5, &now);
   double before = 0;
   for (int time = 0; time < 4; ++time) {
     int needed = 0;
@@ -164,12 +165,12 @@
   EXPECT_LT(losses.pairs(), ClassLosses::kMaxPairs);
 }
 
-// The module: server 1 keeps silent on class 2 and answers all else within 10 ms.
-TEST(ClassLosses, TheModuleSendsTheClassElsewhereAndAllElseThere) {
+// Balancer test: server 1 does not answer class 2, and answers all other requests in time.
+TEST(ClassLosses, TheBalancerAvoidsTheServerForThatClassOnly) {
   Rig rig;
   rig.Servers(6);
   std::multimap<int, std::pair<brackenspoke::RequestId, brackenspoke::ServerId>> ends;  // by turn
-  int to_sick = 0, of_class = 0, others_to_sick = 0;
+  int to_faulty = 0, of_class = 0, others_to_faulty = 0;
   for (int turn = 0; turn < 30000; ++turn) {
     rig.Tick(1);
     const auto is_silent = [](brackenspoke::RequestId id, brackenspoke::ServerId server) {
@@ -184,17 +185,17 @@
     for (const auto& sent : std::exchange(rig.sent, {})) {
       const bool silent = is_silent(sent.request, sent.server);
       ends.emplace(turn + (silent ? 600 : 60), std::make_pair(sent.request, sent.server));
-      if (turn < 8000) continue;  // until it was found
+      if (turn < 8000) continue;  // time to detect it
       of_class += sent.request % 3 == 2;
-      to_sick += silent;
-      others_to_sick += sent.server == 1 && !silent;
+      to_faulty += silent;
+      others_to_faulty += sent.server == 1 && !silent;
     }
   }
 
   EXPECT_GT(of_class, 2000);
-  EXPECT_GT(others_to_sick, 300);  // it serves what it can
-  EXPECT_GT(to_sick, 0);           // it is tried again
-  EXPECT_LT(to_sick, of_class / 200);
+  EXPECT_GT(others_to_faulty, 300);  // it still serves the other classes
+  EXPECT_GT(to_faulty, 0);           // it is probed again
+  EXPECT_LT(to_faulty, of_class / 200);
 }
 
 }  // namespace
--- a/tests/fleet/large_fleet_test.cpp
+++ b/tests/fleet/large_fleet_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The module where servers are too many to be looked at one by one: the four rules, the least work of all,
-// and the worst days of a large fleet.
+// The Balancer with fleets too large to scan: the rules, the least-work pick, and extreme situations of a
+// large fleet.
 #include <gtest/gtest.h>
 #include <malloc.h>
 
@@ -24,12 +24,12 @@
 using testing::Usual;
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr int kEffort = 1;  // unoptimised code is 20 times slower
+constexpr int kEffort = 1;  // unoptimized code is 20 times slower
 #else
 constexpr int kEffort = 10;
 #endif
 
-TEST(LargeFleet, TheFourRulesHoldWhateverTheSize) {
+TEST(LargeFleet, TheRulesHoldAtAnySize) {
   for (const int servers : {65, 1000, 10000}) {
     for (std::uint64_t seed = 1; seed <= static_cast<std::uint64_t>(servers < 10000 ? 2 * kEffort : 3);
          ++seed) {
@@ -56,14 +56,14 @@
   }
 }
 
-// Ends what is out in a random order and asks on, a request a millisecond; knows the work at each server.
+// Generates one request per millisecond and ends requests in random order; tracks the work at each server.
 class Traffic {
  public:
   Traffic(Rig* rig, std::uint32_t seed) : rig_(rig), draw_(seed) {}
 
   std::uint64_t Below(std::uint64_t n) { return draw_() % n; }
 
-  // The server that it went to, if it went at once.
+  // Submits a request and returns the server it was sent to at once, if any.
   std::optional<ServerId> Ask(double work) {
     rig_->now += 1;
     const RequestId id = ++last_;
@@ -76,7 +76,7 @@
     if (server) Sent(id, *server, work);
     return server;
   }
-  // Cancelled: nothing is learned from it but that it is over.
+  // Ends a random old request. kCancelled changes no statistics.
   void EndOne(Outcome outcome = Outcome::kCancelled) {
     if (out_.empty()) return;
     auto it = std::next(out_.begin(), static_cast<long>(Below(std::min<std::size_t>(out_.size(), 20))));
@@ -112,13 +112,13 @@
 class LeastWorkOfAll : public ::testing::TestWithParam<int> {};
 INSTANTIATE_TEST_SUITE_P(Sizes, LeastWorkOfAll, ::testing::Values(15, 40, 64, 65, 300));
 
-TEST_P(LeastWorkOfAll, EachGoesThere) {
+TEST_P(LeastWorkOfAll, EachRequestGoesToTheServerWithTheLeastWork) {
   const int kServers = GetParam();
-  const auto most = static_cast<std::size_t>(2 * kServers);  // in flight, of what the module lets out
+  const auto most = static_cast<std::size_t>(2 * kServers);  // limit of requests in flight
   Rig rig;
   rig.Servers(kServers);
   Traffic traffic(&rig, 20261201);
-  for (int k = 0; k < 6000; ++k) {  // until traffic has grown the subset to all of them
+  for (int k = 0; k < 6000; ++k) {  // until the subset has grown to all servers
     traffic.Ask(10);
     if (traffic.out() > most / 4) traffic.EndOne();
   }
@@ -140,7 +140,7 @@
   EXPECT_GT(compared, 1900 * kEffort);
 }
 
-// One whose answers come a thousand times as fast is asked first, and is still not buried.
+// A server that answers a thousand times as fast is preferred, but must not be overloaded.
 TEST(LargeFleet, OneServerIsAThousandTimesAsFast) {
   Rig rig;
   rig.Servers(200);
@@ -150,7 +150,7 @@
   for (RequestId id = 1; id <= 6000u * kEffort; ++id) {
     rig.now += 1;
     if (const auto server = rig.Ask(id, 0, 10, 1e6)) out[id] = *server, ++at[*server], ++all[*server];
-    ASSERT_LE(at[7], 30);  // seven times a request's work is what a server may lose by its slowness
+    ASSERT_LE(at[7], 30);  // slowness counts as at most seven times a request's work
     if (out.size() < 100) continue;
     auto it = std::next(out.begin(), static_cast<long>(draw() % 50));
     const auto [ended, server] = *it;
@@ -179,13 +179,13 @@
 }
 #endif
 
-// What comes before the list is whole waits for it, and is sent then.
-TEST(LargeFleet, ARestartIntoAListOfTenThousand) {
+// Requests that arrive before a large list has been read are queued, and sent once it takes effect.
+TEST(LargeFleet, ARestartWithAListOfTenThousand) {
   Rig rig;
   std::vector<ServerEntry> all;
   for (ServerId id = 1; id <= 10000; ++id) all.push_back(Entry(id));
   rig.List(all, ListKind::kCached);
-  EXPECT_EQ(rig.Count<SetTimer>(), 1);  // at once: there is more to read
+  EXPECT_EQ(rig.Count<SetTimer>(), 1);  // due at once, as there is more to read
   EXPECT_FALSE(rig.Ask(1, 0, 10, 1000));
   int events = 0;
   while (!rig.SentTo(1) && ++events < 30) rig.Tick(0);
@@ -194,8 +194,8 @@
   for (RequestId id = 2; id < 50; ++id) EXPECT_TRUE(rig.Ask(id, 0, 10, 1000)) << id;
 }
 
-// The ids of a fleet that is deployed all day, while it works.
-TEST(LargeFleet, AHundredChangesASecond) {
+// New ids all the time, as with continuous deployment, under traffic.
+TEST(LargeFleet, AHundredChangesPerSecond) {
   constexpr ServerId kServers = 1000;
   Rig rig;
   rig.Servers(kServers);
@@ -208,14 +208,14 @@
       gone.insert(oldest++);
     }
     if (const auto server = traffic.Ask(10)) {
-      ASSERT_FALSE(gone.contains(*server)) << "sent to one that drains";
+      ASSERT_FALSE(gone.contains(*server)) << "sent to a draining server";
     }
     if (traffic.out() > 300) traffic.EndOne(Outcome::kOk);
   }
   EXPECT_GT(traffic.servers(), 500u);
 }
 
-TEST(LargeFleet, HalfGoesInOneListAndComesBack) {
+TEST(LargeFleet, HalfLeavesInOneListAndComesBack) {
   constexpr ServerId kServers = 2000;
   Rig rig;
   std::vector<ServerEntry> all, half;
@@ -241,7 +241,7 @@
   EXPECT_GT(play(true), 100u);
 }
 
-// At most half are ejected; when the others leave, those ejected are all that there is but one.
+// At most half of the servers are ejected; then all but one of the others leave.
 TEST(LargeFleet, AllButOneAreEjected) {
   constexpr ServerId kServers = 200;
   Rig rig;
@@ -260,7 +260,8 @@
     }
     for (const ServerId id : ejected) EXPECT_EQ(id % 2, 1u);
   }
-  // Lines are rare; what counts is who is picked: of those listed now, one is in service.
+  // The log lines are rate-limited, so this relies on the picks: of the servers listed now, one is in
+  // service.
   std::vector<ServerEntry> rest;
   for (ServerId id = 1; id <= kServers; ++id) {
     if (id % 2 || id == 100) rest.push_back(Entry(id));
@@ -274,7 +275,7 @@
   EXPECT_EQ(rig.Count<Fail>(), 0);
 }
 
-// Each second, each server is sent no more than a cold one can stand, and requests do go out.
+// In each second, no server is sent more than a cold server can take, and requests are still sent.
 TEST(LargeFleet, AllServersAreColdAtOnce) {
   const Settings settings = Usual();
   Rig rig;
@@ -305,7 +306,7 @@
   EXPECT_GT(out, 4000);
 }
 
-TEST(LargeFleet, HintsThatAreNoNumbersLeadNobodyAstray) {
+TEST(LargeFleet, InvalidHintsDoNotDistortPicks) {
   Rig rig;
   rig.Servers(500);
   Traffic traffic(&rig, 5);
@@ -327,7 +328,7 @@
       if (const auto server = rig.SentTo(id)) rig.End(id, 0, *server, Outcome::kOk, hint, true);
     }
   }
-  // As before: what is idle is taken first.
+  // Idle servers are still picked first.
   std::set<ServerId> used;
   int sent = 0;
   for (int k = 0; k < 100; ++k) {
@@ -337,7 +338,7 @@
   EXPECT_EQ(used.size(), static_cast<std::size_t>(sent));
 }
 
-// A key that half of the traffic has: what is remembered of it stays bounded, and the others are served.
+// Half of the traffic has the same key: its record of warm servers stays bounded, and other keys are served.
 TEST(LargeFleet, AHotKeyAmongAMillion) {
   auto settings = Usual();
   settings.warm_keys = true;
@@ -357,9 +358,9 @@
       rig.End(out[i].first, 0, out[i].second, Outcome::kOk, 10, true);
       out[i] = out.back(), out.pop_back();
     }
-    if (k < 5000) continue;  // the subset still grows
+    if (k < 5000) continue;  // the subset is still growing
     for (const auto& [server, n] : at)
-      ASSERT_LE(n, 4) << "the warm one is preferred to an idle one up to twice its work";
+      ASSERT_LE(n, 4) << "a warm server is preferred to an idle one up to twice the request's work";
   }
 }
 
--- a/tests/fleet/pick_index_test.cpp
+++ b/tests/fleet/pick_index_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The index against a look at every member: after any changes the same least, equal ones evenly, and its
-// bounds and tables as a recount has them.
+// Compares the index with a linear scan after random changes: same least score, ties broken uniformly, and
+// consistent bounds and tables.
 #include "fleet/pick_index.h"
 
 #include <gtest/gtest.h>
@@ -19,28 +19,28 @@
 using brackenspoke::TimePoint;
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr int kPicks = 50000;  // unoptimised code is 20 times slower
+constexpr int kPicks = 50000;  // unoptimized code is 20 times slower
 #else
 constexpr int kPicks = 1000000;
 #endif
 constexpr Duration kMemory{4000};
 
-struct Naive {
+struct ReferenceMember {
   double work = 0, excess = 0;
   TimePoint since{};
   bool away = false, hidden = true;
 };
 
-class Model {
+class ReferenceModel {
  public:
-  explicit Model(std::uint32_t seed) : draw_(seed), index_(kMemory) { index_.Refresh(now_, 20); }
+  explicit ReferenceModel(std::uint32_t seed) : draw_(seed), index_(kMemory) { index_.Refresh(now_, 20); }
 
   double Unit() { return std::uniform_real_distribution<>()(draw_); }
   std::uint64_t Below(std::uint64_t n) { return draw_() % n; }
 
-  void Change(Member most) {
-    const auto member = static_cast<Member>(Below(most));
-    Naive& m = members_[member];
+  void Change(Member max_members) {
+    const auto member = static_cast<Member>(Below(max_members));
+    ReferenceMember& m = members_[member];
     switch (Below(12)) {
       case 0:
         index_.Leave(member);
@@ -51,7 +51,7 @@
         m.hidden = true;
         break;
       case 2:
-        now_ += Duration(Below(20) ? Unit() * 50 : Unit() * 1e7);  // now and then hours pass
+        now_ += Duration(Below(20) ? Unit() * 50 : Unit() * 1e7);  // occasionally hours pass
         index_.Refresh(now_, 1 + 100 * Unit());
         break;
       default:
@@ -61,7 +61,7 @@
       m.away = Below(3) == 0;
       index_.Enter(member, m.away ? PickIndex::kAway : PickIndex::kHome);
       m.hidden = true;
-      if (Below(2)) return;  // without a key it is not found
+      if (Below(2)) return;  // without a key it cannot be picked
     }
     m.work = Below(2) ? 0 : std::floor(Unit() * 8) * 10;  // ties are common
     m.excess = Below(2) ? 0 : Unit() * 7 - 0.9;
@@ -71,7 +71,7 @@
     index_.Set(member, m.work, m.excess, m.since);
   }
 
-  // The least by a look at all, and by the index, of those that are not in `out`.
+  // Compares the least score by a scan and by the index, over members that are not in `out`.
   void Compare() {
     const double asked = Below(20) ? 1 + 80 * Unit() : std::pow(10, Unit() * 12 - 6);
     const double crossing = Below(2) ? 0 : Unit() * 30;
@@ -94,7 +94,7 @@
     ASSERT_NEAR(ScoreOf(members_.at(found), asked, crossing), least, 1e-9 * (1 + std::abs(least) + asked));
   }
 
-  void Recount() {
+  void CheckConsistency() {
     ASSERT_TRUE(index_.Sound());
     std::set<Member> entered;
     index_.ForEach([&](Member m) { entered.insert(m); });
@@ -104,34 +104,34 @@
   }
 
  private:
-  double ScoreOf(const Naive& m, double asked, double crossing) const {
+  double ScoreOf(const ReferenceMember& m, double asked, double crossing) const {
     return m.work + asked * m.excess * std::exp((m.since - now_) / kMemory) + (m.away ? crossing : 0);
   }
 
   std::mt19937 draw_;
   TimePoint now_{Duration(1e6)};
   PickIndex index_;
-  std::map<Member, Naive> members_;
+  std::map<Member, ReferenceMember> members_;
 };
 
-TEST(PickIndex, AfterAnyChangesThePickIsThatOfALookAtAll) {
+TEST(PickIndex, AfterAnyChangesThePickIsThatOfAScan) {
   for (int seed = 1; seed <= 50; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    Model model(static_cast<std::uint32_t>(seed));
-    const Member most = seed % 10 ? static_cast<Member>(1 + 13 * (seed % 10)) : 3000;
-    for (int k = 0; k < (most == 3000 ? 3000 : 0); ++k) model.Change(most);
-    const int picks = most == 3000 ? kPicks / 2000 : kPicks / 45;
+    ReferenceModel model(static_cast<std::uint32_t>(seed));
+    const Member max_members = seed % 10 ? static_cast<Member>(1 + 13 * (seed % 10)) : 3000;
+    for (int k = 0; k < (max_members == 3000 ? 3000 : 0); ++k) model.Change(max_members);
+    const int picks = max_members == 3000 ? kPicks / 2000 : kPicks / 45;
     for (int k = 0; k < picks; ++k) {
-      for (int changes = static_cast<int>(model.Below(3)); changes > 0; --changes) model.Change(most);
+      for (int changes = static_cast<int>(model.Below(3)); changes > 0; --changes) model.Change(max_members);
       ASSERT_NO_FATAL_FAILURE(model.Compare());
       if (k % 64 == 0) {
-        ASSERT_NO_FATAL_FAILURE(model.Recount());
+        ASSERT_NO_FATAL_FAILURE(model.CheckConsistency());
       }
     }
   }
 }
 
-// Chi-squared of `seen`, which should be even, in standard deviations from its mean.
+// Chi-squared statistic of `seen` against a uniform distribution, in standard deviations from its mean.
 double Unevenness(const std::vector<int>& seen, double expected) {
   double chi = 0;
   for (const int n : seen) chi += (n - expected) * (n - expected) / expected;
@@ -139,7 +139,7 @@
   return (chi - freedom) / std::sqrt(2 * freedom);
 }
 
-// Of `all` members those whose number divides by `every` are equally good, the others worse.
+// Unevenness of picks where, of `all` members, those with a multiple of `every` tie and the others are worse.
 double UnevennessOfTies(Member all, Member every, bool two_sides) {
   std::mt19937_64 draw(20261201);
   PickIndex index(kMemory);
@@ -164,17 +164,17 @@
   return Unevenness(seen, each);
 }
 
-TEST(PickIndex, EqualMembersAreDrawnEvenlyHoweverManyTheyAre) {
+TEST(PickIndex, TiesAreBrokenUniformlyWhateverTheirNumber) {
   EXPECT_LT(std::abs(UnevennessOfTies(10000, 1, false)), 4);
   EXPECT_LT(std::abs(UnevennessOfTies(10000, 7, false)), 4);
-  EXPECT_LT(std::abs(UnevennessOfTies(10000, 67, false)), 4);   // too few for the draws to find them always
-  EXPECT_LT(std::abs(UnevennessOfTies(10000, 500, false)), 4);  // each is looked at
+  EXPECT_LT(std::abs(UnevennessOfTies(10000, 67, false)), 4);   // too few for random draws to hit them always
+  EXPECT_LT(std::abs(UnevennessOfTies(10000, 500, false)), 4);  // each is visited
   EXPECT_LT(std::abs(UnevennessOfTies(8192, 1, true)), 4);
 }
 
-// What half of the members in flight looks like: the idle ones are the slower, and the bounds must not be led
-// astray by blocks that hold an idle member and, with work, a fast one.
-TEST(PickIndex, FewBlocksAreLookedIntoWhereTheFastAreBusy) {
+// A typical state with half of the members busy: the idle members are the slower ones. Bounds must stay tight
+// for blocks with both an idle slow member and a busy fast one.
+TEST(PickIndex, FewBlocksAreVisitedIfTheFastMembersAreBusy) {
   std::mt19937 draw(1);
   PickIndex index(kMemory);
   TimePoint now(Duration(5000));
@@ -186,19 +186,19 @@
     index.Enter(m, PickIndex::kHome);
     index.Set(m, slow < 0 ? 20.0 : 0.0, slow, now);
   }
-  std::size_t asked = 0, most = 0;
+  std::size_t asked = 0, max_members = 0;
   for (int pick = 0; pick < 1000; ++pick) {
     std::size_t before = asked;
     const Member found = index.Least(
         now, 5 + pick % 40, 0, [&](Member) { return ++asked > 0; },
         [&](std::uint64_t n) { return draw() % n; });
     index.Set(found, 20, excess(draw), now);
-    most = std::max(most, asked - before);
+    max_members = std::max(max_members, asked - before);
   }
-  EXPECT_LT(asked, 100u * 1000u);  // of 10,000 members each time
+  EXPECT_LT(asked, 100u * 1000u);  // out of 10,000 members per pick
 }
 
-TEST(PickIndex, WorkOfAllSizesIsHeldExactly) {
+TEST(PickIndex, WorkOfAllSizesIsExact) {
   PickIndex index(kMemory);
   const TimePoint now(Duration(5000));
   index.Refresh(now, 20);
@@ -212,7 +212,7 @@
   };
   EXPECT_EQ(least(1e-9), 77u);
   EXPECT_EQ(least(1e9), 77u);
-  index.Set(5, 2e6, -1, now);  // a thousandth of the time, for a request larger than all that is in flight
+  index.Set(5, 2e6, -1, now);  // infinitely fast: best for a request larger than the work in flight
   EXPECT_EQ(least(1e9), 5u);
   EXPECT_EQ(least(20), 77u);
   index.Hide(77);
--- a/tests/fleet/roster_test.cpp
+++ b/tests/fleet/roster_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Who is in the fleet, against a map that takes each list at once: lists in slices hold whole or not at all,
-// and the numbers, rings and groups are those of a recount.
+// Compares the roster with a map that applies each list at once: lists read in slices take effect atomically,
+// and numbers, rings and groups are consistent.
 #include "fleet/roster.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 
 const Roster::InUse kNoneInUse = [](Member) { return false; };
 
-// Reads all that waits, `slice` entries at a time; the number of slices.
+// Reads all waiting lists, `slice` entries at a time. Returns the number of slices.
 int ReadAll(Roster* roster, double now, std::size_t slice) {
   int slices = 0;
   while (roster->Waiting()) {
@@ -37,7 +37,7 @@
 
 using Listed = std::map<ServerId, ServerEntry>;
 
-void Recount(const Roster& roster, const Listed& listed, int zone) {
+void CheckConsistency(const Roster& roster, const Listed& listed, int zone) {
   std::map<ServerId, Member> ready;
   for (Member m = 0; m < roster.size(); ++m) {
     if (roster.Ready(m)) {
@@ -74,7 +74,7 @@
   }
 }
 
-TEST(Roster, AnyListsInAnySlicesLeadToWhatTheySay) {
+TEST(Roster, AnyListsInAnySlicesGiveTheListedState) {
   for (std::uint32_t seed = 1; seed <= 200; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937 draw(seed);
@@ -97,25 +97,26 @@
         for (const auto& [id, entry] : listed) list.entries.push_back(entry);
         listed.clear();
       }
-      for (const ServerEntry& entry : list.entries) listed[entry.server] = entry;  // the last of two holds
+      for (const ServerEntry& entry : list.entries)
+        listed[entry.server] = entry;  // of duplicates, the last counts
       roster.Take(list);
       ReadAll(&roster, now, 1 + below(40));
-      ASSERT_NO_FATAL_FAILURE(Recount(roster, listed, 1));
+      ASSERT_NO_FATAL_FAILURE(CheckConsistency(roster, listed, 1));
     }
   }
 }
 
-ListUpdate Whole(ServerId from, ServerId to, ListKind kind = ListKind::kFull) {
+ListUpdate Range(ServerId from, ServerId to, ListKind kind = ListKind::kFull) {
   ListUpdate list{kind, {}};
   for (ServerId id = from; id < to; ++id) list.entries.push_back(Entry(id));
   return list;
 }
 
-TEST(Roster, AListHoldsWholeOrNotAtAll) {
+TEST(Roster, AListTakesEffectAtomically) {
   Roster roster({});
-  roster.Take(Whole(1, 101));
+  roster.Take(Range(1, 101));
   EXPECT_EQ(ReadAll(&roster, 1000, 1000), 1);
-  roster.Take(Whole(51, 10051));
+  roster.Take(Range(51, 10051));
   for (int slice = 0; slice < 19; ++slice) {
     std::size_t left = 512;
     ASSERT_FALSE(roster.Read(At(1000), kNoneInUse, &left));
@@ -129,12 +130,12 @@
   EXPECT_EQ(roster.changes().size(), 10050u);
 }
 
-TEST(Roster, AWholeListOvertakesThoseThatAreNotBegunAndTheOneBegunIsFinished) {
+TEST(Roster, AFullListSupersedesUnreadListsAndTheOneBeingReadIsFinished) {
   Roster roster({});
-  roster.Take(Whole(1, 1001));
+  roster.Take(Range(1, 1001));
   std::size_t left = 10;
   EXPECT_FALSE(roster.Read(At(1000), kNoneInUse, &left));
-  for (ServerId n = 0; n < 100; ++n) roster.Take(Whole(n, n + 2000));  // a stream of them starves none
+  for (ServerId n = 0; n < 100; ++n) roster.Take(Range(n, n + 2000));  // must not starve the first list
   int took_effect = 0;
   std::vector<std::size_t> sizes;
   while (roster.Waiting()) {
@@ -144,10 +145,10 @@
   EXPECT_EQ(sizes, (std::vector<std::size_t>{1000, 2000}));
 }
 
-TEST(Roster, TooManyListsThatWaitAreReadAtOnce) {
+TEST(Roster, TooManyWaitingListsAreReadWithoutSlicing) {
   Roster roster({});
-  roster.Take(Whole(1, 1001));
-  for (ServerId n = 0; n < 100; ++n) roster.Take(Whole(2000 + n, 2001 + n, ListKind::kDelta));
+  roster.Take(Range(1, 1001));
+  for (ServerId n = 0; n < 100; ++n) roster.Take(Range(2000 + n, 2001 + n, ListKind::kDelta));
   std::size_t left = 1;
   EXPECT_TRUE(roster.Read(At(1000), kNoneInUse, &left));
   EXPECT_EQ(roster.all().size(), 1000u);
@@ -155,14 +156,15 @@
   EXPECT_EQ(roster.all().size(), 1100u);
 }
 
-// One that went long ago comes back in the list that also has new ones: its number is taken by none of these.
-TEST(Roster, ANumberIsNotGivenAwayUnderAServerThatReturnsInTheSameList) {
+// A server that was gone for long comes back in a list that also has new servers, which must not get its
+// number.
+TEST(Roster, ANumberIsNotReusedIfItsServerReturnsInTheSameList) {
   Roster roster({});
-  roster.Take(Whole(1, 21));
+  roster.Take(Range(1, 21));
   ReadAll(&roster, 1000, 100);
   roster.Take(ListUpdate{ListKind::kFull, {}});
   ReadAll(&roster, 2000, 100);
-  ListUpdate back = Whole(1, 2);
+  ListUpdate back = Range(1, 2);
   for (ServerId id = 100; id < 140; ++id) back.entries.push_back(Entry(id));
   roster.Take(back);
   ReadAll(&roster, 700000, 7);
@@ -173,19 +175,19 @@
     if (roster.Ready(m)) ready.insert(roster[m].server);
   }
   EXPECT_EQ(ready.size(), 41u);
-  EXPECT_EQ(roster.size(), 41u);  // 19 of the 20 numbers are used again
+  EXPECT_EQ(roster.size(), 41u);  // 19 of the 20 numbers are reused
 }
 
-// A hundred changes a second for an hour, each a new id: what is kept of those that have gone stays bounded.
-TEST(Roster, AnHourOfNewServersKeepsABoundedNumber) {
+// A hundred new ids per second for an hour: the number of records of servers that are gone stays bounded.
+TEST(Roster, RecordsStayBoundedDuringAnHourOfNewServers) {
   Roster roster({});
   constexpr ServerId kServers = 2000;
-  roster.Take(Whole(1, kServers + 1));
+  roster.Take(Range(1, kServers + 1));
   ReadAll(&roster, 0, 10000);
   ServerId next = kServers + 1, oldest = 1;
   double now = 0;
 #ifdef __SANITIZE_ADDRESS__
-  constexpr int kChanges = 18000;  // unoptimised code is 100 times slower here
+  constexpr int kChanges = 18000;  // unoptimized code is 100 times slower here
 #else
   constexpr int kChanges = 360000;
 #endif
@@ -201,13 +203,13 @@
   EXPECT_LT(roster.size(), static_cast<std::size_t>(kServers) + kChanges);
 }
 
-TEST(Roster, ANumberInUseIsNotGivenAway) {
+TEST(Roster, ANumberInUseIsNotReused) {
   Roster roster({});
-  roster.Take(Whole(1, 4));
+  roster.Take(Range(1, 4));
   ReadAll(&roster, 1000, 100);
   roster.Take(ListUpdate{ListKind::kFull, {}});
   ReadAll(&roster, 2000, 100);
-  roster.Take(Whole(10, 13));
+  roster.Take(Range(10, 13));
   std::size_t left = 100;
   EXPECT_TRUE(roster.Read(
       At(1e7), [](Member m) { return m == 1; }, &left));
--- a/tests/fleet/subset_test.cpp
+++ b/tests/fleet/subset_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Subsets of 1,000 proxies over 10,000 servers: each server has about as many proxies as the next, and what a
-// change of the fleet moves is little.
+// Subsets of 1,000 proxies over 10,000 servers: servers get similar numbers of proxies, and a change of the
+// fleet moves few connections.
 #include "fleet/subset.h"
 
 #include <gtest/gtest.h>
@@ -36,15 +36,16 @@
     ring_.Change(&leaving, joining, [&](Member m) { return !gone.contains(m); });
     Use();
   }
-  // Servers that some proxy uses now and did not before, summed over the proxies.
+  // Number of servers that became part of a subset with the last change, summed over the proxies.
   long moved() const { return moved_; }
   std::size_t size() const { return SubsetSize(ring_.size(), kProxies, 0); }
-  std::vector<int> Sharers(Member most) const {
-    std::vector<int> sharers(most + 1);
+  // Number of proxies of each server.
+  std::vector<int> ProxiesPerServer(Member max) const {
+    std::vector<int> proxies(max + 1);
     for (const auto& has : has_) {
-      for (const Member m : has) ++sharers[m];
+      for (const Member m : has) ++proxies[m];
     }
-    return sharers;
+    return proxies;
   }
   std::size_t servers() const { return ring_.size(); }
   Member At(std::size_t k) const { return ring_[k]; }
@@ -72,40 +73,40 @@
 };
 
 TEST(Subset, SizesByServersAndProxies) {
-  EXPECT_EQ(SubsetSize(15, 5, 0), 8u);         // small sites: as ever
-  EXPECT_EQ(SubsetSize(15, 5, 12), 12u);       // what traffic can judge
-  EXPECT_EQ(SubsetSize(15, 400, 0), 3u);       // connections are short
-  EXPECT_EQ(SubsetSize(10000, 1000, 0), 80u);  // each server has eight proxies
+  EXPECT_EQ(SubsetSize(15, 5, 0), 8u);         // small site: the usual minimum
+  EXPECT_EQ(SubsetSize(15, 5, 12), 12u);       // as many as traffic can judge
+  EXPECT_EQ(SubsetSize(15, 400, 0), 3u);       // connections are scarce
+  EXPECT_EQ(SubsetSize(10000, 1000, 0), 80u);  // eight proxies per server
   EXPECT_EQ(SubsetSize(10000, 10, 0), 128u);
   EXPECT_EQ(SubsetSize(100, 1000, 0), 6u);
 }
 
-// Between half of the mean and once and a half of it, and no fraction of a proxy.
-void ExpectEven(const Site& site, const std::vector<int>& sharers) {
+// Each server has between 0.5 and 1.5 times the mean number of proxies, rounded outwards.
+void ExpectEven(const Site& site, const std::vector<int>& proxies) {
   const double mean = static_cast<double>(kProxies * site.size()) / static_cast<double>(site.servers());
   for (std::size_t k = 0; k < site.servers(); ++k) {
-    ASSERT_GE(sharers[site.At(k)], std::floor(0.5 * mean));
-    ASSERT_LE(sharers[site.At(k)], std::ceil(1.5 * mean));
+    ASSERT_GE(proxies[site.At(k)], std::floor(0.5 * mean));
+    ASSERT_LE(proxies[site.At(k)], std::ceil(1.5 * mean));
   }
 }
 
-TEST(Subset, EachServerHasAboutAsManyProxiesAsTheNext) {
+TEST(Subset, ServersHaveSimilarNumbersOfProxies) {
   for (const Member servers : {1000u, 3333u, 10000u}) {
     const Site site(servers);
-    ASSERT_NO_FATAL_FAILURE(ExpectEven(site, site.Sharers(servers)));
+    ASSERT_NO_FATAL_FAILURE(ExpectEven(site, site.ProxiesPerServer(servers)));
   }
 }
 
-TEST(Subset, AChangeMovesFewAndManyLeaveItEven) {
+TEST(Subset, AChangeMovesFewAndManyChangesKeepItEven) {
   constexpr Member kServers = 10000;
   Site site(kServers);
   std::mt19937 draw(20261201);
   std::vector<Member> listed;
   for (Member m = 1; m <= kServers; ++m) listed.push_back(m);
   Member next = kServers + 1;
-  long moved = 0, changes = 0, most = 0;
+  long moved = 0, changes = 0, max = 0;
   for (int step = 0; step < 150; ++step) {
-    // Ten servers are replaced: a deploy.
+    // A deploy replaces ten servers.
     std::vector<Member> leave, join;
     for (int k = 0; k < 10; ++k) {
       const std::size_t i = draw() % listed.size();
@@ -115,29 +116,29 @@
     }
     site.Change(leave, join);
     moved += site.moved(), changes += 10;
-    most = std::max(most, site.moved());
+    max = std::max(max, site.moved());
     if (step % 10 == 0) {
-      ASSERT_NO_FATAL_FAILURE(ExpectEven(site, site.Sharers(next)));
+      ASSERT_NO_FATAL_FAILURE(ExpectEven(site, site.ProxiesPerServer(next)));
     }
   }
-  // Of 80,000 uses, a server replaced moves its own eight and the eight that its leaving lets in.
+  // Of 80,000 subset entries, replacing a server moves its own eight and the eight that move up for it.
   EXPECT_LT(static_cast<double>(moved) / static_cast<double>(changes), 18);
-  EXPECT_LT(most, 300);
+  EXPECT_LT(max, 300);
 }
 
-TEST(Subset, HalfOfTheServersGoAndComeBack) {
+TEST(Subset, HalfOfTheServersLeaveAndComeBack) {
   constexpr Member kServers = 10000;
   Site site(kServers);
-  const auto before = site.Sharers(kServers);
+  const auto before = site.ProxiesPerServer(kServers);
   std::vector<Member> half;
   for (Member m = 1; m <= kServers; m += 2) half.push_back(m);
   site.Change(half, {});
-  ASSERT_NO_FATAL_FAILURE(ExpectEven(site, site.Sharers(kServers)));
+  ASSERT_NO_FATAL_FAILURE(ExpectEven(site, site.ProxiesPerServer(kServers)));
   site.Change({}, half);
-  ASSERT_NO_FATAL_FAILURE(ExpectEven(site, site.Sharers(kServers)));
+  ASSERT_NO_FATAL_FAILURE(ExpectEven(site, site.ProxiesPerServer(kServers)));
 }
 
-TEST(Ring, EqualPlacesAreTold) {
+TEST(Ring, MembersAtEqualPlacesAreDistinguished) {
   Ring ring;
   std::vector<RingPoint> none;
   ring.Change(&none, {{7, 1}, {7, 2}, {7, 3}, {9, 4}}, [](Member) { return true; });
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -20,23 +20,23 @@
 
 // The servers that eight concurrent requests go to. With thin traffic these are the servers of the subset,
 // each once.
-std::set<ServerId> Used(Rig& rig) {
+std::set<ServerId> UsedServers(Rig& rig) {
   static RequestId id = 1000000;
   std::set<ServerId> used;
-  std::vector<std::pair<RequestId, ServerId>> asked;
-  for (int i = 0; i < 100 && asked.size() < 8; ++i) {  // some are refused at random
+  std::vector<std::pair<RequestId, ServerId>> in_flight;
+  for (int i = 0; i < 100 && in_flight.size() < 8; ++i) {  // some are refused at random
     const auto server = rig.Ask(++id, 0, 10, 100000);
     if (!server) continue;
     used.insert(*server);
-    asked.emplace_back(id, *server);
+    in_flight.emplace_back(id, *server);
   }
-  for (const auto& [request, server] : asked) rig.End(request, 0, server, Outcome::kCancelled, 10, true);
+  for (const auto& [request, server] : in_flight) rig.End(request, 0, server, Outcome::kCancelled, 10, true);
   return used;
 }
 
 using Listed = std::map<ServerId, ServerEntry>;
 
-std::vector<ServerEntry> All(const Listed& listed) {
+std::vector<ServerEntry> AllEntries(const Listed& listed) {
   std::vector<ServerEntry> all;
   for (const auto& [id, entry] : listed) all.push_back(entry);
   return all;
@@ -51,7 +51,7 @@
     Listed listed;
     ServerId next = 1;
     for (; next <= 30; ++next) listed[next] = Entry(next);
-    rig.List(All(listed));
+    rig.List(AllEntries(listed));
     for (int steps = static_cast<int>(draw() % 40); steps > 0; --steps) {
       rig.now += chance(10) ? 700000 : 50;  // 700 s: long enough for servers that are gone to be forgotten
       std::vector<ServerEntry> delta;
@@ -70,7 +70,7 @@
       }
       if (chance(5)) {
         std::erase_if(listed, [&](const auto& l) { return listed.size() > 20 && chance(4) && l.first % 2; });
-        rig.List(All(listed));
+        rig.List(AllEntries(listed));
       } else {
         rig.List(delta, ListKind::kDelta);
       }
@@ -78,9 +78,9 @@
     // Compared only at the end, as traffic would change the size of the subset.
     Rig fresh;
     fresh.now = rig.now;
-    fresh.List(All(listed));
-    const auto expected = Used(fresh);
-    ASSERT_EQ(Used(rig), expected);
+    fresh.List(AllEntries(listed));
+    const auto expected = UsedServers(fresh);
+    ASSERT_EQ(UsedServers(rig), expected);
     const auto ready = std::count_if(listed.begin(), listed.end(),
                                      [](const auto& l) { return l.second.state == ServerState::kReady; });
     ASSERT_EQ(expected.size(), std::min<std::size_t>(8, static_cast<std::size_t>(ready)));
