--- a/bench/shares_bench.cpp
+++ b/bench/shares_bench.cpp
@@ -44,7 +44,7 @@
 Owner ByProbes(Member n, const std::set<Member>& without) {
   return [ring = RingOf(n, without, 1)](std::uint64_t key) {
     Member owner = kNoMember;
-    KeyOwners(ring, key).Try([&](Member m) { return owner = m, true; });
+    KeyOwners(ring, key).ForEachCandidate([&](Member m) { return owner = m, true; });
     return owner;
   };
 }
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -43,8 +43,8 @@
     std::visit([this](const auto& e) { On(e); }, event);
     if (roster_.Waiting()) ReadLists();  // first: a list may remove servers that would be used below
     Advance();
-    PlaceHeld();
-    Arm();
+    PlaceQueued();
+    SetNextTimer();
     out_ = nullptr;
   }
 
@@ -59,8 +59,8 @@
                      (r.attempts.empty()
                           ? "not in time"
                           : "last at server " + std::to_string(roster_[r.attempts.back().server].server)) +
-                     "; " + std::to_string(state_.in_flight) + " in flight, " + std::to_string(held_.size()) +
-                     " held");
+                     "; " + std::to_string(state_.in_flight) + " in flight, " +
+                     std::to_string(queue_.size()) + " held");
     if (may.refuse) {
       out_->push_back(Refuse{r.id, retry_after});
     } else {
@@ -80,19 +80,19 @@
     attempt.server = s.index;
     attempt.sent_at = now_;
     r.attempts.push_back(attempt);
-    if (!r.receiving) Begin(r, s);
+    if (!r.receiving) CountInFlight(r, s);
     out_->push_back(Dispatch{r.id, state_.EntryOf(s).server, timeout, state_.EntryOf(s).zone,
                              state_.EntryOf(s).cell, may.valid_until});
     if (r.limits) RecordRouteSend(r, first);
   }
 
   // An attempt counts as load of its server once the request's last byte has been received.
-  void Begin(Request& r, Server& s) {
+  void CountInFlight(Request& r, Server& s) {
     if (s.own_count == 0) s.quiet_since = now_;
     ++state_.in_flight, ++s.own_count;
     s.own_work += r.work;
     used_.Reindex(s);
-    sent_.emplace_back(now_, r.id);
+    recent_attempts_.emplace_back(now_, r.id);
   }
 
   void On(const BodyProgress& e) {
@@ -103,7 +103,7 @@
     if (!e.whole || !std::exchange(r.receiving, false)) return;
     r.due = e.due;
     for (Attempt& a : r.attempts) {
-      if (a.outstanding) a.sent_at = now_, Begin(r, servers_[a.server]);
+      if (a.outstanding) a.sent_at = now_, CountInFlight(r, servers_[a.server]);
     }
   }
 
@@ -114,7 +114,7 @@
     auto claims = r.claims ? *r.claims : std::vector<KeyClaim>();
     claims.push_back(e.claim);
     r.claims = std::make_shared<const std::vector<KeyClaim>>(std::move(claims));
-    retry_held_ = true;  // if it is queued, its permission has changed
+    retry_queued_ = true;  // if it is queued, its permission has changed
   }
 
   void On(const AttemptEnded& e) {
@@ -128,10 +128,10 @@
     state_.overdue -= a.overdue;
     a.may_have_run =
         !(e.outcome == Outcome::kFull || e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kMoot);
-    Learn(r, e, servers_[a.server]);
-    retry_held_ = true;
+    RecordEnd(r, e, servers_[a.server]);
+    retry_queued_ = true;
     if (e.settled) r.finished = true;
-    if (!r.finished && r.outstanding() == 0 && !r.held)
+    if (!r.finished && r.outstanding() == 0 && !r.queued)
       Retry(r, e.outcome, a.may_have_run || e.outcome == Outcome::kFull);
     EraseIfDone(found);
   }
@@ -162,17 +162,17 @@
     Place(r);
   }
 
-  void Learn(const Request& r, const AttemptEnded& e, Server& s) {
-    if (r.receiving) return LearnOutcome(r, e, s);
+  void RecordEnd(const Request& r, const AttemptEnded& e, Server& s) {
+    if (r.receiving) return RecordOutcome(r, e, s);
     --state_.in_flight;
     s.own_work -= r.work;
     if (e.outcome != Outcome::kTimeout) s.quiet_since = now_;
     if (--s.own_count == 0) s.own_work = 0;
-    LearnOutcome(r, e, s);
+    RecordOutcome(r, e, s);
     used_.Reindex(s);
   }
 
-  void LearnOutcome(const Request& r, const AttemptEnded& e, Server& s) {
+  void RecordOutcome(const Request& r, const AttemptEnded& e, Server& s) {
     const bool ok = e.outcome == Outcome::kOk;
     if (e.outcome == Outcome::kCancelled || e.outcome == Outcome::kMoot || e.outcome == Outcome::kUnknown)
       return;
@@ -206,7 +206,7 @@
   }
 
   void EraseIfDone(std::unordered_map<RequestId, Request>::iterator it) {
-    if (it->second.finished) Unhold(it->second);
+    if (it->second.finished) Dequeue(it->second);
     if (!it->second.finished || it->second.outstanding() != 0) return;
     if (it->second.limits) routes_.Leave(*it->second.limits);
     for (const Attempt& a : it->second.attempts) --servers_[a.server].references;
@@ -249,14 +249,14 @@
       if (state_.classes[c].latency.samples >= 10)
         min_age = std::min(min_age, unlikely_after(static_cast<int>(c)) * kMinLatencyScale);
     }
-    for (; !sent_.empty(); sent_.pop_front()) {
-      if (now_ - sent_.front().first >= min_age) {
-        aged_.push_back(sent_.front().second);
-      } else if (requests_.count(sent_.front().second)) {
+    for (; !recent_attempts_.empty(); recent_attempts_.pop_front()) {
+      if (now_ - recent_attempts_.front().first >= min_age) {
+        old_attempts_.push_back(recent_attempts_.front().second);
+      } else if (requests_.count(recent_attempts_.front().second)) {
         break;
       }
     }
-    std::erase_if(aged_, [&](RequestId id) {
+    std::erase_if(old_attempts_, [&](RequestId id) {
       const auto found = requests_.find(id);
       if (found == requests_.end()) return true;
       Request& r = found->second;
@@ -271,7 +271,7 @@
         a.overdue = true;
         state_.class_losses.Add(now_, a.server, r.cls, true, fleet_.hosts);
         ++state_.overdue;
-        retry_held_ = true;
+        retry_queued_ = true;
       }
       return !too_recent;
     });
@@ -328,30 +328,30 @@
     const Permission may = attempts_.Permitted(r);
     Server* s = may.dispatch && admission_.HasRoom(cold_.listed()) ? picking_.Pick(r, may) : nullptr;
     if (s) {
-      Unhold(r);
+      Dequeue(r);
       Send(r, *s, may);
       return true;
     }
     if (!may.dispatch || now_ >= r.refuse_at) {
       Finish(r, admission_.RetryAfter(r));
-    } else if (!r.held) {
-      r.held = true;
-      held_.emplace(-r.value, -r.arrived.time_since_epoch(), r.id);
+    } else if (!r.queued) {
+      r.queued = true;
+      queue_.emplace(-r.value, -r.arrived.time_since_epoch(), r.id);
       wakeups_.emplace(r.refuse_at, r.id);
     }
     return false;
   }
 
-  void Unhold(Request& r) {
-    if (r.held) held_.erase({-r.value, -r.arrived.time_since_epoch(), r.id});
-    r.held = false;
+  void Dequeue(Request& r) {
+    if (r.queued) queue_.erase({-r.value, -r.arrived.time_since_epoch(), r.id});
+    r.queued = false;
   }
 
-  void PlaceHeld() {
-    if (!retry_held_) return;
-    retry_held_ = false;
+  void PlaceQueued() {
+    if (!retry_queued_) return;
+    retry_queued_ = false;
     int misses = 0;
-    for (auto it = held_.begin(); it != held_.end() && misses < kMaxMisses;) {
+    for (auto it = queue_.begin(); it != queue_.end() && misses < kMaxMisses;) {
       const RequestId id = std::get<2>(*it++);
       const auto found = requests_.find(id);
       misses += !Place(found->second);
@@ -415,7 +415,7 @@
     roster_.DropChanges();
     cold_.CountCapacity();
     used_.ListTookEffect();
-    retry_held_ = true;
+    retry_queued_ = true;
   }
 
   // Called after servers were ejected or returned.
@@ -426,7 +426,7 @@
 
   // ---- Time -------------------------------------------------------------------------------------------
   void Advance() {
-    if (now_ >= armed_) armed_ = kNever;
+    if (now_ >= next_timer_) next_timer_ = kNever;
     if (!returns_.empty() && now_ >= returns_.top().first) ReturnServers();
     if (now_ >= interval_end_) {
       interval_end_ = now_ + fleet_.interval;
@@ -444,7 +444,7 @@
       wakeups_.erase(wakeups_.begin());
       if (found == requests_.end()) continue;
       Request& r = found->second;
-      if (r.held && now_ >= r.refuse_at) Finish(r, admission_.RetryAfter(r));
+      if (r.queued && now_ >= r.refuse_at) Finish(r, admission_.RetryAfter(r));
       if (r.paused && now_ >= r.paused_until) {
         r.paused = false;
         if (!r.finished) PlaceRetry(r);
@@ -461,7 +461,7 @@
         continue;  // a stale entry: the index was reused, or the server was ejected again
       OutlierDetector::Return(s.health, fleet_);
       used_.Reindex(s);
-      retry_held_ = true;
+      retry_queued_ = true;
       fleet_.ejected -= state_.Usable(s);
       fleet_.failures += s.health.failures;
       fleet_.attempts += s.health.attempts();
@@ -489,15 +489,15 @@
     admission_.RefillTokens(elapsed);
     sampled_at_ = now_;
     sample_at_ = now_ + kSampleInterval;
-    retry_held_ = true;  // cold budgets have been refilled
+    retry_queued_ = true;  // cold budgets have been refilled
   }
 
-  void Arm() {
-    TimePoint at = std::min(subscription_timer_.due(), held_.empty() ? kNever : sample_at_);
+  void SetNextTimer() {
+    TimePoint at = std::min(subscription_timer_.due(), queue_.empty() ? kNever : sample_at_);
     if (roster_.Waiting() || used_.Entering()) at = now_;
     if (!wakeups_.empty()) at = std::min(at, wakeups_.begin()->first);
-    if (at >= armed_) return;
-    armed_ = at;
+    if (at >= next_timer_) return;
+    next_timer_ = at;
     out_->push_back(SetTimer{at, 0});
   }
 
@@ -518,15 +518,15 @@
                       std::greater<>>
       returns_;  // ejected servers by return time; may hold stale entries
   std::unordered_map<RequestId, Request> requests_;
-  std::set<std::tuple<double, Duration, RequestId>> held_;  // queued: most valuable first, then the newest
-  std::deque<std::pair<TimePoint, RequestId>> sent_;        // attempts too recent to be overdue
-  std::vector<RequestId> aged_;                             // outstanding attempts old enough to be overdue
+  std::set<std::tuple<double, Duration, RequestId>> queue_;  // queued: most valuable first, then the newest
+  std::deque<std::pair<TimePoint, RequestId>> recent_attempts_;  // attempts too recent to be overdue
+  std::vector<RequestId> old_attempts_;  // outstanding attempts old enough to be overdue
   std::set<std::pair<TimePoint, RequestId>> wakeups_;
   RouteUsage routes_;
-  int outcomes_ = 0;         // attempts ended, up to kMinOutcomes
-  bool retry_held_ = false;  // something changed that may let a queued request be sent
+  int outcomes_ = 0;           // attempts ended, up to kMinOutcomes
+  bool retry_queued_ = false;  // something changed that may let a queued request be sent
   kestrelline::fleet::SubscriptionTimer subscription_timer_{settings_.must_ask_within};
-  TimePoint armed_ = kNever;
+  TimePoint next_timer_ = kNever;
 };
 
 Balancer::Balancer(Settings settings, std::uint64_t seed)
--- a/src/fleet/affinity.h
+++ b/src/fleet/affinity.h
@@ -39,7 +39,7 @@
   // Visits members until `take(member)` returns true: the owner, then whoever would own the key without the
   // ones before, then all members along the ring. Some are visited twice.
   template <typename Take>
-  void Try(Take&& take) const {
+  void ForEachCandidate(Take&& take) const {
     if (ring_.size() == 0) return;
     for (const auto& [distance, at] : probes_) {
       if (take(ring_[at])) return;
--- a/src/fleet/class_losses.cpp
+++ b/src/fleet/class_losses.cpp
@@ -30,12 +30,12 @@
     found = pairs_.emplace(Key(server, request_class), Pair()).first;
   }
   Pair& pair = found->second;
-  pair.seen.Add(now, lost);
+  pair.shares.Add(now, lost);
   if (now < pair.until)
     return false;  // sent before the pair was avoided, or because no other server was left
   if (!lost) {
     // It has answered several requests since it was used again: it has recovered.
-    if (pair.times_avoided > 0 && pair.seen.all - pair.seen.lost >= 3) pair.times_avoided = 0;
+    if (pair.times_avoided > 0 && pair.shares.all - pair.shares.lost >= 3) pair.times_avoided = 0;
     return false;
   }
   if (!DiffersFromClass(now, pair, classes_[c])) return false;
@@ -46,13 +46,13 @@
   if (avoided + 1 > kMaxAvoidedShare * hosts) return false;
   ++pair.times_avoided;
   pair.until = now + std::min(kAvoid * pair.times_avoided, kMaxAvoid);
-  pair.seen = {0, 0, now};
+  pair.shares = {0, 0, now};
   return true;
 }
 
 bool ClassLosses::DiffersFromClass(TimePoint now, const Pair& pair, const Shares& class_shares) const {
   if (now - pair.other_served > kMemory) return false;
-  const double lost = pair.seen.lost, all = pair.seen.all;
+  const double lost = pair.shares.lost, all = pair.shares.all;
   if (pair.times_avoided == 0 && lost < kMinLosses) return false;
   const double elsewhere = std::clamp(
       (class_shares.lost - lost + kPriorLost) / (class_shares.all - all + kPriorAll), 1e-6, 1 - 1e-6);
@@ -75,8 +75,8 @@
   drop_at_ = now + kMemory;
   erase_if(pairs_, [&](auto& kept) {
     Pair& pair = kept.second;
-    pair.seen.Decay(now);
-    return now >= pair.until + kMaxAvoid && pair.seen.lost < 0.1;
+    pair.shares.Decay(now);
+    return now >= pair.until + kMaxAvoid && pair.shares.lost < 0.1;
   });
 }
 
--- a/src/fleet/class_losses.h
+++ b/src/fleet/class_losses.h
@@ -63,7 +63,7 @@
     void Decay(TimePoint now);
   };
   struct Pair {
-    Shares seen;               // since its first loss, or since it was last avoided
+    Shares shares;             // since its first loss, or since it was last avoided
     int times_avoided = 0;     // times in a row that it was avoided without recovering
     TimePoint until{};         // avoided until then
     TimePoint other_served{};  // when the server last answered a request of another class
--- a/src/fleet/least_work.cpp
+++ b/src/fleet/least_work.cpp
@@ -47,7 +47,7 @@
   }
 }
 
-bool LeastWork::Sound() const {
+bool LeastWork::IsConsistent() const {
   const auto bounds = [](const Node& node, const Node& what) {
     if (node.idle_slow > what.idle_slow) return false;
     for (std::size_t c = 0; c < kColumns; ++c) {
--- a/src/fleet/least_work.h
+++ b/src/fleet/least_work.h
@@ -67,7 +67,7 @@
   }
 
   // For tests: checks that every bound is at most what it bounds. Linear in the number of members.
-  bool Sound() const;
+  bool IsConsistent() const;
 
  private:
   static constexpr std::size_t kFanOut = 16;
--- a/src/fleet/pick_index.cpp
+++ b/src/fleet/pick_index.cpp
@@ -55,7 +55,7 @@
   since_ = now;
 }
 
-bool PickIndex::Sound() const {
+bool PickIndex::IsConsistent() const {
   std::size_t found = 0;
   for (Member member = 0; member < places_.size(); ++member) {
     if (places_[member] == kOut) continue;
@@ -70,7 +70,7 @@
       if (members_[side][at] == kNoMember && keys_[side].Holds(static_cast<LeastWork::Position>(at)))
         return false;
     }
-    if (!keys_[side].Sound()) return false;
+    if (!keys_[side].IsConsistent()) return false;
   }
   return found == size_ && found + empty == places;
 }
--- a/src/fleet/pick_index.h
+++ b/src/fleet/pick_index.h
@@ -40,7 +40,7 @@
   bool Has(Member member) const { return member < places_.size() && places_[member] != kOut; }
   std::size_t size() const { return size_; }
   // True if it was entered on the other side.
-  bool Differs(Member member, Side side) const { return Has(member) && (places_[member] & 1) != side; }
+  bool OnOtherSide(Member member, Side side) const { return Has(member) && (places_[member] & 1) != side; }
 
   // Sets the key of a member; `excess` (finite) is the value at `since`. Ignored unless it was entered.
   void Set(Member member, double work, double excess, TimePoint since);
@@ -80,7 +80,7 @@
 
   // A uniformly random member; kNoMember if the draw hit an empty position.
   template <typename Below>
-  Member Drawn(Below&& below) const {
+  Member RandomMember(Below&& below) const {
     const std::uint64_t all = members_[kHome].size() + members_[kAway].size();
     if (all == 0) return kNoMember;
     const std::uint64_t at = below(all), homes = members_[kHome].size();
@@ -97,7 +97,7 @@
   }
 
   // For tests: checks that positions, sizes and bounds agree. Linear in the number of members.
-  bool Sound() const;
+  bool IsConsistent() const;
 
  private:
   static constexpr std::uint32_t kOut = ~0u;  // other places: position << 1 | side
--- a/src/fleet/roster.cpp
+++ b/src/fleet/roster.cpp
@@ -23,14 +23,14 @@
   if (waiting_.empty()) return false;
   List& list = waiting_.front();
   if (list.read == 0) changes_.clear(), staged_points_.clear(), ++list_;
-  std::size_t here = std::min(*left, list.entries.size() - list.read);
-  if (waiting_.size() > kMaxWaiting) here = list.entries.size() - list.read;
+  std::size_t count = std::min(*left, list.entries.size() - list.read);
+  if (waiting_.size() > kMaxWaiting) count = list.entries.size() - list.read;
   const auto sorted = static_cast<std::ptrdiff_t>(staged_points_.size());
-  for (const std::size_t end = list.read + here; list.read < end; ++list.read)
+  for (const std::size_t end = list.read + count; list.read < end; ++list.read)
     Stage(now, list.entries[list.read], in_use);
   std::sort(staged_points_.begin() + sorted, staged_points_.end());
   std::inplace_merge(staged_points_.begin(), staged_points_.begin() + sorted, staged_points_.end());
-  *left -= std::min(*left, std::max<std::size_t>(here, 1));
+  *left -= std::min(*left, std::max<std::size_t>(count, 1));
   if (list.read < list.entries.size()) return false;
   TakeEffect(now, list);
   waiting_.pop_front();
--- a/src/measures.h
+++ b/src/measures.h
@@ -77,12 +77,15 @@
 // First attempts and retries of one retry budget over its sliding window, counted in eighths of the window.
 class RetryWindow {
  public:
-  void First(TimePoint now, Duration window) { Roll(now, window), ++first_[slot_ % kSlots], ++firsts_; }
+  void First(TimePoint now, Duration window) {
+    Roll(now, window), ++first_attempts_by_slot_[slot_ % kSlots], ++first_attempts_;
+  }
   // Counts one more retry if the budget allows it; false if it does not.
   bool Take(TimePoint now, const RetryBudget& budget) {
     Roll(now, budget.window);
-    if (!(repeats_ + 1 <= budget.at_least + budget.share * static_cast<double>(firsts_))) return false;
-    ++repeat_[slot_ % kSlots], ++repeats_;
+    if (!(retries_ + 1 <= budget.at_least + budget.share * static_cast<double>(first_attempts_)))
+      return false;
+    ++retries_by_slot_[slot_ % kSlots], ++retries_;
     return true;
   }
   // True if nothing was counted during the last window.
@@ -102,14 +105,14 @@
     for (; slot_ < slot; ++slot_) {
       if (slot - slot_ > kSlots) slot_ = slot - kSlots;
       const auto oldest = static_cast<std::size_t>((slot_ + 1) % kSlots);
-      firsts_ -= std::exchange(first_[oldest], 0);
-      repeats_ -= std::exchange(repeat_[oldest], 0);
+      first_attempts_ -= std::exchange(first_attempts_by_slot_[oldest], 0);
+      retries_ -= std::exchange(retries_by_slot_[oldest], 0);
     }
   }
 
   Duration window_{0};
-  std::int64_t slot_ = 0, firsts_ = 0, repeats_ = 0;
-  std::int64_t first_[kSlots] = {}, repeat_[kSlots] = {};
+  std::int64_t slot_ = 0, first_attempts_ = 0, retries_ = 0;
+  std::int64_t first_attempts_by_slot_[kSlots] = {}, retries_by_slot_[kSlots] = {};
 };
 
 // Requests in flight by route, and the retry budgets.
@@ -149,52 +152,54 @@
   explicit WarmKeys(Duration kept) : kept_(kept) {}
   void Record(std::uint64_t key, std::uint32_t server, TimePoint now) {
     while (!order_.empty() && now - order_.front().first >= kept_) {
-      const auto found = met_.find(order_.front().second);
-      if (found != met_.end()) {
-        std::erase_if(found->second, [&](const auto& met) { return now - met.second >= kept_; });
-        if (found->second.empty()) met_.erase(found);
+      const auto found = servers_by_key_.find(order_.front().second);
+      if (found != servers_by_key_.end()) {
+        std::erase_if(found->second, [&](const auto& entry) { return now - entry.second >= kept_; });
+        if (found->second.empty()) servers_by_key_.erase(found);
       }
       order_.pop_front();
     }
-    auto& servers = met_[key];
-    std::erase_if(servers, [&](const auto& met) { return met.first == server; });
-    if (servers.size() >= kMost) servers.erase(servers.begin());  // a hot key is warm nearly everywhere
+    auto& servers = servers_by_key_[key];
+    std::erase_if(servers, [&](const auto& entry) { return entry.first == server; });
+    if (servers.size() >= kMaxServersPerKey)
+      servers.erase(servers.begin());  // a hot key is warm nearly everywhere
     servers.emplace_back(server, now);
     order_.emplace_back(now, key);
   }
-  // The servers that were recently sent a key. Valid until the next Met.
+  // The servers that were recently sent a key. Valid until the next call of Record.
   class Servers {
    public:
     bool Has(std::uint32_t server) const {
-      return met_ && std::any_of(met_->begin(), met_->end(), [&](const auto& met) {
-               return met.first == server && now_ - met.second < kept_;
+      return servers_by_key_ &&
+             std::any_of(servers_by_key_->begin(), servers_by_key_->end(), [&](const auto& entry) {
+               return entry.first == server && now_ - entry.second < kept_;
              });
     }
     template <typename Visit>
     void ForEach(Visit&& visit) const {
-      for (std::size_t k = 0; met_ && k < met_->size(); ++k) {
-        if (now_ - (*met_)[k].second < kept_) visit((*met_)[k].first);
+      for (std::size_t k = 0; servers_by_key_ && k < servers_by_key_->size(); ++k) {
+        if (now_ - (*servers_by_key_)[k].second < kept_) visit((*servers_by_key_)[k].first);
       }
     }
 
    private:
     friend class WarmKeys;
-    Servers(const std::vector<std::pair<std::uint32_t, TimePoint>>* met, TimePoint now, Duration kept)
-        : met_(met), now_(now), kept_(kept) {}
-    const std::vector<std::pair<std::uint32_t, TimePoint>>* met_;  // null: none
+    Servers(const std::vector<std::pair<std::uint32_t, TimePoint>>* entry, TimePoint now, Duration kept)
+        : servers_by_key_(entry), now_(now), kept_(kept) {}
+    const std::vector<std::pair<std::uint32_t, TimePoint>>* servers_by_key_;  // null: none
     TimePoint now_;
     Duration kept_;
   };
   Servers Of(std::uint64_t key, TimePoint now) const {
-    const auto found = key == 0 ? met_.end() : met_.find(key);
-    return Servers(found == met_.end() ? nullptr : &found->second, now, kept_);
+    const auto found = key == 0 ? servers_by_key_.end() : servers_by_key_.find(key);
+    return Servers(found == servers_by_key_.end() ? nullptr : &found->second, now, kept_);
   }
 
  private:
-  static constexpr std::size_t kMost = 64;  // servers kept per key
+  static constexpr std::size_t kMaxServersPerKey = 64;  // servers kept per key
 
   Duration kept_;
-  std::unordered_map<std::uint64_t, std::vector<std::pair<std::uint32_t, TimePoint>>> met_;
+  std::unordered_map<std::uint64_t, std::vector<std::pair<std::uint32_t, TimePoint>>> servers_by_key_;
   std::deque<std::pair<TimePoint, std::uint64_t>> order_;
 };
 
@@ -237,7 +242,7 @@
   std::shared_ptr<const std::vector<KeyClaim>> claims;  // other tries of its key; null: none
   std::shared_ptr<const RouteLimits> limits;            // null: its route sets none
   TimePoint paused_until{}, copy_at{};                  // end of the retry backoff; of the hedging delay
-  bool finished = false, streaming = false, held = false, paused = false, copying = false;
+  bool finished = false, streaming = false, queued = false, paused = false, copying = false;
   bool receiving = false;     // its body is still being received, and its attempts do not count as load
   bool body_dropped = false;  // its body is not buffered any more: no further attempt is possible
   int outstanding() const {
--- a/src/policy/estimates.h
+++ b/src/policy/estimates.h
@@ -67,9 +67,9 @@
       target_fraction += kCrowdingGain * (std::min(took / aim, kMaxCrowdingSample) - target_fraction);
     }
     if (!ok || work < mean) return;
-    const double x = took / work;
-    const double gain = x < stretch ? 10 * kStretchGain : kStretchGain;
-    stretch += (++stretch_samples <= kMinVotes ? 1.0 / stretch_samples : gain) * (x - stretch);
+    const double time_per_work = took / work;
+    const double gain = time_per_work < stretch ? 10 * kStretchGain : kStretchGain;
+    stretch += (++stretch_samples <= kMinVotes ? 1.0 / stretch_samples : gain) * (time_per_work - stretch);
   }
   void Decay(double elapsed) {
     const double decayed = std::min(1.0, elapsed / kCrowdingMemory.count());
--- a/src/policy/picking.h
+++ b/src/policy/picking.h
@@ -94,7 +94,7 @@
     const double max_count = std::ceil(r.limits->affinity_bound * (state_.in_flight + 1) / in_service);
     Server* best = nullptr;
     int cold_checked = 0;
-    kestrelline::fleet::KeyOwners(state_.ring, r.key).Try([&](ServerIndex i) {
+    kestrelline::fleet::KeyOwners(state_.ring, r.key).ForEachCandidate([&](ServerIndex i) {
       Server& s = state_.servers[i];
       if (s.health.ejected || s.own_count >= max_count || RanksLast(r, s)) return false;
       if (cold_.Fits(s, r.work)) best = &s;
@@ -172,7 +172,7 @@
     bool in_service = used_.in_service() > 0;
     std::vector<ServerIndex> sample;
     for (std::size_t k = 0; k < kScanLimit && !in_service; ++k) {
-      const ServerIndex i = index.Drawn(random_below);
+      const ServerIndex i = index.RandomMember(random_below);
       if (i != kNoMember) sample.push_back(i);
     }
     return PickFrom(sample, r, Permission(), &in_service);
--- a/src/policy/state.h
+++ b/src/policy/state.h
@@ -34,7 +34,7 @@
   std::uint32_t asleep : 1 = 0;   // cold and over its budget until the next sample
   OutlierDetector::Host health;
   double excess = 0;        // mean of response time over the fleet's, minus 1; see SlownessOf
-  TimePoint quiet_since{};  // last answer, or the first request in flight after none
+  TimePoint quiet_since{};  // last answer, or when it got a request while idle
 };
 
 // Number of proxies among which shared resources are divided: `now` before `until`, `after` from then on.
--- a/src/policy/used_servers.h
+++ b/src/policy/used_servers.h
@@ -57,7 +57,7 @@
   // Applies a new list: ListBegins, then Changed for each changed server, then ListTookEffect.
   void Changed(const Server& s) {
     const bool usable = state_.Usable(s);
-    if (indexed_ && (!usable || index_.Differs(s.index, SideOf(s.index)))) index_.Leave(s.index);
+    if (indexed_ && (!usable || index_.OnOtherSide(s.index, SideOf(s.index)))) index_.Leave(s.index);
     if (had_all_ && usable && !index_.Has(s.index))
       state_.servers[s.index].subset = number_, entering_.push_back(s.index);
   }
--- a/tests/fleet/affinity_test.cpp
+++ b/tests/fleet/affinity_test.cpp
@@ -46,7 +46,7 @@
 
 Member OwnerOf(const Ring& ring, std::uint64_t key) {
   Member owner = kNoMember;
-  KeyOwners(ring, key).Try([&](Member m) { return owner = m, true; });
+  KeyOwners(ring, key).ForEachCandidate([&](Member m) { return owner = m, true; });
   return owner;
 }
 
@@ -86,9 +86,9 @@
 TEST(KeyOwners, EveryMemberIsVisited) {
   const Ring ring = RingOf(100);
   std::set<Member> tried;
-  KeyOwners(ring, 5).Try([&](Member m) { return tried.insert(m), false; });
+  KeyOwners(ring, 5).ForEachCandidate([&](Member m) { return tried.insert(m), false; });
   EXPECT_EQ(tried.size(), 100u);
-  KeyOwners(Ring(), 5).Try([](Member) { return ADD_FAILURE() << "of an empty ring", false; });
+  KeyOwners(Ring(), 5).ForEachCandidate([](Member) { return ADD_FAILURE() << "of an empty ring", false; });
 }
 
 // ---- affinity in the Balancer ---------------------------------------------------------------------------
--- a/tests/fleet/pick_index_test.cpp
+++ b/tests/fleet/pick_index_test.cpp
@@ -95,7 +95,7 @@
   }
 
   void CheckConsistency() {
-    ASSERT_TRUE(index_.Sound());
+    ASSERT_TRUE(index_.IsConsistent());
     std::set<Member> entered;
     index_.ForEach([&](Member m) { entered.insert(m); });
     ASSERT_EQ(entered.size(), members_.size());
