--- a/include/brackenspoke/balancer.h
+++ b/include/brackenspoke/balancer.h
@@ -65,8 +65,8 @@
   int max_attempts = 1;
   bool parallel_tries = false;  // a request that is safe to repeat may have two attempts in flight
   Duration max_retry_after{0};  // upper bound of the retry-after sent with a refusal; 0: none is sent
-  Duration tick{1};             // granularity of time, by which final answers come before deadlines
-  Duration must_ask_within{0};  // if must_ask_for_list: the longest time without a subscription
+  Duration tick{1};             // time step of the caller; requests are refused two ticks before they are due
+  Duration must_ask_within{0};  // if must_ask_for_list: time within which a subscription is due
   double cold_from = 1;         // fraction of its capacity that a starting server has at least
   Duration warm_up{0};          // time after its start by which a server has its full capacity
   double fall_multiple = 1;     // a server fails when it gets more than this multiple of its capacity
--- a/src/policy/cold_start.h
+++ b/src/policy/cold_start.h
@@ -13,7 +13,7 @@
 constexpr double kColdSafetyFactor = 0.55;  // used fraction of fall_multiple: margin for variance and delays
 constexpr double kMinWarmCores = 0.25;      // minimum capacity of a warm server, in standard cores
 constexpr Duration kWarmRateMemory{30000};  // long, as the capacity of a warm server does not change
-constexpr double kWindowSlack = 1.1;        // rolling window of the cold budget over the rule's, for delays
+constexpr double kWindowSlack = 1.1;        // cold budgets use a window longer by this factor than the rule's
 
 class ColdStarts {
  public:
