--- a/src/data_plane/retry_budget.h
+++ b/src/data_plane/retry_budget.h
@@ -61,7 +61,7 @@
   int proxies_ = kInitialProxies;
   bool proxies_known_ = false;
   kestrelline::TimePoint confirmed_at_{};
-  std::unordered_map<std::string, kestrelline::RepeatWindow> windows_;  // by service; only a few
+  std::unordered_map<std::string, kestrelline::RetryWindow> windows_;  // by service; only a few
 };
 
 }  // namespace kestrelline::data_plane
--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -69,7 +69,7 @@
   const auto found = pending_.find(id);
   if (found == pending_.end()) return;
   const Upload& upload = *found->second.upload;
-  BodyNews news;
+  BodyProgress news;
   news.request = id;
   news.bound = upload.bound();
   news.whole = upload.whole();
@@ -183,7 +183,7 @@
   const AttemptEnded end = MootEnd(action, attempt, !pending.responder);
   ForgetIfOver(action.request);
   if (go == Go::kElsewhere) {
-    for (const KeyClaim& claim : known) Feed(Claimed{action.request, claim});
+    for (const KeyClaim& claim : known) Feed(KeyClaimed{action.request, claim});
   }
   Feed(end);
 }
