--- a/src/control_plane/replica.cpp
+++ b/src/control_plane/replica.cpp
@@ -164,7 +164,7 @@
 
 void Replica::RollElection(Time now) {
   const auto jitter = static_cast<std::uint64_t>(options_.election_jitter.count());
-  const Span wait(static_cast<std::int64_t>(jitter == 0 ? 0 : random_() % jitter));
+  const Duration wait(static_cast<std::int64_t>(jitter == 0 ? 0 : random_() % jitter));
   election_at_ = std::max(now, lease_until_) + wait;
 }
 
--- a/src/control_plane/replica.h
+++ b/src/control_plane/replica.h
@@ -212,7 +212,7 @@
   bool IsLeaving(const std::string& member) const;
   bool IsLost(Time now, const std::string& member) const;
   std::size_t CopiesElsewhere() const;
-  bool EnoughCopiesElsewhere(Span since_leaving) const;
+  bool EnoughCopiesElsewhere(Duration since_leaving) const;
 
   ReplicaOptions options_;
   std::mt19937_64 random_;
--- a/src/control_plane/replica_membership.cpp
+++ b/src/control_plane/replica_membership.cpp
@@ -107,7 +107,7 @@
 }
 
 // All that there can be; after a while as many as members may be lost, so that never the only copy leaves.
-bool Replica::EnoughCopiesElsewhere(Span since_leaving) const {
+bool Replica::EnoughCopiesElsewhere(Duration since_leaving) const {
   const std::size_t others = Electors(*lead_.current).size() - 1;
   const std::size_t needed = std::min(others, static_cast<std::size_t>(std::max(1, options_.tolerated)));
   const std::size_t copies = CopiesElsewhere();
@@ -134,7 +134,7 @@
   const bool newer_here = !committed_ || StoredPosition() > committed_->position;
   const bool has_seat = in_committed || (newer_here && IsElector());
   if (!has_seat) return true;
-  const Span since = now - *leaving_since_;
+  const Duration since = now - *leaving_since_;
   if (since >= options_.leave_patience) return true;
   if (since < options_.leave_least) return false;
   if (role_ != Role::kLeader) {
--- a/src/control_plane/replica_types.h
+++ b/src/control_plane/replica_types.h
@@ -15,7 +15,7 @@
 
 namespace kestrelline::control_plane {
 
-using Span = std::chrono::milliseconds;
+using Duration = std::chrono::milliseconds;
 using Time = std::chrono::milliseconds;  // of a steady clock, since any origin
 
 struct ReplicaOptions {
@@ -26,21 +26,21 @@
   std::vector<std::string> seeds;  // the first electorate; later whom to ask
   std::uint64_t random_seed = 1;
 
-  Span lease{1000};        // a heartbeat keeps others from standing for this long
-  Span lease_margin{100};  // the leader stops this much earlier
-  Span heartbeat{200};
-  Span election_jitter{250};  // candidates stand at random within this after a lease ended
-  Span vote_patience{400};    // for the answers of one round
-  Span resend{400};           // of a record that was lost on its way
-  Span learn_interval{250};
-  Span founding_interval{50};  // between questions whether the system was founded already
-  Span founding_wait{1000};    // for the other founders' answers
-  Span hello_interval{300};
-  Span lost_after{1500};           // a member silent for this long may be replaced by one that waits
-  Span leave_patience{5000};       // for a successor, of a member that is to stop
-  Span leave_least{400};           // for the news of a successor that has just started
-  Span leaderless_patience{2500};  // for a leader, of a member that is to stop
-  Span resign_patience{800};       // for the other copies, of a leader that is to stop
+  Duration lease{1000};        // a heartbeat keeps others from standing for this long
+  Duration lease_margin{100};  // the leader stops this much earlier
+  Duration heartbeat{200};
+  Duration election_jitter{250};  // candidates stand at random within this after a lease ended
+  Duration vote_patience{400};    // for the answers of one round
+  Duration resend{400};           // of a record that was lost on its way
+  Duration learn_interval{250};
+  Duration founding_interval{50};  // between questions whether the system was founded already
+  Duration founding_wait{1000};    // for the other founders' answers
+  Duration hello_interval{300};
+  Duration lost_after{1500};           // a member silent for this long may be replaced by one that waits
+  Duration leave_patience{5000};       // for a successor, of a member that is to stop
+  Duration leave_least{400};           // for the news of a successor that has just started
+  Duration leaderless_patience{2500};  // for a leader, of a member that is to stop
+  Duration resign_patience{800};       // for the other copies, of a leader that is to stop
 };
 
 // What a member has on disk.
--- a/src/control_sim/audit.h
+++ b/src/control_sim/audit.h
@@ -16,8 +16,8 @@
 
 namespace kestrelline::control_sim {
 
+using control_plane::Duration;
 using control_plane::Outcome;
-using control_plane::Span;
 using control_plane::Time;
 
 // A change as an operator sends it.
@@ -30,8 +30,8 @@
 class Audit {
  public:
   // How much older than the newest acknowledgement the first configuration of a proxy's life may be.
-  static constexpr Span kMostStartLag{2000};
-  static constexpr Span kOrderLease{3000};  // of stage orders: two holders within it take turns
+  static constexpr Duration kMostStartLag{2000};
+  static constexpr Duration kOrderLease{3000};  // of stage orders: two holders within it take turns
 
   void Answered(Time now, const OperatorOrder& order, Outcome outcome);
   // A member answered a read that was sent at `sent`.
--- a/src/control_sim/schedule.cpp
+++ b/src/control_sim/schedule.cpp
@@ -9,12 +9,12 @@
 namespace kestrelline::control_sim {
 namespace {
 
-constexpr Span kLedAgainWithin{6000};
-constexpr Span kOrderTakenWithin{25000};  // answers get lost, and machines that are gone are asked first
-constexpr Span kInForceWithin{3500};
-constexpr Span kWholeAfterStart{10000};
-constexpr Span kGrace{8000};
-constexpr Span kLongCut{18000};
+constexpr Duration kLedAgainWithin{6000};
+constexpr Duration kOrderTakenWithin{25000};  // answers get lost, and machines that are gone are asked first
+constexpr Duration kInForceWithin{3500};
+constexpr Duration kWholeAfterStart{10000};
+constexpr Duration kGrace{8000};
+constexpr Duration kLongCut{18000};
 
 constexpr std::array<const char*, static_cast<std::size_t>(Trouble::kCount)> kNames = {
     "none",
@@ -60,8 +60,8 @@
   using Random = std::mt19937_64;
 
   void Fail(const std::string& what) { world_.audit().Break(world_.now(), what); }
-  static Span Between(Random& random, std::int64_t least, std::int64_t most) {
-    return Span(std::uniform_int_distribution<std::int64_t>(least, most)(random));
+  static Duration Between(Random& random, std::int64_t least, std::int64_t most) {
+    return Duration(std::uniform_int_distribution<std::int64_t>(least, most)(random));
   }
   template <typename Items>
   static const std::string& Pick(Random& random, const Items& items) {
@@ -237,7 +237,7 @@
     RefreshVersion();
     const auto order =
         world_.Submit({version_ + 1, version_, "to be wiped " + std::to_string(++result_.orders)});
-    world_.RunUntil([&] { return order->verdict.has_value(); }, Span(3000));
+    world_.RunUntil([&] { return order->verdict.has_value(); }, Duration(3000));
     world_.Run(Between(random, 0, 1) * 10);
     std::string victim = world_.Leader();
     if (victim.empty() || random() % 3 == 0) victim = Pick(random, Electors());
@@ -301,7 +301,7 @@
       gone_.insert(fresh);
       world_.Start(world_.AddMachine());
     }
-    const bool whole = world_.RunUntil([this] { return Whole(); }, Span(8000));
+    const bool whole = world_.RunUntil([this] { return Whole(); }, Duration(8000));
     if (!whole) return Fail("a replacement had no seat in time");
     result_.longest_repair = std::max(result_.longest_repair, world_.now() - since);
     LoseAnotherAtOnce(random, victim);
@@ -371,7 +371,7 @@
   // All that counts is back within the time that the deployment allows it.
   void Settle() {
     if (!world_.broken().empty()) return;
-    world_.Run(Span(1500));
+    world_.Run(Duration(1500));
     if (!world_.RunUntilLed(kLedAgainWithin)) return Fail("nobody led in calm times");
     RefreshVersion();
     const auto order =
@@ -411,10 +411,10 @@
   day.options.members = members;
   day.options.tolerated = members / 2;
   day.options.proxies = 3;
-  day.options.start_spread = Span(300);
+  day.options.start_spread = Duration(300);
   day.options.loss = seed % 4 == 0 ? 0.03 : 0;
   day.options.straggle = seed % 5 == 0 ? 0.02 : 0;
-  day.options.most_delay = Span(seed % 3 == 0 ? 40 : 4);
+  day.options.most_delay = Duration(seed % 3 == 0 ? 40 : 4);
   day.options.drift = seed % 2 == 0 ? 0.02 : 0;
   day.options.lost_answers = seed % 7 < 3 ? 0.5 : 0.05;
   constexpr auto kKinds = static_cast<std::uint64_t>(Trouble::kCount) - 1;
--- a/src/control_sim/schedule.h
+++ b/src/control_sim/schedule.h
@@ -55,8 +55,8 @@
 struct DayResult {
   std::string broken;  // empty: every promise was kept
   int orders = 0;
-  Span longest_repair{0};          // from the start of a new machine to its seat
-  Span longest_without_leader{0};  // after a round's trouble had ended
+  Duration longest_repair{0};          // from the start of a new machine to its seat
+  Duration longest_without_leader{0};  // after a round's trouble had ended
 };
 
 // The day of that seed, at 3 members of which one may be lost, or at 5 of which two may.
--- a/src/control_sim/world.cpp
+++ b/src/control_sim/world.cpp
@@ -9,7 +9,7 @@
 World::World(WorldOptions options) : options_(options), random_(options.seed) {
   for (int i = 0; i < options.members; ++i) AddMachine(true);
   for (const std::string& name : names_) {
-    if (options.start_spread == Span(0)) {
+    if (options.start_spread == Duration(0)) {
       Start(name);
     } else {
       At(now_ + Delay(options.start_spread), [this, name] { Start(name); });
@@ -37,7 +37,7 @@
   machine.seeds = ListedMembers();
   if (options_.drift > 0) {
     machine.clock_rate = std::uniform_real_distribution(1 - options_.drift, 1 + options_.drift)(random_);
-    machine.clock_offset = Span(static_cast<std::int64_t>(random_() % 1000000));
+    machine.clock_offset = Duration(static_cast<std::int64_t>(random_() % 1000000));
   }
   return name;
 }
@@ -56,7 +56,7 @@
 
 Time World::LocalTime(const Machine& machine) const {
   const auto passed = static_cast<double>((now_ - kStart).count()) * machine.clock_rate;
-  return kStart + machine.clock_offset + Span(static_cast<std::int64_t>(passed));
+  return kStart + machine.clock_offset + Duration(static_cast<std::int64_t>(passed));
 }
 
 void World::Start(const std::string& name) {
@@ -130,7 +130,7 @@
   Pump(name);
 }
 
-void World::Freeze(const std::string& name, Span span) { machines_[name].frozen_until = now_ + span; }
+void World::Freeze(const std::string& name, Duration span) { machines_[name].frozen_until = now_ + span; }
 
 void World::ThawAll() {
   for (auto& [name, machine] : machines_) machine.frozen_until = Time(0);
@@ -149,23 +149,23 @@
   cuts_.clear();
   holds_.clear();
   for (auto& [pair, messages] : std::exchange(held_, {})) {
-    for (auto& message : messages) At(now_ + Span(1), std::move(message));
+    for (auto& message : messages) At(now_ + Duration(1), std::move(message));
   }
 }
 
 std::size_t World::RecordBytesTo(const std::string& name) const { return machines_.at(name).record_bytes; }
 
-Span World::Delay(Span most) {
-  return Span(1 + static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(most.count())));
+Duration World::Delay(Duration most) {
+  return Duration(1 + static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(most.count())));
 }
 
 // --- time ---
 
-void World::Run(Span span) {
+void World::Run(Duration span) {
   for (const Time until = now_ + span; now_ < until;) Step();
 }
 
-bool World::RunUntil(const std::function<bool()>& done, Span at_most) {
+bool World::RunUntil(const std::function<bool()>& done, Duration at_most) {
   for (const Time until = now_ + at_most; now_ < until;) {
     if (done()) return true;
     Step();
@@ -180,7 +180,7 @@
   return "";
 }
 
-bool World::RunUntilLed(Span at_most) {
+bool World::RunUntilLed(Duration at_most) {
   return RunUntil([this] { return !Leader().empty(); }, at_most);
 }
 
@@ -283,7 +283,8 @@
   const double rate = std::max(machines_[from].bytes_per_ms, machines_[send.to].bytes_per_ms);
   if (rate > 0) {
     Time& free_at = link_free_at_[{from, send.to}];
-    free_at = std::max(free_at, now_) + Span(static_cast<std::int64_t>(static_cast<double>(bytes) / rate));
+    free_at =
+        std::max(free_at, now_) + Duration(static_cast<std::int64_t>(static_cast<double>(bytes) / rate));
     at = std::max(at, free_at);
   }
   At(at, [this, from, to = send.to, body = std::move(send.body)] { Deliver(from, to, body); });
@@ -308,7 +309,7 @@
 void World::WriteLater(const std::string& name, const Persist& persist) {
   Machine& machine = machines_[name];
   machine.writing.push_back(persist);
-  const Span sync = machine.sync > Span(0) ? machine.sync : options_.sync;
+  const Duration sync = machine.sync > Duration(0) ? machine.sync : options_.sync;
   machine.disk_free_at = std::max(now_, machine.disk_free_at) + sync;
   At(machine.disk_free_at, [this, name, life = machine.life, ticket = persist.ticket] {
     Machine& then = machines_[name];
--- a/src/control_sim/world.h
+++ b/src/control_sim/world.h
@@ -42,10 +42,10 @@
   std::uint64_t seed = 1;
   double loss = 0;      // of messages between members
   double straggle = 0;  // of these messages, that come up to most_straggle late and out of order
-  Span most_straggle{2500};
-  Span most_delay{4};
-  Span sync{5};
-  Span start_spread{0};           // the machines of the first start come up within this
+  Duration most_straggle{2500};
+  Duration most_delay{4};
+  Duration sync{5};
+  Duration start_spread{0};       // the machines of the first start come up within this
   double drift = 0;               // most, of a steady clock's rate, either way
   double lost_answers = 0;        // of the answers to operators
   std::ostream* trace = nullptr;  // a line whenever a role, an epoch, a version or a member changes
@@ -60,7 +60,7 @@
 
 class World {
  public:
-  static constexpr Span kStep{10};
+  static constexpr Duration kStep{10};
 
   explicit World(WorldOptions options);
 
@@ -85,7 +85,7 @@
   bool Stopping(const std::string& name) const { return Running(name) && machines_.at(name).stopping; }
   void SetBootstrap(const std::string& name) { machines_[name].bootstrap = true; }
   // The process stands still; its clock goes on, messages and completions wait.
-  void Freeze(const std::string& name, Span span);
+  void Freeze(const std::string& name, Duration span);
   // All that stand still go on.
   void ThawAll();
   bool Running(const std::string& name) const { return machines_.at(name).replica != nullptr; }
@@ -100,7 +100,7 @@
   void Hold(const std::string& from, const std::string& to) { holds_.insert({from, to}); }
   void HealAll();
   void SetDiskFull(const std::string& name, bool full) { machines_[name].disk_full = full; }
-  void SetSync(const std::string& name, Span sync) { machines_[name].sync = sync; }
+  void SetSync(const std::string& name, Duration sync) { machines_[name].sync = sync; }
   // What that member sends and gets takes this long; 0: no limit.
   void SetLinkRate(const std::string& name, double bytes_per_ms) {
     machines_[name].bytes_per_ms = bytes_per_ms;
@@ -111,10 +111,10 @@
   // --- time ---
 
   Time now() const { return now_; }
-  void Run(Span span);
-  bool RunUntil(const std::function<bool()>& done, Span at_most);
+  void Run(Duration span);
+  bool RunUntil(const std::function<bool()>& done, Duration at_most);
   std::string Leader();
-  bool RunUntilLed(Span at_most = Span(8000));
+  bool RunUntilLed(Duration at_most = Duration(8000));
   // Whether the newest record is committed and on disk at every elector, none of them in a joint electorate.
   bool FullyReplicated();
 
@@ -135,7 +135,7 @@
   std::size_t proxies() const { return proxies_.size(); }
   SimulatedProxy& proxy(std::size_t index) { return *proxies_[index].proxy; }
   void RestartProxy(std::size_t index, std::vector<std::string> seeds = {});
-  void FreezeProxy(std::size_t index, Span span) { proxies_[index].frozen_until = now_ + span; }
+  void FreezeProxy(std::size_t index, Duration span) { proxies_[index].frozen_until = now_ + span; }
   void CutProxy(std::size_t index, const std::string& member) {
     Cut(ProxyName(index), member);
     Cut(member, ProxyName(index));
@@ -162,13 +162,13 @@
     Stored disk;
     std::vector<Persist> writing;
     bool disk_full = false;
-    Span sync{0};
+    Duration sync{0};
     Time disk_free_at{0};
     std::uint64_t life = 0;
     std::uint64_t seen_version = 0;  // committed, in this life
     std::uint64_t seen_life = 0;
     double clock_rate = 1;
-    Span clock_offset{0};
+    Duration clock_offset{0};
     Time frozen_until{0};
     std::deque<std::function<void()>> waiting;  // while it stands still
     int kill_after = 0;                         // events; 0: not to be killed
@@ -221,7 +221,7 @@
   void OnMachine(const std::string& name, std::uint64_t life, std::function<void()> run);
   void OnProxy(std::size_t index, std::function<void()> run);
   bool Chance(double probability) { return std::bernoulli_distribution(probability)(random_); }
-  Span Delay(Span most);
+  Duration Delay(Duration most);
 
   void Pump(const std::string& name);
   void Transmit(const std::string& from, control_plane::Send send);
--- a/src/control_sim/world_traffic.cpp
+++ b/src/control_sim/world_traffic.cpp
@@ -9,15 +9,15 @@
 namespace kestrelline::control_sim {
 namespace {
 
-constexpr Span kPublishEvery{300};
-constexpr Span kBetweenChanges{500};
-constexpr Span kOperatorPatience{1000};
-constexpr Span kOperatorPause{150};
-constexpr Span kOperatorDelay{6};
+constexpr Duration kPublishEvery{300};
+constexpr Duration kBetweenChanges{500};
+constexpr Duration kOperatorPatience{1000};
+constexpr Duration kOperatorPause{150};
+constexpr Duration kOperatorDelay{6};
 constexpr int kMostRedirects = 2;
-constexpr Span kReadEvery{200};
-constexpr Span kStageOrderEvery{400};
-constexpr Span kStageOrderMargin{600};  // beyond the lease of the orders before
+constexpr Duration kReadEvery{200};
+constexpr Duration kStageOrderEvery{400};
+constexpr Duration kStageOrderMargin{600};  // beyond the lease of the orders before
 
 }  // namespace
 
@@ -258,7 +258,8 @@
     return;
   }
   if (!machine.leading_since) machine.leading_since = local;
-  const Span wait = Enforced(Safeguard::kFenceAfterLease) ? Audit::kOrderLease + kStageOrderMargin : Span(0);
+  const Duration wait =
+      Enforced(Safeguard::kFenceAfterLease) ? Audit::kOrderLease + kStageOrderMargin : Duration(0);
   if (local - *machine.leading_since < wait || local < machine.next_stage_order) return;
   machine.next_stage_order = local + kStageOrderEvery;
   audit_.Ordered(now_, name, machine.replica->epoch());
--- a/tests/control_plane/leave_test.cpp
+++ b/tests/control_plane/leave_test.cpp
@@ -8,7 +8,7 @@
 namespace kestrelline::control_plane {
 namespace {
 
-constexpr Span kSoon{100};  // far less than a leaving member waits for anything
+constexpr Duration kSoon{100};  // far less than a leaving member waits for anything
 
 wire::RecordPtr WithoutSelf(wire::Position position) {
   wire::Record record = *RecordAt(position, 1);
--- a/tests/control_plane/replica_test.cpp
+++ b/tests/control_plane/replica_test.cpp
@@ -21,7 +21,7 @@
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
   EXPECT_EQ(Decide(world, 3, 0, "first"), Outcome::kTaken);
-  world.Run(Span(100));
+  world.Run(Duration(100));
   for (const std::string& name : world.names()) {
     ASSERT_TRUE(world.replica(name).committed());
     EXPECT_EQ(world.replica(name).committed()->configuration, "first");
@@ -77,11 +77,11 @@
       for (const std::string& name : world.names()) world.Kill(name, false);
       if (how != "all lose power") world.Wipe(leader);
     }
-    world.Run(Span(900));
+    world.Run(Duration(900));
     for (const std::string& name : world.names()) {
       if (!world.Running(name)) world.Start(name);
     }
-    ASSERT_TRUE(world.RunUntilLed(Span(4000))) << how << ", seed " << seed;
+    ASSERT_TRUE(world.RunUntilLed(Duration(4000))) << how << ", seed " << seed;
     EXPECT_EQ(world.replica(world.Leader()).committed()->configuration, "two") << how;
     EXPECT_EQ(Decide(world, 2, 1, "two"), Outcome::kTaken);
     EXPECT_EQ(Decide(world, 3, 2, "three"), Outcome::kTaken);
@@ -99,7 +99,7 @@
   ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
   for (const std::string& name : world.names()) world.Kill(name, false);
   for (const std::string& name : world.names()) world.Start(name);
-  EXPECT_TRUE(world.RunUntilLed(Span(700)));
+  EXPECT_TRUE(world.RunUntilLed(Duration(700)));
   EXPECT_EQ(world.broken(), "");
 }
 
@@ -115,10 +115,10 @@
     const std::vector<std::string> others = world.Except(leader);
     world.Cut(leader, others[1]);
     world.Cut(others[1], leader);
-    world.Run(Span(1500));
+    world.Run(Duration(1500));
     world.Kill(others[0]);
     world.Start(others[0]);
-    world.Run(Span(4000));
+    world.Run(Duration(4000));
     EXPECT_EQ(world.broken(), "");
   }
 }
@@ -128,7 +128,7 @@
   ASSERT_TRUE(world.RunUntilLed());
   ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
   world.SetDiskFull(world.Leader(), true);
-  EXPECT_EQ(Decide(world, 2, 1, "two", Span(1500)), Outcome::kTaken);
+  EXPECT_EQ(Decide(world, 2, 1, "two", Duration(1500)), Outcome::kTaken);
   EXPECT_EQ(world.broken(), "");
 }
 
@@ -138,8 +138,8 @@
     ASSERT_TRUE(world.RunUntilLed());
     std::string slow = world.Leader();
     if (!leaders) slow = world.names()[0] == slow ? world.names()[1] : world.names()[0];
-    world.SetSync(slow, Span(3000));
-    EXPECT_EQ(Decide(world, 1, 0, "one", Span(500)), Outcome::kTaken);
+    world.SetSync(slow, Duration(3000));
+    EXPECT_EQ(Decide(world, 1, 0, "one", Duration(500)), Outcome::kTaken);
   }
 }
 
@@ -150,12 +150,12 @@
   ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
   const std::string leader = world.Leader();
   const std::vector<std::string> others = world.Except(leader);
-  world.SetSync(leader, Span(2000));
-  world.SetSync(others[1], Span(2000));
+  world.SetSync(leader, Duration(2000));
+  world.SetSync(others[1], Duration(2000));
   ASSERT_TRUE(world.Order(2, 1, "two"));
-  world.Run(Span(500));
+  world.Run(Duration(500));
   EXPECT_EQ(world.last_outcome(), std::nullopt);
-  world.RunUntil([&] { return world.last_outcome().has_value(); }, Span(3000));
+  world.RunUntil([&] { return world.last_outcome().has_value(); }, Duration(3000));
   EXPECT_EQ(world.last_outcome(), Outcome::kTaken);
 }
 
@@ -170,15 +170,15 @@
     ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
     const std::string leader = world.Leader();
     const std::vector<std::string> others = world.Except(leader);
-    world.SetSync(leader, Span(1500));
+    world.SetSync(leader, Duration(1500));
     world.CutOff(others[1]);
     ASSERT_TRUE(world.Order(2, 1, "two"));
-    world.Run(Span(10));
+    world.Run(Duration(10));
     world.Wipe(others[0]);
     world.HealAll();
     world.Cut(leader, others[1]);
     world.Start(others[0]);
-    world.Run(Span(1000));
+    world.Run(Duration(1000));
     if (world.last_outcome() == Outcome::kTaken) {
       // Two disks hold it: any one of them may be lost.
       world.Wipe(leader);
@@ -235,7 +235,7 @@
   for (int moment = 0; moment < 60; ++moment) {
     WorldOptions options;
     options.seed = 7 + static_cast<std::uint64_t>(moment % 3);
-    options.most_delay = Span(60);
+    options.most_delay = Duration(60);
     World world(options);
     ASSERT_TRUE(world.RunUntilLed());
     ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
@@ -243,7 +243,7 @@
     const std::vector<std::string> others = world.Except(leader);
     const std::string fresh = world.AddMachine();
     world.Start(fresh);
-    world.Run(Span(1000));
+    world.Run(Duration(1000));
     const auto part = [&](const std::string& other) {
       for (const std::string& side : {leader, fresh}) {
         world.Cut(side, other);
@@ -251,9 +251,9 @@
       }
     };
     part(others[0]);
-    world.Run(Span(1200) + World::kStep * moment);
+    world.Run(Duration(1200) + World::kStep * moment);
     part(others[1]);
-    world.Run(Span(6000));
+    world.Run(Duration(6000));
     ASSERT_EQ(world.broken(), "") << "moment " << moment;
     world.HealAll();
     ASSERT_TRUE(world.RunUntilLed());
@@ -272,12 +272,13 @@
   world.Kill(others[0], false);
   world.Wipe(others[1]);
   world.Start(others[1]);
-  world.Run(Span(3000));
+  world.Run(Duration(3000));
   EXPECT_EQ(world.replica(others[1]).role(), Role::kLearner);
   EXPECT_EQ(world.Leader(), "");
   world.Start(others[0]);
   ASSERT_TRUE(world.RunUntilLed());
-  EXPECT_TRUE(world.RunUntil([&] { return world.replica(others[1]).role() != Role::kLearner; }, Span(3000)));
+  EXPECT_TRUE(
+      world.RunUntil([&] { return world.replica(others[1]).role() != Role::kLearner; }, Duration(3000)));
   EXPECT_EQ(world.broken(), "");
 }
 
@@ -300,7 +301,7 @@
           return record.next_members.empty() && !Electors(record).contains(gone) &&
                  Electors(record).contains(fresh);
         },
-        Span(4000)));
+        Duration(4000)));
     // One more may be lost now.
     const std::string second = world.names()[(seed + 1) % 3];
     world.Wipe(second);
@@ -316,7 +317,7 @@
   ASSERT_TRUE(world.RunUntilLed());
   const std::string follower = world.Leader() == world.names()[0] ? world.names()[1] : world.names()[0];
   world.CutOff(follower);
-  world.Run(Span(10000));
+  world.Run(Duration(10000));
   ASSERT_FALSE(world.Leader().empty());
   EXPECT_TRUE(Electors(*world.replica(world.Leader()).committed()).contains(follower));
 }
@@ -332,7 +333,7 @@
         return !leader.empty() && Electors(*world.replica(leader).committed()).size() == 5 &&
                world.replica(leader).committed()->next_members.empty();
       },
-      Span(6000)));
+      Duration(6000)));
   ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
   const std::string leader = world.Leader();
   int wiped = 0;
@@ -358,7 +359,8 @@
   ASSERT_TRUE(world.RunUntilLed());
   const std::string leader = world.Leader();
   world.replica(leader).Resign(world.now());
-  EXPECT_TRUE(world.RunUntil([&] { return !world.Leader().empty() && world.Leader() != leader; }, Span(600)));
+  EXPECT_TRUE(
+      world.RunUntil([&] { return !world.Leader().empty() && world.Leader() != leader; }, Duration(600)));
 }
 
 TEST(Replica, MoreOrdersThanItHoldsAreRefusedNotLost) {
@@ -370,7 +372,7 @@
     world.OrderAt(leader, i + 1, i, std::to_string(i));
   world.OrderAt(leader, 1000, 999, "too many");
   EXPECT_EQ(world.last_outcome(), Outcome::kOverloaded);
-  world.Run(Span(3000));
+  world.Run(Duration(3000));
   EXPECT_EQ(world.newest_acknowledged(), Replica::kMostOrders + 1);
 }
 
@@ -382,7 +384,7 @@
   options.seed = seed;
   options.loss = seed % 4 == 0 ? 0.05 : 0;
   options.straggle = seed % 5 == 0 ? 0.02 : 0;
-  options.most_delay = Span(seed % 3 == 0 ? 40 : 4);
+  options.most_delay = Duration(seed % 3 == 0 ? 40 : 4);
   World world(options);
   ASSERT_TRUE(world.RunUntilLed()) << "seed " << seed;
   std::uint64_t version = 0;
@@ -394,14 +396,14 @@
     // An order is on its way as it happens.
     if (world.random()() % 2 == 0)
       world.Order(version + 1, version, body = "during " + std::to_string(round));
-    world.Run(Span(static_cast<std::int64_t>(world.random()() % 3) * 10));
+    world.Run(Duration(static_cast<std::int64_t>(world.random()() % 3) * 10));
     if (kind == 0) world.Kill(target);
     if (kind == 1) world.Kill(target, false);
     if (kind == 2) world.Wipe(target);
     if (kind == 3) world.CutOff(target);
     if (kind == 4) world.Cut(target, world.names()[world.random()() % 3]);
     if (kind == 5) world.SetDiskFull(target, true);
-    if (kind == 6) world.SetSync(target, Span(400));
+    if (kind == 6) world.SetSync(target, Duration(400));
     if (kind == 7) {
       for (const std::string& name : world.names()) world.Kill(name, false);
       if (world.random()() % 2 == 0) world.Wipe(target);
@@ -410,21 +412,21 @@
       world.Kill(target);
       world.Start(target);
     }
-    world.Run(Span(static_cast<std::int64_t>(world.random()() % 2500)));
+    world.Run(Duration(static_cast<std::int64_t>(world.random()() % 2500)));
     if (!world.Leader().empty() && world.random()() % 2 == 0) {
       world.Order(version + 1, version, "in trouble " + std::to_string(round));
-      world.Run(Span(300));
+      world.Run(Duration(300));
     }
     world.HealAll();
     for (const std::string& name : world.names()) {
       world.SetDiskFull(name, false);
-      world.SetSync(name, Span(5));
+      world.SetSync(name, Duration(5));
       if (!world.Running(name)) world.Start(name);
     }
     // All that counts is back within the time that the deployment allows it.
-    ASSERT_TRUE(world.RunUntilLed(Span(6000))) << "seed " << seed << " round " << round;
-    world.Run(Span(1500));
-    ASSERT_TRUE(world.RunUntilLed(Span(6000))) << "seed " << seed << " round " << round;
+    ASSERT_TRUE(world.RunUntilLed(Duration(6000))) << "seed " << seed << " round " << round;
+    world.Run(Duration(1500));
+    ASSERT_TRUE(world.RunUntilLed(Duration(6000))) << "seed " << seed << " round " << round;
     version = world.replica(world.Leader()).committed()->version;
     const std::uint64_t next = version + 1 + world.random()() % 3;
     ASSERT_EQ(Decide(world, next, version, "calm " + std::to_string(round)), Outcome::kTaken)
@@ -449,23 +451,23 @@
   world.Start(fresh);
   world.Cut(away, fresh);
   world.Cut(fresh, away);
-  world.Run(Span(static_cast<std::int64_t>(1200 + world.random()() % 1500)));
+  world.Run(Duration(static_cast<std::int64_t>(1200 + world.random()() % 1500)));
   // One message of the exchange reaches nobody else.
   const std::string lost = world.Leader();
   if (!lost.empty()) {
     world.Kill(lost, world.random()() % 2 == 0);
-    world.Run(Span(static_cast<std::int64_t>(world.random()() % 1500)));
+    world.Run(Duration(static_cast<std::int64_t>(world.random()() % 1500)));
     world.HealAll();
     if (world.random()() % 2 == 0) world.CutOff(fresh);
-    world.Run(Span(static_cast<std::int64_t>(world.random()() % 2500)));
+    world.Run(Duration(static_cast<std::int64_t>(world.random()() % 2500)));
     world.Order(2, 1, "between");
-    world.Run(Span(300));
+    world.Run(Duration(300));
     world.Start(lost);
   }
   world.HealAll();
-  ASSERT_TRUE(world.RunUntilLed(Span(8000))) << "seed " << seed;
-  world.Run(Span(2000));
-  ASSERT_TRUE(world.RunUntilLed(Span(8000))) << "seed " << seed;
+  ASSERT_TRUE(world.RunUntilLed(Duration(8000))) << "seed " << seed;
+  world.Run(Duration(2000));
+  ASSERT_TRUE(world.RunUntilLed(Duration(8000))) << "seed " << seed;
   const std::uint64_t version = world.replica(world.Leader()).committed()->version;
   ASSERT_EQ(Decide(world, version + 1, version, "after"), Outcome::kTaken) << "seed " << seed;
   ASSERT_EQ(world.broken(), "");
--- a/tests/control_sim/decide.h
+++ b/tests/control_sim/decide.h
@@ -13,9 +13,9 @@
 
 // Nothing if there was no verdict in time.
 inline std::optional<Outcome> Decide(World& world, std::uint64_t version, std::uint64_t builds_on,
-                                     const std::string& body, Span at_most = Span(8000)) {
-  constexpr Span kBetweenTries{50};
-  constexpr Span kPatience{1500};  // with one leader
+                                     const std::string& body, Duration at_most = Duration(8000)) {
+  constexpr Duration kBetweenTries{50};
+  constexpr Duration kPatience{1500};  // with one leader
   for (const Time until = world.now() + at_most; world.now() < until;) {
     if (!world.Order(version, builds_on, body)) {
       world.Run(kBetweenTries);
--- a/tests/control_sim/driven_replica.h
+++ b/tests/control_sim/driven_replica.h
@@ -58,7 +58,7 @@
   }
   // Elected by the second member, in calm times.
   void Elect() {
-    now += Span(3000);
+    now += Duration(3000);
     Tick();
     VoteFor(true);
     VoteFor(false);
--- a/tests/control_sim/safeguards_test.cpp
+++ b/tests/control_sim/safeguards_test.cpp
@@ -59,7 +59,7 @@
     if (!world.Running(name)) world.Start(name);
   }
   if (!world.RunUntilLed()) return "nobody leads";
-  world.Run(Span(1000));
+  world.Run(Duration(1000));
   const std::string leader = world.Leader();
   const bool lost =
       !must_show.empty() && !leader.empty() && world.replica(leader).committed()->configuration != must_show;
@@ -92,11 +92,11 @@
     // The next heartbeat is composed at once, and held up for ten seconds.
     beat.echo = asked->probe;
     const Time sent = follower.now;
-    follower.now += Span(10000);
+    follower.now += Duration(10000);
     follower.Receive(kSecond, beat);
     const auto certain = follower.replica().certain_at(follower.now);
     if (!certain) return "never certain";
-    return *certain > sent + Span(50) ? "vouches for what it knew ten seconds ago" : "";
+    return *certain > sent + Duration(50) ? "vouches for what it knew ten seconds ago" : "";
   };
   MustNeed(Safeguard::kDateByProbe, scenario, 1);
 }
@@ -106,27 +106,27 @@
   const auto scenario = [](std::uint64_t seed) -> std::string {
     World world(Options(seed, 1));
     if (!Begin(world)) return "no first change";
-    world.Run(Span(500));
+    world.Run(Duration(500));
     const std::string member = world.names()[seed % 3];
     world.RestartProxy(0, {member});
     for (const std::string& other : world.Except(member)) world.CutProxy(0, other);
     world.Hold(member, World::ProxyName(0));
-    world.Run(Span(100));
+    world.Run(Duration(100));
     if (Decide(world, 2, 1, "two") != Outcome::kTaken) return "not taken";
-    world.Run(Span(2600));
+    world.Run(Duration(2600));
     // The proxy stands still meanwhile, so that it does not give the member up.
     return BrokenInTheEnd(world);
   };
   const auto frozen = [scenario](std::uint64_t seed) -> std::string {
     World world(Options(seed, 1));
     if (!Begin(world)) return "no first change";
-    world.Run(Span(500));
+    world.Run(Duration(500));
     world.RestartProxy(0);
-    world.Run(Span(10));  // it has just subscribed
-    world.FreezeProxy(0, Span(4000));
-    world.Run(Span(100));
+    world.Run(Duration(10));  // it has just subscribed
+    world.FreezeProxy(0, Duration(4000));
+    world.Run(Duration(100));
     if (Decide(world, 2, 1, "two") != Outcome::kTaken) return "not taken";
-    world.Run(Span(5000));
+    world.Run(Duration(5000));
     return BrokenInTheEnd(world);
   };
   for (std::uint64_t seed = 1; seed <= 10; ++seed) EXPECT_EQ(scenario(seed), "");
@@ -142,12 +142,12 @@
     const std::string frozen = world.Leader();
     world.OrderAt(frozen, 2, 1, "two");
     world.OrderAt(frozen, 5, 3, "five");
-    world.Freeze(frozen, Span(5000));
-    world.Run(Span(50));
+    world.Freeze(frozen, Duration(5000));
+    world.Run(Duration(50));
     if (Decide(world, 2, 1, "two") != Outcome::kTaken) return "not taken";
     if (Decide(world, 3, 2, "three") != Outcome::kTaken) return "not taken";
     if (Decide(world, 5, 3, "five") != Outcome::kTaken) return "not taken";
-    world.Run(Span(6000));
+    world.Run(Duration(6000));
     return BrokenInTheEnd(world, "five");
   };
   MustNeed(Safeguard::kContactBeforeRefusal, scenario);
@@ -182,7 +182,7 @@
   leader.Elect();
   leader.Receive(kThird, wire::LearnRequest{77, false});
   leader.Forget();
-  leader.now += Span(300);
+  leader.now += Duration(300);
   leader.Tick();
   leader.Propose({1, 0, {1, 1}, "one"});
   wire::HeartbeatReply reply;
@@ -205,15 +205,15 @@
     if (!Begin(world)) return "no first change";
     const std::string leader = world.Leader();
     const std::vector<std::string> others = world.Except(leader);
-    world.SetSync(leader, Span(1500));
+    world.SetSync(leader, Duration(1500));
     world.CutOff(others[1]);
     world.Order(2, 1, "two");
-    world.Run(Span(10));
+    world.Run(Duration(10));
     world.Wipe(others[0]);
     world.HealAll();
     world.Cut(leader, others[1]);
     world.Start(others[0]);
-    world.Run(Span(1700));
+    world.Run(Duration(1700));
     if (world.last_outcome() != Outcome::kTaken) return "";
     world.Wipe(leader);
     return BrokenInTheEnd(world, "two");
@@ -225,14 +225,14 @@
   // The leader and a newcomer are cut off from the other two at each moment of the exchange.
   const auto scenario = [](std::uint64_t seed) -> std::string {
     WorldOptions options = Options(7 + seed % 3);
-    options.most_delay = Span(60);
+    options.most_delay = Duration(60);
     World world(options);
     if (!Begin(world)) return "no first change";
     const std::string leader = world.Leader();
     const std::vector<std::string> others = world.Except(leader);
     const std::string fresh = world.AddMachine();
     world.Start(fresh);
-    world.Run(Span(1000));
+    world.Run(Duration(1000));
     const auto part = [&](const std::string& other) {
       for (const std::string& side : {leader, fresh}) {
         world.Cut(side, other);
@@ -240,9 +240,9 @@
       }
     };
     part(others[0]);
-    world.Run(Span(1000) + World::kStep * static_cast<int>(seed));
+    world.Run(Duration(1000) + World::kStep * static_cast<int>(seed));
     part(others[1]);
-    world.Run(Span(6000));
+    world.Run(Duration(6000));
     return BrokenInTheEnd(world);
   };
   MustNeed(Safeguard::kJointElectorate, scenario, 80);
@@ -270,7 +270,7 @@
       if (Decide(world, version, version - 1, std::to_string(version) + filler) != Outcome::kTaken)
         return "not taken";
     }
-    const bool caught_up = world.RunUntil([&] { return world.FullyReplicated(); }, Span(2000));
+    const bool caught_up = world.RunUntil([&] { return world.FullyReplicated(); }, Duration(2000));
     return caught_up ? "" : "the slow member is still taking old records";
   };
   MustNeed(Safeguard::kOneRecordUnderWay, scenario, 2);
@@ -294,17 +294,17 @@
   const auto scenario = [](std::uint64_t seed) -> std::string {
     World world(Options(seed));
     if (!world.RunUntilLed()) return "nobody leads";
-    world.Run(Span(300));
+    world.Run(Duration(300));
     const std::string leader = world.Leader();
     const std::vector<std::string> others = world.Except(leader);
     world.Cut(leader, others[1]);
     world.Cut(others[1], leader);
-    world.Run(Span(1400));
+    world.Run(Duration(1400));
     world.Cut(leader, others[0]);
     world.Cut(others[0], leader);
     world.Kill(others[0]);
     world.Start(others[0]);
-    world.Run(Span(3000));
+    world.Run(Duration(3000));
     return BrokenInTheEnd(world);
   };
   MustNeed(Safeguard::kQuietAfterRestart, scenario, 40);
@@ -326,9 +326,9 @@
     world.SetBootstrap(others[0]);
     world.HealAll();
     world.Start(others[0]);
-    world.Run(Span(1500));
+    world.Run(Duration(1500));
     world.Start(others[1]);
-    world.Run(Span(3000));
+    world.Run(Duration(3000));
     return BrokenInTheEnd(world, "two");
   };
   MustNeed(Safeguard::kFoundOnPristineDisk, scenario);
@@ -343,7 +343,7 @@
   world.Wipe(victim);
   world.SetBootstrap(victim);
   world.Start(victim);
-  ASSERT_TRUE(world.RunUntil([&] { return world.FullyReplicated(); }, Span(4000)));
+  ASSERT_TRUE(world.RunUntil([&] { return world.FullyReplicated(); }, Duration(4000)));
   EXPECT_NE(world.disk(victim).disk, 0u) << "it founded";
   EXPECT_EQ(world.disk(victim).record->configuration, "one");
   EXPECT_EQ(world.broken(), "");
--- a/tests/control_sim/worst_days_test.cpp
+++ b/tests/control_sim/worst_days_test.cpp
@@ -12,8 +12,8 @@
 namespace kestrelline::control_sim {
 namespace {
 
-constexpr Span kCatchUpOfThree{4000};  // catch_up_s of the small deployments
-constexpr Span kCatchUpOfFive{6000};   // and of the large ones
+constexpr Duration kCatchUpOfThree{4000};  // catch_up_s of the small deployments
+constexpr Duration kCatchUpOfFive{6000};   // and of the large ones
 
 WorldOptions Options(std::uint64_t seed, int members = 3, int proxies = 0) {
   WorldOptions options;
@@ -37,23 +37,23 @@
     World world(Options(seed, 3, 3));
     ASSERT_TRUE(world.RunUntilLed());
     ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
-    world.Run(Span(1000));
+    world.Run(Duration(1000));
     const std::string away = world.Leader();
     world.CutOff(away);
-    ASSERT_TRUE(world.RunUntil([&] { return world.replica(away).role() != Role::kLeader; }, Span(2200)));
+    ASSERT_TRUE(world.RunUntil([&] { return world.replica(away).role() != Role::kLeader; }, Duration(2200)));
     ASSERT_EQ(Decide(world, 2, 1, "two"), Outcome::kTaken);
     const Time taken = world.now();
     // All of them may still be at the one that is cut off: they leave it by the age of what it tells.
     const auto in_force = [&] {
       return world.proxy(0).version() == 2 && world.proxy(1).version() == 2 && world.proxy(2).version() == 2;
     };
-    EXPECT_TRUE(world.RunUntil(in_force, Span(2000))) << "seed " << seed;
+    EXPECT_TRUE(world.RunUntil(in_force, Duration(2000))) << "seed " << seed;
     world.RestartProxy(0, {away});
     for (const std::string& other : world.Except(away)) world.CutProxy(0, other);
-    world.Run(Span(20000) - (world.now() - taken));
+    world.Run(Duration(20000) - (world.now() - taken));
     EXPECT_EQ(world.proxy(0).version(), 0u) << "it took a configuration that nobody vouches for";
     world.HealAll();
-    EXPECT_TRUE(world.RunUntil(in_force, Span(3500))) << "seed " << seed;
+    EXPECT_TRUE(world.RunUntil(in_force, Duration(3500))) << "seed " << seed;
     EXPECT_EQ(world.broken(), "");
   }
 }
@@ -69,13 +69,13 @@
     const std::string first = world.Leader();
     world.OrderAt(first, 2, 1, "two");
     world.OrderAt(first, 2, 1, "two");
-    world.Run(Span(300));
+    world.Run(Duration(300));
     EXPECT_EQ(world.last_outcome(), Outcome::kTaken);
     // With another If-Match: that very configuration has been taken.
     EXPECT_EQ(Decide(world, 2, 7, "two"), Outcome::kTaken);
     // Lost on its way to an answer, committed by the next leader, sent again there.
     world.OrderAt(first, 3, 2, "three");
-    world.Run(Span(20));
+    world.Run(Duration(20));
     world.Kill(first);
     ASSERT_TRUE(world.RunUntilLed());
     EXPECT_EQ(Decide(world, 3, 2, "three"), Outcome::kTaken) << "seed " << seed;
@@ -107,7 +107,7 @@
   for (int race = 0; race < 40; ++race) {
     const auto one = world.Submit({version + 1, version, "one " + std::to_string(race)});
     const auto two = world.Submit({version + 1, version, "two " + std::to_string(race)});
-    ASSERT_TRUE(world.RunUntil([&] { return one->verdict && two->verdict; }, Span(6000)));
+    ASSERT_TRUE(world.RunUntil([&] { return one->verdict && two->verdict; }, Duration(6000)));
     EXPECT_NE(*one->verdict == Outcome::kTaken, *two->verdict == Outcome::kTaken);
     ++version;
   }
@@ -120,25 +120,25 @@
   int members;
   std::size_t bytes;  // of the configuration
   double link;        // bytes a millisecond of the repaired one; 0: no limit
-  Span sync;
+  Duration sync;
 };
 class RepairWindow : public ::testing::TestWithParam<Repair> {};
 
 // Wiped, and replaced for good: until the next loss is borne again.
 TEST_P(RepairWindow, IsShorterThanCatchUp) {
   const Repair& repair = GetParam();
-  const Span most = repair.members == 3 ? kCatchUpOfThree : kCatchUpOfFive;
+  const Duration most = repair.members == 3 ? kCatchUpOfThree : kCatchUpOfFive;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     for (const bool replaced : {false, true}) {
       WorldOptions options = Options(seed, repair.members);
       options.sync = repair.sync;
       World world(options);
-      ASSERT_TRUE(world.RunUntil([&] { return Whole(world, repair.members); }, Span(10000)));
+      ASSERT_TRUE(world.RunUntil([&] { return Whole(world, repair.members); }, Duration(10000)));
       ASSERT_EQ(Decide(world, 1, 0, std::string(repair.bytes, 'x')), Outcome::kTaken);
-      ASSERT_TRUE(world.RunUntil([&] { return Whole(world, repair.members); }, Span(5000)));
+      ASSERT_TRUE(world.RunUntil([&] { return Whole(world, repair.members); }, Duration(5000)));
       const std::string victim = world.names()[seed % world.names().size()];
       world.Wipe(victim);
-      world.Run(Span(1000));
+      world.Run(Duration(1000));
       const std::string back = replaced ? world.AddMachine() : victim;
       if (repair.link > 0) world.SetLinkRate(back, repair.link);
       world.Start(back);
@@ -151,22 +151,23 @@
         world.Wipe(other);  // the second loss, at once
         break;
       }
-      ASSERT_TRUE(world.RunUntilLed(Span(6000))) << "seed " << seed;
+      ASSERT_TRUE(world.RunUntilLed(Duration(6000))) << "seed " << seed;
       EXPECT_EQ(world.replica(world.Leader()).committed()->version, 1u);
       EXPECT_EQ(world.broken(), "");
     }
   }
 }
 INSTANTIATE_TEST_SUITE_P(Windows, RepairWindow,
-                         ::testing::Values(Repair{3, 1000, 0, Span(5)}, Repair{3, 400 * 1000, 1250, Span(5)},
-                                           Repair{3, 1000, 0, Span(150)}, Repair{5, 1000, 0, Span(5)},
-                                           Repair{5, 400 * 1000, 1250, Span(5)},
-                                           Repair{5, 1000, 0, Span(150)}));
+                         ::testing::Values(Repair{3, 1000, 0, Duration(5)},
+                                           Repair{3, 400 * 1000, 1250, Duration(5)},
+                                           Repair{3, 1000, 0, Duration(150)}, Repair{5, 1000, 0, Duration(5)},
+                                           Repair{5, 400 * 1000, 1250, Duration(5)},
+                                           Repair{5, 1000, 0, Duration(150)}));
 
 TEST(WorstDays, TwoThatAreWipedAtOnceOfFiveLearnFromTheOtherThree) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     World world(Options(seed, 5));
-    ASSERT_TRUE(world.RunUntil([&] { return Whole(world, 5); }, Span(10000)));
+    ASSERT_TRUE(world.RunUntil([&] { return Whole(world, 5); }, Duration(10000)));
     ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
     const std::string one = world.names()[seed % 5], two = world.names()[(seed + 1) % 5];
     const std::string restarts = world.names()[(seed + 2) % 5];
@@ -174,9 +175,9 @@
     world.Wipe(two);
     world.Start(one);
     world.Start(two);
-    world.Run(Span(100));
+    world.Run(Duration(100));
     world.Kill(restarts);  // one of those to learn from, in the middle of it
-    world.Run(Span(200));
+    world.Run(Duration(200));
     world.Start(restarts);
     ASSERT_TRUE(world.RunUntil([&] { return Whole(world, 5); }, kCatchUpOfFive)) << "seed " << seed;
     EXPECT_EQ(world.broken(), "");
@@ -197,10 +198,11 @@
       ASSERT_EQ(Decide(world, version, version - 1, std::to_string(version) + std::string(kBytes, 'x')),
                 Outcome::kTaken);
     }
-    world.Run(Span(1000));
+    world.Run(Duration(1000));
     const std::size_t before = world.RecordBytesTo(away);
     world.Start(away);
-    ASSERT_TRUE(world.RunUntil([&] { return world.FullyReplicated(); }, Span(1500))) << changes << " changes";
+    ASSERT_TRUE(world.RunUntil([&] { return world.FullyReplicated(); }, Duration(1500)))
+        << changes << " changes";
     bytes.push_back(world.RecordBytesTo(away) - before);
     EXPECT_EQ(world.broken(), "");
   }
