--- a/src/control_plane/operator_api.cpp
+++ b/src/control_plane/operator_api.cpp
@@ -36,7 +36,7 @@
 
 ApiResponse AnswerTo(Outcome outcome, std::uint64_t version) {
   switch (outcome) {
-    case Outcome::kTaken:
+    case Outcome::kCommitted:
       return JsonResponse(bhttp::status::ok, "{\"version\":" + std::to_string(version) + "}");
     case Outcome::kConflict:
       return ErrorResponse(bhttp::status::precondition_failed, "another version is current");
--- a/src/control_plane/orders.cpp
+++ b/src/control_plane/orders.cpp
@@ -11,7 +11,7 @@
   const wire::AcceptedChange same{change.version, change.digest};
   const auto& history = current.history;
   const bool known = std::find(history.rbegin(), history.rend(), same) != history.rend();
-  if (known && Enforced(Safeguard::kRecogniseOrders)) return Outcome::kTaken;
+  if (known && Enforced(Safeguard::kRecogniseOrders)) return Outcome::kCommitted;
   // Versions of changes that were taken rise: one below the oldest that is remembered may be a forgotten one.
   const bool forgotten = history.size() >= kMostHistory && change.version < history.front().version;
   if (forgotten) return Outcome::kForgotten;
--- a/src/control_plane/replica_leader.cpp
+++ b/src/control_plane/replica_leader.cpp
@@ -145,7 +145,7 @@
   if (!enough && Enforced(Safeguard::kQuorumOfCopies)) return;
   committed_ = lead_.current;
   if (lead_.order_in_flight) {
-    Emit(Decided{*std::exchange(lead_.order_in_flight, std::nullopt), Outcome::kTaken});
+    Emit(Decided{*std::exchange(lead_.order_in_flight, std::nullopt), Outcome::kCommitted});
   }
   SendHeartbeats(now, false);
   NextWork(now);
--- a/src/control_sim/audit.cpp
+++ b/src/control_sim/audit.cpp
@@ -14,7 +14,7 @@
 
 void Audit::Answered(Time now, const OperatorOrder& order, Outcome outcome) {
   const OperatorOrder* same = Acknowledged(order.version);
-  if (outcome == Outcome::kTaken) {
+  if (outcome == Outcome::kCommitted) {
     if (same != nullptr && same->body != order.body) Break(now, "two changes under one version");
     const auto base = successor_of_.find(order.builds_on);
     if (base != successor_of_.end() && base->second != order.version) {
--- a/src/control_sim/schedule.cpp
+++ b/src/control_sim/schedule.cpp
@@ -379,7 +379,7 @@
     if (!world_.RunUntil([&] { return order->verdict.has_value(); }, kOrderTakenWithin)) {
       return Fail("an order was not decided in calm times");
     }
-    if (order->verdict == Outcome::kTaken) version_ = order->order.version;
+    if (order->verdict == Outcome::kCommitted) version_ = order->order.version;
     if (!world_.RunUntil([this] { return world_.FullyReplicated(); }, kLedAgainWithin)) {
       return Fail("copies were not whole in calm times");
     }
--- a/src/control_sim/world_traffic.cpp
+++ b/src/control_sim/world_traffic.cpp
@@ -88,7 +88,7 @@
     if (Chance(options_.lost_answers)) return;
     At(now_ + Delay(kOperatorDelay), [this, progress, sends, outcome] {
       const bool clear =
-          outcome == Outcome::kTaken || outcome == Outcome::kConflict || outcome == Outcome::kOldVersion;
+          outcome == Outcome::kCommitted || outcome == Outcome::kConflict || outcome == Outcome::kOldVersion;
       // A call that was given up has no connection left to answer on.
       if (sends != progress->sends || progress->verdict) return;
       if (!clear) return At(now_ + kOperatorPause, [this, progress, sends] { AskAgain(progress, sends); });
--- a/tests/control_plane/replica_test.cpp
+++ b/tests/control_plane/replica_test.cpp
@@ -20,7 +20,7 @@
 TEST(Replica, AChangeIsAcknowledgedAndKnownToAll) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
-  EXPECT_EQ(Decide(world, 3, 0, "first"), Outcome::kTaken);
+  EXPECT_EQ(Decide(world, 3, 0, "first"), Outcome::kCommitted);
   world.Run(Duration(100));
   for (const std::string& name : world.names()) {
     ASSERT_TRUE(world.replica(name).committed());
@@ -33,8 +33,8 @@
 TEST(Replica, OfTwoChangesOnOneVersionExactlyOneIsTaken) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
-  ASSERT_EQ(Decide(world, 1, 0, "base"), Outcome::kTaken);
-  ASSERT_EQ(Decide(world, 2, 1, "one"), Outcome::kTaken);
+  ASSERT_EQ(Decide(world, 1, 0, "base"), Outcome::kCommitted);
+  ASSERT_EQ(Decide(world, 2, 1, "one"), Outcome::kCommitted);
   EXPECT_EQ(Decide(world, 2, 1, "other"), Outcome::kConflict);
   EXPECT_EQ(Decide(world, 3, 1, "third"), Outcome::kConflict);
   EXPECT_EQ(world.broken(), "");
@@ -43,16 +43,16 @@
 TEST(Replica, TheSameOrderAgainIsTakenAlsoAfterALaterOne) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
-  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
-  ASSERT_EQ(Decide(world, 2, 1, "two"), Outcome::kTaken);
-  EXPECT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
+  ASSERT_EQ(Decide(world, 2, 1, "two"), Outcome::kCommitted);
+  EXPECT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
   EXPECT_EQ(world.replica(world.Leader()).committed()->configuration, "two");
 }
 
 TEST(Replica, AVersionThatIsNotAboveTheCurrentOneIsRefused) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
-  ASSERT_EQ(Decide(world, 5, 0, "five"), Outcome::kTaken);
+  ASSERT_EQ(Decide(world, 5, 0, "five"), Outcome::kCommitted);
   EXPECT_EQ(Decide(world, 5, 5, "five again, but other"), Outcome::kOldVersion);
   EXPECT_EQ(Decide(world, 4, 5, "four"), Outcome::kOldVersion);
 }
@@ -66,8 +66,8 @@
     options.seed = seed;
     World world(options);
     ASSERT_TRUE(world.RunUntilLed());
-    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
-    ASSERT_EQ(Decide(world, 2, 1, "two"), Outcome::kTaken);
+    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
+    ASSERT_EQ(Decide(world, 2, 1, "two"), Outcome::kCommitted);
     const std::string leader = world.Leader();
     const std::string how = GetParam();
     if (how == "leader loses power") world.Kill(leader, false);
@@ -83,8 +83,8 @@
     }
     ASSERT_TRUE(world.RunUntilLed(Duration(4000))) << how << ", seed " << seed;
     EXPECT_EQ(world.replica(world.Leader()).committed()->configuration, "two") << how;
-    EXPECT_EQ(Decide(world, 2, 1, "two"), Outcome::kTaken);
-    EXPECT_EQ(Decide(world, 3, 2, "three"), Outcome::kTaken);
+    EXPECT_EQ(Decide(world, 2, 1, "two"), Outcome::kCommitted);
+    EXPECT_EQ(Decide(world, 3, 2, "three"), Outcome::kCommitted);
     EXPECT_EQ(world.broken(), "");
   }
 }
@@ -96,7 +96,7 @@
 TEST(Replica, AfterAllRestartNobodyWaitsForALeaseThatAllForgot) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
-  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
   for (const std::string& name : world.names()) world.Kill(name, false);
   for (const std::string& name : world.names()) world.Start(name);
   EXPECT_TRUE(world.RunUntilLed(Duration(700)));
@@ -110,7 +110,7 @@
     options.seed = seed;
     World world(options);
     ASSERT_TRUE(world.RunUntilLed());
-    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
     const std::string leader = world.Leader();
     const std::vector<std::string> others = world.Except(leader);
     world.Cut(leader, others[1]);
@@ -126,9 +126,9 @@
 TEST(Replica, AFullDiskHoldsNobodyUp) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
-  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
   world.SetDiskFull(world.Leader(), true);
-  EXPECT_EQ(Decide(world, 2, 1, "two", Duration(1500)), Outcome::kTaken);
+  EXPECT_EQ(Decide(world, 2, 1, "two", Duration(1500)), Outcome::kCommitted);
   EXPECT_EQ(world.broken(), "");
 }
 
@@ -139,7 +139,7 @@
     std::string slow = world.Leader();
     if (!leaders) slow = world.names()[0] == slow ? world.names()[1] : world.names()[0];
     world.SetSync(slow, Duration(3000));
-    EXPECT_EQ(Decide(world, 1, 0, "one", Duration(500)), Outcome::kTaken);
+    EXPECT_EQ(Decide(world, 1, 0, "one", Duration(500)), Outcome::kCommitted);
   }
 }
 
@@ -147,7 +147,7 @@
   // The leader's disk is slow: another's copy and its own unwritten one are no quorum.
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
-  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
   const std::string leader = world.Leader();
   const std::vector<std::string> others = world.Except(leader);
   world.SetSync(leader, Duration(2000));
@@ -156,7 +156,7 @@
   world.Run(Duration(500));
   EXPECT_EQ(world.last_outcome(), std::nullopt);
   world.RunUntil([&] { return world.last_outcome().has_value(); }, Duration(3000));
-  EXPECT_EQ(world.last_outcome(), Outcome::kTaken);
+  EXPECT_EQ(world.last_outcome(), Outcome::kCommitted);
 }
 
 TEST(Replica, ACopyOnALostDiskCountsNoMore) {
@@ -167,7 +167,7 @@
     options.seed = seed;
     World world(options);
     ASSERT_TRUE(world.RunUntilLed());
-    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
     const std::string leader = world.Leader();
     const std::vector<std::string> others = world.Except(leader);
     world.SetSync(leader, Duration(1500));
@@ -179,7 +179,7 @@
     world.Cut(leader, others[1]);
     world.Start(others[0]);
     world.Run(Duration(1000));
-    if (world.last_outcome() == Outcome::kTaken) {
+    if (world.last_outcome() == Outcome::kCommitted) {
       // Two disks hold it: any one of them may be lost.
       world.Wipe(leader);
       world.HealAll();
@@ -238,7 +238,7 @@
     options.most_delay = Duration(60);
     World world(options);
     ASSERT_TRUE(world.RunUntilLed());
-    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
     const std::string leader = world.Leader();
     const std::vector<std::string> others = world.Except(leader);
     const std::string fresh = world.AddMachine();
@@ -257,7 +257,7 @@
     ASSERT_EQ(world.broken(), "") << "moment " << moment;
     world.HealAll();
     ASSERT_TRUE(world.RunUntilLed());
-    EXPECT_EQ(Decide(world, 2, 1, "two"), Outcome::kTaken);
+    EXPECT_EQ(Decide(world, 2, 1, "two"), Outcome::kCommitted);
     ASSERT_EQ(world.broken(), "") << "moment " << moment;
   }
 }
@@ -265,7 +265,7 @@
 TEST(Replica, OneWithAnEmptyDiskDoesNotAcknowledgeBeforeItHasLearned) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
-  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
   const std::string leader = world.Leader();
   const std::vector<std::string> others = world.Except(leader);
   // Only the leader is there to learn from: that is no quorum of others.
@@ -288,7 +288,7 @@
     options.seed = seed;
     World world(options);
     ASSERT_TRUE(world.RunUntilLed());
-    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
     const std::string gone = world.names()[seed % 3];
     world.Wipe(gone);
     const std::string fresh = world.AddMachine();
@@ -307,7 +307,7 @@
     world.Wipe(second);
     ASSERT_TRUE(world.RunUntilLed());
     EXPECT_EQ(world.replica(world.Leader()).committed()->configuration, "one");
-    EXPECT_EQ(Decide(world, 2, 1, "two"), Outcome::kTaken);
+    EXPECT_EQ(Decide(world, 2, 1, "two"), Outcome::kCommitted);
     EXPECT_EQ(world.broken(), "");
   }
 }
@@ -334,7 +334,7 @@
                world.replica(leader).committed()->next_members.empty();
       },
       Duration(6000)));
-  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
   const std::string leader = world.Leader();
   int wiped = 0;
   for (const std::string& name : world.names()) {
@@ -429,7 +429,7 @@
     ASSERT_TRUE(world.RunUntilLed(Duration(6000))) << "seed " << seed << " round " << round;
     version = world.replica(world.Leader()).committed()->version;
     const std::uint64_t next = version + 1 + world.random()() % 3;
-    ASSERT_EQ(Decide(world, next, version, "calm " + std::to_string(round)), Outcome::kTaken)
+    ASSERT_EQ(Decide(world, next, version, "calm " + std::to_string(round)), Outcome::kCommitted)
         << "seed " << seed << " round " << round;
     version = next;
     ASSERT_EQ(world.broken(), "");
@@ -443,7 +443,7 @@
   options.seed = seed;
   World world(options);
   ASSERT_TRUE(world.RunUntilLed()) << "seed " << seed;
-  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
   const std::string leader = world.Leader();
   std::string away = world.names()[world.random()() % 3];
   world.CutOff(away);
@@ -469,7 +469,7 @@
   world.Run(Duration(2000));
   ASSERT_TRUE(world.RunUntilLed(Duration(8000))) << "seed " << seed;
   const std::uint64_t version = world.replica(world.Leader()).committed()->version;
-  ASSERT_EQ(Decide(world, version + 1, version, "after"), Outcome::kTaken) << "seed " << seed;
+  ASSERT_EQ(Decide(world, version + 1, version, "after"), Outcome::kCommitted) << "seed " << seed;
   ASSERT_EQ(world.broken(), "");
 }
 
--- a/tests/control_sim/safeguards_test.cpp
+++ b/tests/control_sim/safeguards_test.cpp
@@ -68,7 +68,7 @@
 }
 
 // Somebody leads, and the change that each scenario builds on is taken.
-bool Begin(World& world) { return world.RunUntilLed() && Decide(world, 1, 0, "one") == Outcome::kTaken; }
+bool Begin(World& world) { return world.RunUntilLed() && Decide(world, 1, 0, "one") == Outcome::kCommitted; }
 
 WorldOptions Options(std::uint64_t seed, int proxies = 0) {
   WorldOptions options;
@@ -112,7 +112,7 @@
     for (const std::string& other : world.Except(member)) world.CutProxy(0, other);
     world.Hold(member, World::ProxyName(0));
     world.Run(Duration(100));
-    if (Decide(world, 2, 1, "two") != Outcome::kTaken) return "not taken";
+    if (Decide(world, 2, 1, "two") != Outcome::kCommitted) return "not taken";
     world.Run(Duration(2600));
     // The proxy stands still meanwhile, so that it does not give the member up.
     return BrokenInTheEnd(world);
@@ -125,7 +125,7 @@
     world.Run(Duration(10));  // it has just subscribed
     world.FreezeProxy(0, Duration(4000));
     world.Run(Duration(100));
-    if (Decide(world, 2, 1, "two") != Outcome::kTaken) return "not taken";
+    if (Decide(world, 2, 1, "two") != Outcome::kCommitted) return "not taken";
     world.Run(Duration(5000));
     return BrokenInTheEnd(world);
   };
@@ -144,9 +144,9 @@
     world.OrderAt(frozen, 5, 3, "five");
     world.Freeze(frozen, Duration(5000));
     world.Run(Duration(50));
-    if (Decide(world, 2, 1, "two") != Outcome::kTaken) return "not taken";
-    if (Decide(world, 3, 2, "three") != Outcome::kTaken) return "not taken";
-    if (Decide(world, 5, 3, "five") != Outcome::kTaken) return "not taken";
+    if (Decide(world, 2, 1, "two") != Outcome::kCommitted) return "not taken";
+    if (Decide(world, 3, 2, "three") != Outcome::kCommitted) return "not taken";
+    if (Decide(world, 5, 3, "five") != Outcome::kCommitted) return "not taken";
     world.Run(Duration(6000));
     return BrokenInTheEnd(world, "five");
   };
@@ -194,7 +194,7 @@
   reply.disk = 77;
   leader.Receive(kThird, reply);
   ASSERT_EQ(leader.decided.size(), 1u);
-  EXPECT_EQ(leader.decided[0].outcome, Outcome::kTaken);
+  EXPECT_EQ(leader.decided[0].outcome, Outcome::kCommitted);
 }
 
 TEST(Safeguards, CopiesOnLostDisksAreForgotten) {
@@ -214,7 +214,7 @@
     world.Cut(leader, others[1]);
     world.Start(others[0]);
     world.Run(Duration(1700));
-    if (world.last_outcome() != Outcome::kTaken) return "";
+    if (world.last_outcome() != Outcome::kCommitted) return "";
     world.Wipe(leader);
     return BrokenInTheEnd(world, "two");
   };
@@ -267,7 +267,7 @@
     world.SetLinkRate(slow, 1250);
     const std::string filler(200 * 1000, 'x');
     for (std::uint64_t version = 1; version <= 60; ++version) {
-      if (Decide(world, version, version - 1, std::to_string(version) + filler) != Outcome::kTaken)
+      if (Decide(world, version, version - 1, std::to_string(version) + filler) != Outcome::kCommitted)
         return "not taken";
     }
     const bool caught_up = world.RunUntil([&] { return world.FullyReplicated(); }, Duration(2000));
@@ -319,7 +319,7 @@
     const std::string leader = world.Leader();
     const std::vector<std::string> others = world.Except(leader);
     world.CutOff(others[1]);
-    if (Decide(world, 2, 1, "two") != Outcome::kTaken) return "not taken";
+    if (Decide(world, 2, 1, "two") != Outcome::kCommitted) return "not taken";
     world.Kill(leader);
     world.Kill(others[1]);
     world.DamageDisk(others[0]);
@@ -338,7 +338,7 @@
   // An empty disk at its first start by the settings: another founder answers and knows better.
   World world(Options(3));
   ASSERT_TRUE(world.RunUntilLed());
-  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+  ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
   const std::string victim = world.Except(world.Leader())[0];
   world.Wipe(victim);
   world.SetBootstrap(victim);
--- a/tests/control_sim/worst_days_test.cpp
+++ b/tests/control_sim/worst_days_test.cpp
@@ -36,12 +36,12 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     World world(Options(seed, 3, 3));
     ASSERT_TRUE(world.RunUntilLed());
-    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
     world.Run(Duration(1000));
     const std::string away = world.Leader();
     world.CutOff(away);
     ASSERT_TRUE(world.RunUntil([&] { return world.replica(away).role() != Role::kLeader; }, Duration(2200)));
-    ASSERT_EQ(Decide(world, 2, 1, "two"), Outcome::kTaken);
+    ASSERT_EQ(Decide(world, 2, 1, "two"), Outcome::kCommitted);
     const Time taken = world.now();
     // All of them may still be at the one that is cut off: they leave it by the age of what it tells.
     const auto in_force = [&] {
@@ -64,21 +64,21 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     World world(Options(seed));
     ASSERT_TRUE(world.RunUntilLed());
-    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
     // Again while the first is under way, at the same leader.
     const std::string first = world.Leader();
     world.OrderAt(first, 2, 1, "two");
     world.OrderAt(first, 2, 1, "two");
     world.Run(Duration(300));
-    EXPECT_EQ(world.last_outcome(), Outcome::kTaken);
+    EXPECT_EQ(world.last_outcome(), Outcome::kCommitted);
     // With another If-Match: that very configuration has been taken.
-    EXPECT_EQ(Decide(world, 2, 7, "two"), Outcome::kTaken);
+    EXPECT_EQ(Decide(world, 2, 7, "two"), Outcome::kCommitted);
     // Lost on its way to an answer, committed by the next leader, sent again there.
     world.OrderAt(first, 3, 2, "three");
     world.Run(Duration(20));
     world.Kill(first);
     ASSERT_TRUE(world.RunUntilLed());
-    EXPECT_EQ(Decide(world, 3, 2, "three"), Outcome::kTaken) << "seed " << seed;
+    EXPECT_EQ(Decide(world, 3, 2, "three"), Outcome::kCommitted) << "seed " << seed;
     EXPECT_EQ(Decide(world, 3, 2, "another three"), Outcome::kConflict);
     EXPECT_EQ(world.broken(), "");
   }
@@ -92,7 +92,7 @@
   const Change old{7, 3, {9, 9}, "old"};
   EXPECT_EQ(control_plane::Judge(record, old), Outcome::kForgotten);
   const Change known{5003, 1, {3, 3}, "known"};
-  EXPECT_EQ(control_plane::Judge(record, known), Outcome::kTaken);
+  EXPECT_EQ(control_plane::Judge(record, known), Outcome::kCommitted);
   const Change stale{9000, 8000, {1, 2}, "stale"};
   EXPECT_EQ(control_plane::Judge(record, stale), Outcome::kConflict);
   record.history.erase(record.history.begin());
@@ -108,7 +108,7 @@
     const auto one = world.Submit({version + 1, version, "one " + std::to_string(race)});
     const auto two = world.Submit({version + 1, version, "two " + std::to_string(race)});
     ASSERT_TRUE(world.RunUntil([&] { return one->verdict && two->verdict; }, Duration(6000)));
-    EXPECT_NE(*one->verdict == Outcome::kTaken, *two->verdict == Outcome::kTaken);
+    EXPECT_NE(*one->verdict == Outcome::kCommitted, *two->verdict == Outcome::kCommitted);
     ++version;
   }
   EXPECT_EQ(world.broken(), "");
@@ -134,7 +134,7 @@
       options.sync = repair.sync;
       World world(options);
       ASSERT_TRUE(world.RunUntil([&] { return Whole(world, repair.members); }, Duration(10000)));
-      ASSERT_EQ(Decide(world, 1, 0, std::string(repair.bytes, 'x')), Outcome::kTaken);
+      ASSERT_EQ(Decide(world, 1, 0, std::string(repair.bytes, 'x')), Outcome::kCommitted);
       ASSERT_TRUE(world.RunUntil([&] { return Whole(world, repair.members); }, Duration(5000)));
       const std::string victim = world.names()[seed % world.names().size()];
       world.Wipe(victim);
@@ -168,7 +168,7 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     World world(Options(seed, 5));
     ASSERT_TRUE(world.RunUntil([&] { return Whole(world, 5); }, Duration(10000)));
-    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kTaken);
+    ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
     const std::string one = world.names()[seed % 5], two = world.names()[(seed + 1) % 5];
     const std::string restarts = world.names()[(seed + 2) % 5];
     world.Wipe(one);
@@ -196,7 +196,7 @@
     world.Kill(away);
     for (std::uint64_t version = 1; version <= changes; ++version) {
       ASSERT_EQ(Decide(world, version, version - 1, std::to_string(version) + std::string(kBytes, 'x')),
-                Outcome::kTaken);
+                Outcome::kCommitted);
     }
     world.Run(Duration(1000));
     const std::size_t before = world.RecordBytesTo(away);
@@ -217,7 +217,7 @@
     const std::vector<std::string> others = world.Except(leader);
     world.CutOff(others[0]);
     for (std::uint64_t version = 1; version <= 30; ++version) {
-      ASSERT_EQ(Decide(world, version, version - 1, std::to_string(version)), Outcome::kTaken);
+      ASSERT_EQ(Decide(world, version, version - 1, std::to_string(version)), Outcome::kCommitted);
     }
     // The one that missed them all and one that has them: together they lead only with the newest.
     world.Kill(leader, false);
