--- a/src/control_plane/replica_types.h
+++ b/src/control_plane/replica_types.h
@@ -63,7 +63,7 @@
 };
 
 enum class Outcome {
-  kTaken,       // committed, now or before
+  kCommitted,   // now or earlier
   kConflict,    // another version is current
   kOldVersion,  // the version is not above the current one
   kNotLeader,   // not decided here; it may have been taken if it was already under way
@@ -71,7 +71,7 @@
   kForgotten,   // so old that nobody knows any more whether it was taken
 };
 
-// What becomes of a change on top of `current`; kTaken also for one that was taken before. Nothing if it is
+// What becomes of a change on top of `current`; kCommitted also for one that was taken before. Nothing if it is
 // to be replicated.
 std::optional<Outcome> Judge(const wire::Record& current, const Change& change);
 // The record with that change on top.
