--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -302,7 +302,7 @@
       mesh_.Send(send->to, mesh_.Encode(send->body));
     } else if (auto* persist = std::get_if<Persist>(&effect)) {
       store_->Write(std::move(*persist));
-    } else if (const auto* decided = std::get_if<Decided>(&effect)) {
+    } else if (const auto* decided = std::get_if<ProposalResult>(&effect)) {
       const auto found = undecided_.find(decided->order);
       if (found == undecided_.end()) continue;
       const auto callback = std::move(found->second);
--- a/src/control_plane/replica_leader.cpp
+++ b/src/control_plane/replica_leader.cpp
@@ -145,7 +145,7 @@
   if (!enough && Enforced(Safeguard::kQuorumOfCopies)) return;
   committed_ = lead_.current;
   if (lead_.order_in_flight) {
-    Emit(Decided{*std::exchange(lead_.order_in_flight, std::nullopt), Outcome::kCommitted});
+    Emit(ProposalResult{*std::exchange(lead_.order_in_flight, std::nullopt), Outcome::kCommitted});
   }
   SendHeartbeats(now, false);
   NextWork(now);
@@ -188,7 +188,7 @@
     if (lead_.last_heartbeat <= front.arrived && now > front.arrived) SendHeartbeats(now, false);
     return false;
   }
-  Emit(Decided{front.number, *outcome});
+  Emit(ProposalResult{front.number, *outcome});
   lead_.orders.pop_front();
   return true;
 }
@@ -196,9 +196,9 @@
 std::uint64_t Replica::Propose(Time now, Change change) {
   const std::uint64_t number = next_order_++;
   if (!Leads(now)) {
-    Emit(Decided{number, Outcome::kNotLeader});
+    Emit(ProposalResult{number, Outcome::kNotLeader});
   } else if (lead_.orders.size() >= kMostOrders) {
-    Emit(Decided{number, Outcome::kOverloaded});
+    Emit(ProposalResult{number, Outcome::kOverloaded});
   } else {
     lead_.orders.push_back({number, std::move(change), now});
     NextWork(now);
@@ -208,9 +208,9 @@
 
 void Replica::FailOrders() {
   if (lead_.order_in_flight) {
-    Emit(Decided{*std::exchange(lead_.order_in_flight, std::nullopt), Outcome::kNotLeader});
+    Emit(ProposalResult{*std::exchange(lead_.order_in_flight, std::nullopt), Outcome::kNotLeader});
   }
-  for (const Order& order : lead_.orders) Emit(Decided{order.number, Outcome::kNotLeader});
+  for (const Order& order : lead_.orders) Emit(ProposalResult{order.number, Outcome::kNotLeader});
   lead_.orders.clear();
 }
 
--- a/src/control_plane/replica_types.h
+++ b/src/control_plane/replica_types.h
@@ -71,8 +71,8 @@
   kForgotten,   // so old that nobody knows any more whether it was taken
 };
 
-// What becomes of a change on top of `current`; kCommitted also for one that was taken before. Nothing if it is
-// to be replicated.
+// What becomes of a change on top of `current`; kCommitted also for one that was taken before. Nothing if it
+// is to be replicated.
 std::optional<Outcome> Judge(const wire::Record& current, const Change& change);
 // The record with that change on top.
 wire::Record Apply(const wire::Record& current, Change change);
@@ -90,11 +90,11 @@
   std::uint64_t disk = 0;
   wire::RecordPtr record;  // null: as before
 };
-struct Decided {
+struct ProposalResult {
   std::uint64_t order = 0;
   Outcome outcome = Outcome::kNotLeader;
 };
-using Effect = std::variant<Send, Persist, Decided>;
+using Effect = std::variant<Send, Persist, ProposalResult>;
 
 enum class Role { kLearner, kFollower, kCandidate, kLeader };
 const char* NameOf(Role role);
--- a/src/control_sim/world.cpp
+++ b/src/control_sim/world.cpp
@@ -264,7 +264,7 @@
       Transmit(name, std::move(*send));
     } else if (auto* persist = std::get_if<Persist>(&effect)) {
       WriteLater(name, *persist);
-    } else if (const auto* decided = std::get_if<control_plane::Decided>(&effect)) {
+    } else if (const auto* decided = std::get_if<control_plane::ProposalResult>(&effect)) {
       TakeDecision(name, *decided);
     }
   }
--- a/src/control_sim/world.h
+++ b/src/control_sim/world.h
@@ -228,7 +228,7 @@
   void Deliver(const std::string& from, const std::string& to, const wire::Body& body);
   void WriteLater(const std::string& name, const Persist& persist);
   void CountEvent(const std::string& name);
-  void TakeDecision(const std::string& name, const control_plane::Decided& decided);
+  void TakeDecision(const std::string& name, const control_plane::ProposalResult& decided);
 
   void ProposeAt(const std::string& name, const OperatorOrder& order, std::function<void(Outcome)> answer);
   void SendOrder(const std::shared_ptr<OrderInProgress>& progress, const std::string& member, int redirects);
--- a/src/control_sim/world_traffic.cpp
+++ b/src/control_sim/world_traffic.cpp
@@ -36,7 +36,7 @@
   Pump(name);
 }
 
-void World::TakeDecision(const std::string& name, const control_plane::Decided& decided) {
+void World::TakeDecision(const std::string& name, const control_plane::ProposalResult& decided) {
   const auto found = std::find_if(pending_.begin(), pending_.end(), [&](const auto& entry) {
     return entry.second.at == name && entry.second.number == decided.order &&
            entry.second.life == machines_[name].life;
--- a/tests/control_sim/driven_replica.h
+++ b/tests/control_sim/driven_replica.h
@@ -79,7 +79,7 @@
   }
 
   Time now;
-  std::vector<Decided> decided;
+  std::vector<ProposalResult> decided;
 
  private:
   static ReplicaOptions Options() {
@@ -100,7 +100,7 @@
     for (auto effects = replica_.TakeEffects(); !effects.empty(); effects = replica_.TakeEffects()) {
       for (Effect& effect : effects) {
         if (auto* send = std::get_if<Send>(&effect)) sent_.push_back(std::move(*send));
-        if (const auto* done = std::get_if<Decided>(&effect)) decided.push_back(*done);
+        if (const auto* done = std::get_if<ProposalResult>(&effect)) decided.push_back(*done);
         if (const auto* persist = std::get_if<Persist>(&effect))
           replica_.Persisted(now, persist->ticket, true);
       }
