--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -303,7 +303,7 @@
     } else if (auto* persist = std::get_if<Persist>(&effect)) {
       store_->Write(std::move(*persist));
     } else if (const auto* decided = std::get_if<ProposalResult>(&effect)) {
-      const auto found = undecided_.find(decided->order);
+      const auto found = undecided_.find(decided->proposal_id);
       if (found == undecided_.end()) continue;
       const auto callback = std::move(found->second);
       undecided_.erase(found);
--- a/src/control_sim/world_traffic.cpp
+++ b/src/control_sim/world_traffic.cpp
@@ -38,7 +38,7 @@
 
 void World::TakeDecision(const std::string& name, const control_plane::ProposalResult& decided) {
   const auto found = std::find_if(pending_.begin(), pending_.end(), [&](const auto& entry) {
-    return entry.second.at == name && entry.second.number == decided.order &&
+    return entry.second.at == name && entry.second.number == decided.proposal_id &&
            entry.second.life == machines_[name].life;
   });
   if (found == pending_.end()) return;
