--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -45,7 +45,7 @@
   return options;
 }
 
-Stored LoadFrom(Store* store) { return store ? store->Load() : Stored{}; }
+PersistentState LoadFrom(Store* store) { return store ? store->Load() : PersistentState{}; }
 
 }  // namespace
 
@@ -99,7 +99,7 @@
 }
 
 void ControlNode::TickLeave() {
-  if (!left_ || stopping_ || !replica_.MayStop(Now())) return;
+  if (!left_ || stopping_ || !replica_.CanStop(Now())) return;
   stopping_ = true;
   spdlog::info("draining");
   replica_.Resign(Now());
@@ -120,7 +120,7 @@
 bool ControlNode::Leads() const { return replica_.Leads(Now()); }
 
 std::string ControlNode::OtherLeader() const {
-  return replica_.leader() == settings_.ip ? std::string() : replica_.LiveLeader(Now());
+  return replica_.leader() == settings_.ip ? std::string() : replica_.LeaderWithinLease(Now());
 }
 
 std::string ControlNode::Members() const {
@@ -197,7 +197,7 @@
   for (const std::string& member : members) told.erase(member);
   told.erase(settings_.ip);
   if (told.empty()) return;
-  const mesh::Frame frame = mesh_.Encode(wire::Referral{{}, members, replica_.LiveLeader(Now())});
+  const mesh::Frame frame = mesh_.Encode(wire::Referral{{}, members, replica_.LeaderWithinLease(Now())});
   for (const std::string& gateway : told) mesh_.Send(gateway, frame);
 }
 
@@ -365,7 +365,7 @@
     };
     published.configurations = &configurations_;
   }
-  if (const auto certain = replica_.certain_at(now)) published.age = now - *certain;
+  if (const auto certain = replica_.committed_confirmed_at(now)) published.age = now - *certain;
   published.instances = instances_;
   published.lists = &lists_;
   published.instances_age = now - instances_read_;
--- a/src/control_plane/operator_api.cpp
+++ b/src/control_plane/operator_api.cpp
@@ -44,7 +44,7 @@
       return ErrorResponse(bhttp::status::bad_request, "version is not above the current one");
     case Outcome::kNotLeader:
     case Outcome::kOverloaded:
-    case Outcome::kForgotten:
+    case Outcome::kHistoryExpired:
       break;
   }
   return ErrorResponse(bhttp::status::service_unavailable, "not decided here, ask again");
--- a/src/control_plane/orders.cpp
+++ b/src/control_plane/orders.cpp
@@ -7,14 +7,14 @@
 
 namespace kestrelline::control_plane {
 
-std::optional<Outcome> Judge(const wire::Record& current, const Change& change) {
+std::optional<Outcome> EvaluateChange(const wire::Record& current, const Change& change) {
   const wire::AcceptedChange same{change.version, change.digest};
   const auto& history = current.history;
   const bool known = std::find(history.rbegin(), history.rend(), same) != history.rend();
   if (known && Enforced(Safeguard::kRecogniseOrders)) return Outcome::kCommitted;
   // Versions of changes that were taken rise: one below the oldest that is remembered may be a forgotten one.
-  const bool forgotten = history.size() >= kMostHistory && change.version < history.front().version;
-  if (forgotten) return Outcome::kForgotten;
+  const bool forgotten = history.size() >= kMaxHistory && change.version < history.front().version;
+  if (forgotten) return Outcome::kHistoryExpired;
   if (change.only_if_known || change.builds_on != current.version) return Outcome::kConflict;
   if (change.version <= current.version) return Outcome::kOldVersion;
   return std::nullopt;
@@ -25,7 +25,7 @@
   next.version = change.version;
   next.configuration = std::move(change.configuration);
   next.history.push_back({change.version, change.digest});
-  if (next.history.size() > kMostHistory) next.history.erase(next.history.begin());
+  if (next.history.size() > kMaxHistory) next.history.erase(next.history.begin());
   return next;
 }
 
--- a/src/control_plane/replica.cpp
+++ b/src/control_plane/replica.cpp
@@ -24,7 +24,7 @@
   return "unknown";
 }
 
-Replica::Replica(ReplicaOptions options, Stored stored, Time now)
+Replica::Replica(ReplicaOptions options, PersistentState stored, Time now)
     : options_(std::move(options)),
       random_(options_.random_seed),
       promised_(stored.promised),
@@ -152,7 +152,7 @@
   std::visit([&](const auto& message) { On(now, from, message); }, body);
 }
 
-std::optional<Time> Replica::certain_at(Time now) const {
+std::optional<Time> Replica::committed_confirmed_at(Time now) const {
   if (Leads(now)) return now;
   return heard_certain_;
 }
--- a/src/control_plane/replica.h
+++ b/src/control_plane/replica.h
@@ -31,11 +31,11 @@
 
 class Replica {
  public:
-  static constexpr std::size_t kMostOrders = 64;      // waiting; more are refused
+  static constexpr std::size_t kMaxPendingProposals = 64;  // waiting; more are refused
   static constexpr std::size_t kMostPersists = 8;     // under way at a follower; more records are dropped
   static constexpr std::size_t kMostKnownNodes = 64;  // of the control plane
 
-  Replica(ReplicaOptions options, Stored stored, Time now);
+  Replica(ReplicaOptions options, PersistentState stored, Time now);
 
   void Tick(Time now);
   void Receive(Time now, const std::string& from, const wire::Body& body);
@@ -45,9 +45,9 @@
   // Decided follows with the number returned.
   std::uint64_t Propose(Time now, Change change);
 
-  // The process is to stop. It goes on as a member until MayStop: a member that waits takes its seat first.
+  // The process is to stop. It goes on as a member until CanStop: a member that waits takes its seat first.
   void Leave(Time now);
-  bool MayStop(Time now) const;
+  bool CanStop(Time now) const;
   // The process stops at once: others need not wait for the lease to end.
   void Resign(Time now);
 
@@ -60,11 +60,11 @@
   // The member that led when last heard of; empty if none is known.
   const std::string& leader() const { return leader_; }
   // The same, while its lease holds as far as this member knows.
-  std::string LiveLeader(Time now) const { return now < lease_until_ ? leader_ : std::string(); }
+  std::string LeaderWithinLease(Time now) const { return now < lease_until_ ? leader_ : std::string(); }
   // The newest record known to be committed; null if none is.
   const wire::RecordPtr& committed() const { return committed_; }
   // A time by the own clock at or after which `committed` was the newest; nothing if never in this life.
-  std::optional<Time> certain_at(Time now) const;
+  std::optional<Time> committed_confirmed_at(Time now) const;
   // The newest probe that came from that member; 0 if none did. For what is sent to it beside heartbeats.
   std::uint64_t EchoFor(const std::string& member) const;
   // When this member sent the probe of that value; nothing if it is unknown.
--- a/src/control_plane/replica_leader.cpp
+++ b/src/control_plane/replica_leader.cpp
@@ -172,7 +172,7 @@
 // False if the front order has to wait, for its copies or for contact.
 bool Replica::DecideFront(Time now) {
   Order& front = lead_.orders.front();
-  const auto outcome = Judge(*lead_.current, front.change);
+  const auto outcome = EvaluateChange(*lead_.current, front.change);
   if (!outcome) {
     lead_.order_in_flight = front.number;
     wire::Record next = Apply(*lead_.current, std::move(front.change));
@@ -197,7 +197,7 @@
   const std::uint64_t number = next_order_++;
   if (!Leads(now)) {
     Emit(ProposalResult{number, Outcome::kNotLeader});
-  } else if (lead_.orders.size() >= kMostOrders) {
+  } else if (lead_.orders.size() >= kMaxPendingProposals) {
     Emit(ProposalResult{number, Outcome::kOverloaded});
   } else {
     lead_.orders.push_back({number, std::move(change), now});
--- a/src/control_plane/replica_membership.cpp
+++ b/src/control_plane/replica_membership.cpp
@@ -120,11 +120,11 @@
   successor_waits_ = true;  // until the leader says otherwise
   if (role_ == Role::kCandidate) StepDown(now);
   if (role_ == Role::kLeader) return NextWork(now);
-  const std::string leader = LiveLeader(now);
+  const std::string leader = LeaderWithinLease(now);
   if (voter_ && !leader.empty()) Reply(now, leader, epoch_, 0);
 }
 
-bool Replica::MayStop(Time now) const {
+bool Replica::CanStop(Time now) const {
   if (!Enforced(Safeguard::kLeaveByAgreement)) return true;
   if (!leaving_since_) return true;
   // A record without this member frees it only once it is committed: before that the others' disks may hold
@@ -138,7 +138,7 @@
   if (since >= options_.leave_patience) return true;
   if (since < options_.leave_least) return false;
   if (role_ != Role::kLeader) {
-    const bool leaderless = LiveLeader(now).empty();
+    const bool leaderless = LeaderWithinLease(now).empty();
     return leaderless ? since >= options_.leaderless_patience : !successor_waits_;
   }
   if (SuccessorInSight(now)) return false;
--- a/src/control_plane/replica_types.h
+++ b/src/control_plane/replica_types.h
@@ -44,7 +44,7 @@
 };
 
 // What a member has on disk.
-struct Stored {
+struct PersistentState {
   std::uint64_t promised = 0;
   std::uint64_t disk = 0;     // identity of this disk's contents; 0 on those of founders
   bool ever_written = false;  // something was stored there once, readable or not
@@ -63,21 +63,21 @@
 };
 
 enum class Outcome {
-  kCommitted,   // now or earlier
-  kConflict,    // another version is current
-  kOldVersion,  // the version is not above the current one
-  kNotLeader,   // not decided here; it may have been taken if it was already under way
-  kOverloaded,  // too many orders wait
-  kForgotten,   // so old that nobody knows any more whether it was taken
+  kCommitted,       // now or earlier
+  kConflict,        // another version is current
+  kOldVersion,      // the version is not above the current one
+  kNotLeader,       // not decided here; it may have been taken if it was already under way
+  kOverloaded,      // too many orders wait
+  kHistoryExpired,  // so old that nobody knows any more whether it was taken
 };
 
 // What becomes of a change on top of `current`; kCommitted also for one that was taken before. Nothing if it
 // is to be replicated.
-std::optional<Outcome> Judge(const wire::Record& current, const Change& change);
+std::optional<Outcome> EvaluateChange(const wire::Record& current, const Change& change);
 // The record with that change on top.
 wire::Record Apply(const wire::Record& current, Change change);
 
-inline constexpr std::size_t kMostHistory = 2048;  // orders recognised when they are sent again
+inline constexpr std::size_t kMaxHistory = 2048;  // orders recognised when they are sent again
 
 struct Send {
   std::string to;
--- a/src/control_plane/store.cpp
+++ b/src/control_plane/store.cpp
@@ -128,9 +128,9 @@
          sqlite3_step(prepared.get()) == SQLITE_DONE;
 }
 
-Stored Store::Load() {
+PersistentState Store::Load() {
   const auto promised = Number("SELECT epoch FROM promise WHERE id=1");
-  Stored nothing;
+  PersistentState nothing;
   nothing.ever_written = promised.has_value() || Number("SELECT files FROM damage WHERE id=1").has_value();
   const Statement body = Prepare(database_, "SELECT digest, body FROM record WHERE id=1");
   if (!promised || !body || sqlite3_step(body.get()) != SQLITE_ROW) return nothing;
@@ -139,7 +139,7 @@
   if (sqlite3_column_int64(body.get(), 0) != DigestOf(bytes)) return nothing;
   auto record = wire::DecodeRecord(bytes);
   if (!record) return nothing;
-  Stored stored;
+  PersistentState stored;
   stored.ever_written = true;
   stored.promised = static_cast<std::uint64_t>(*promised);
   stored.disk = static_cast<std::uint64_t>(Number("SELECT identity FROM disk WHERE id=1").value_or(0));
--- a/src/control_plane/store.h
+++ b/src/control_plane/store.h
@@ -37,7 +37,7 @@
   static std::unique_ptr<Store> Open(const std::string& directory, std::error_code& error);
 
   // What was last written; nothing where its digest does not match.
-  Stored Load();
+  PersistentState Load();
   // All in one transaction; a null record stays as it was.
   std::error_code Write(std::uint64_t promised, std::uint64_t disk, const wire::Record* record);
 
--- a/src/control_sim/world.cpp
+++ b/src/control_sim/world.cpp
@@ -237,7 +237,7 @@
   if (!machine.replica) return;
   PublishIfDue(name);
   GiveStageOrder(name);
-  if (machine.stopping && machine.replica->MayStop(LocalTime(machine))) {
+  if (machine.stopping && machine.replica->CanStop(LocalTime(machine))) {
     machine.replica->Resign(LocalTime(machine));
     Pump(name);
     Kill(name);
--- a/src/control_sim/world.h
+++ b/src/control_sim/world.h
@@ -29,10 +29,10 @@
 
 using control_plane::Change;
 using control_plane::Persist;
+using control_plane::PersistentState;
 using control_plane::Replica;
 using control_plane::ReplicaOptions;
 using control_plane::Role;
-using control_plane::Stored;
 
 struct WorldOptions {
   int members = 3;
@@ -90,7 +90,7 @@
   void ThawAll();
   bool Running(const std::string& name) const { return machines_.at(name).replica != nullptr; }
   Replica& replica(const std::string& name) { return *machines_[name].replica; }
-  const Stored& disk(const std::string& name) const { return machines_.at(name).disk; }
+  const PersistentState& disk(const std::string& name) const { return machines_.at(name).disk; }
 
   // --- links and disks ---
 
@@ -159,7 +159,7 @@
     bool bootstrap = false;
     std::vector<std::string> seeds;
     std::unique_ptr<Replica> replica;
-    Stored disk;
+    PersistentState disk;
     std::vector<Persist> writing;
     bool disk_full = false;
     Duration sync{0};
--- a/src/control_sim/world_traffic.cpp
+++ b/src/control_sim/world_traffic.cpp
@@ -101,7 +101,7 @@
     OnMachine(member, life, [this, progress, member, redirects, answered, sends] {
       Machine& machine = machines_[member];
       if (Leads(machine)) return ProposeAt(member, progress->order, answered);
-      const std::string leader = machine.replica->LiveLeader(LocalTime(machine));
+      const std::string leader = machine.replica->LeaderWithinLease(LocalTime(machine));
       const bool go_on = !leader.empty() && leader != member && redirects < kMostRedirects;
       if (!go_on || sends != progress->sends) return answered(Outcome::kNotLeader);
       SendOrder(progress, leader, redirects + 1);
@@ -151,7 +151,7 @@
       return std::shared_ptr<const std::string>(record, &record->configuration);
     };
   }
-  if (const auto certain = machine.replica->certain_at(local)) published.age = local - *certain;
+  if (const auto certain = machine.replica->committed_confirmed_at(local)) published.age = local - *certain;
   published.control_peers = machine.replica->KnownNodes();
   for (auto& [proxy, subscriber] : machine.subscribers) SendPublication(name, proxy, subscriber, published);
 }
--- a/tests/control_plane/leave_test.cpp
+++ b/tests/control_plane/leave_test.cpp
@@ -27,7 +27,7 @@
 
 // A member that waited for a seat: it knows a committed record in which it has none.
 DrivenReplica Newcomer() {
-  Stored stored;
+  PersistentState stored;
   stored.ever_written = true;
   stored.promised = 1;
   stored.record = WithoutSelf({1, 5});
@@ -39,7 +39,7 @@
 TEST(Leave, ANewcomerWithoutASeatMayStopAtOnce) {
   DrivenReplica member = Newcomer();
   member.replica().Leave(member.now);
-  EXPECT_TRUE(member.replica().MayStop(member.now));
+  EXPECT_TRUE(member.replica().CanStop(member.now));
 }
 
 // Its copy may be one of those that an acknowledgement to the operator rests on: the leader commits with it
@@ -51,12 +51,12 @@
   ASSERT_NE(reply, nullptr);
   ASSERT_EQ(reply->stored, (wire::Position{1, 6}));
   member.replica().Leave(member.now);
-  EXPECT_FALSE(member.replica().MayStop(member.now + kSoon));
+  EXPECT_FALSE(member.replica().CanStop(member.now + kSoon));
 }
 
 // The rule that was there before: a record without it frees a member only once it is committed.
 TEST(Leave, AMemberStaysUntilARecordWithoutItIsCommitted) {
-  Stored stored;
+  PersistentState stored;
   stored.ever_written = true;
   stored.promised = 1;
   stored.record = RecordAt({1, 5}, 1);
@@ -64,15 +64,15 @@
   member.Receive(kSecond, CommittedAt({1, 5}));
   member.replica().Leave(member.now);
   member.Receive(kSecond, wire::Append{1, WithoutSelf({1, 6})});
-  EXPECT_FALSE(member.replica().MayStop(member.now + kSoon));
+  EXPECT_FALSE(member.replica().CanStop(member.now + kSoon));
   member.Receive(kSecond, CommittedAt({1, 6}));
-  EXPECT_TRUE(member.replica().MayStop(member.now + kSoon));
+  EXPECT_TRUE(member.replica().CanStop(member.now + kSoon));
 }
 
 // A leader of three whose newest record is committed by its own copy and the second member's; the third is
 // slow to store it.
 DrivenReplica LeaderWithASlowThird() {
-  Stored stored;
+  PersistentState stored;
   stored.ever_written = true;
   stored.promised = 1;
   stored.record = RecordAt({1, 5}, 1);
@@ -108,7 +108,7 @@
   leader.Tick();
   ASSERT_TRUE(leader.replica().Leads(leader.now));
   leader.replica().Leave(leader.now);
-  EXPECT_TRUE(leader.replica().MayStop(RunPastResignPatience(leader)));
+  EXPECT_TRUE(leader.replica().CanStop(RunPastResignPatience(leader)));
 }
 
 TEST(Leave, ALeaderWithTheOnlyCopyStaysUntilAnotherMemberHasStoredIt) {
@@ -120,9 +120,9 @@
   constexpr std::uint64_t kNewDisk = 77;
   leader.Receive(kSecond, wire::LearnRequest{kNewDisk, false});  // its disk is gone, and the copy with it
   leader.replica().Leave(leader.now);
-  EXPECT_FALSE(leader.replica().MayStop(RunPastResignPatience(leader)));
+  EXPECT_FALSE(leader.replica().CanStop(RunPastResignPatience(leader)));
   leader.Answer(kThird, leader.replica().epoch());
-  EXPECT_TRUE(leader.replica().MayStop(leader.now));
+  EXPECT_TRUE(leader.replica().CanStop(leader.now));
 }
 
 }  // namespace
--- a/tests/control_plane/replica_test.cpp
+++ b/tests/control_plane/replica_test.cpp
@@ -25,7 +25,7 @@
   for (const std::string& name : world.names()) {
     ASSERT_TRUE(world.replica(name).committed());
     EXPECT_EQ(world.replica(name).committed()->configuration, "first");
-    EXPECT_TRUE(world.replica(name).certain_at(world.now()));
+    EXPECT_TRUE(world.replica(name).committed_confirmed_at(world.now()));
   }
   EXPECT_EQ(world.broken(), "");
 }
@@ -368,12 +368,12 @@
   ASSERT_TRUE(world.RunUntilLed());
   world.HealAll();
   const std::string leader = world.Leader();
-  for (std::size_t i = 0; i < Replica::kMostOrders + 1; ++i)
+  for (std::size_t i = 0; i < Replica::kMaxPendingProposals + 1; ++i)
     world.OrderAt(leader, i + 1, i, std::to_string(i));
   world.OrderAt(leader, 1000, 999, "too many");
   EXPECT_EQ(world.last_outcome(), Outcome::kOverloaded);
   world.Run(Duration(3000));
-  EXPECT_EQ(world.newest_acknowledged(), Replica::kMostOrders + 1);
+  EXPECT_EQ(world.newest_acknowledged(), Replica::kMaxPendingProposals + 1);
 }
 
 // --- random schedules ---
--- a/tests/control_plane/store_test.cpp
+++ b/tests/control_plane/store_test.cpp
@@ -38,7 +38,7 @@
 };
 
 TEST_F(StoreTest, AnEmptyOneHoldsNothing) {
-  const Stored stored = Open()->Load();
+  const PersistentState stored = Open()->Load();
   EXPECT_EQ(stored.promised, 0u);
   EXPECT_EQ(stored.record, nullptr);
 }
@@ -50,7 +50,7 @@
     ASSERT_FALSE(store->Write(3, 0, &record));
     ASSERT_FALSE(store->Write(4, 0, nullptr));
   }
-  const Stored stored = Open()->Load();
+  const PersistentState stored = Open()->Load();
   EXPECT_EQ(stored.promised, 4u);
   ASSERT_TRUE(stored.record);
   EXPECT_EQ(stored.record->configuration.size(), 200000u);
--- a/tests/control_sim/driven_replica.h
+++ b/tests/control_sim/driven_replica.h
@@ -26,7 +26,7 @@
 
 class DrivenReplica {
  public:
-  explicit DrivenReplica(Stored stored, Time start = Time(10000))
+  explicit DrivenReplica(PersistentState stored, Time start = Time(10000))
       : now(start), replica_(Options(), std::move(stored), start) {}
 
   Replica& replica() { return replica_; }
--- a/tests/control_sim/safeguards_test.cpp
+++ b/tests/control_sim/safeguards_test.cpp
@@ -94,7 +94,7 @@
     const Time sent = follower.now;
     follower.now += Duration(10000);
     follower.Receive(kSecond, beat);
-    const auto certain = follower.replica().certain_at(follower.now);
+    const auto certain = follower.replica().committed_confirmed_at(follower.now);
     if (!certain) return "never certain";
     return *certain > sent + Duration(50) ? "vouches for what it knew ten seconds ago" : "";
   };
--- a/tests/control_sim/worst_days_test.cpp
+++ b/tests/control_sim/worst_days_test.cpp
@@ -87,16 +87,15 @@
 TEST(WorstDays, AnOrderOlderThanTheHistoryGetsNoVerdict) {
   wire::Record record;
   record.version = 10000;
-  for (std::uint64_t i = 0; i < control_plane::kMostHistory; ++i)
-    record.history.push_back({5000 + i, {i, i}});
+  for (std::uint64_t i = 0; i < control_plane::kMaxHistory; ++i) record.history.push_back({5000 + i, {i, i}});
   const Change old{7, 3, {9, 9}, "old"};
-  EXPECT_EQ(control_plane::Judge(record, old), Outcome::kForgotten);
+  EXPECT_EQ(control_plane::EvaluateChange(record, old), Outcome::kHistoryExpired);
   const Change known{5003, 1, {3, 3}, "known"};
-  EXPECT_EQ(control_plane::Judge(record, known), Outcome::kCommitted);
+  EXPECT_EQ(control_plane::EvaluateChange(record, known), Outcome::kCommitted);
   const Change stale{9000, 8000, {1, 2}, "stale"};
-  EXPECT_EQ(control_plane::Judge(record, stale), Outcome::kConflict);
+  EXPECT_EQ(control_plane::EvaluateChange(record, stale), Outcome::kConflict);
   record.history.erase(record.history.begin());
-  EXPECT_EQ(control_plane::Judge(record, old), Outcome::kConflict) << "nothing was forgotten yet";
+  EXPECT_EQ(control_plane::EvaluateChange(record, old), Outcome::kConflict) << "nothing was forgotten yet";
 }
 
 TEST(WorstDays, FortyRacesWithAMemberInTheDarkTakeOneOfTwoEach) {
