--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -38,7 +38,7 @@
   options.self = settings.ip;
   options.bootstrap = settings.bootstrap;
   options.counts_for_quorum = settings.counts_for_quorum;
-  options.tolerated = std::max(settings.fault_tolerance.machines, settings.fault_tolerance.zones);
+  options.max_lost_members = std::max(settings.fault_tolerance.machines, settings.fault_tolerance.zones);
   options.seeds = settings.SeedIps();
   options.leave_patience = std::min(options.leave_patience, settings.bounds.grace - kDrainReserve);
   options.random_seed = std::random_device{}();
--- a/src/control_plane/electorate.h
+++ b/src/control_plane/electorate.h
@@ -15,17 +15,17 @@
 using NodeSet = std::set<std::string>;
 
 // How many of `members` make a quorum: a majority, and one more than may be lost with their disks.
-std::size_t QuorumSize(std::size_t members, int tolerated);
+std::size_t QuorumSize(std::size_t members, int max_lost_members);
 
 // Whether `nodes` are a quorum of the record's electorate: while it is exchanged, of the old and of the new
 // one.
-bool IsQuorum(const wire::Record& record, const NodeSet& nodes, int tolerated);
+bool IsQuorum(const wire::Record& record, const NodeSet& nodes, int max_lost_members);
 
 // All who have a vote by that record.
 NodeSet Electors(const wire::Record& record);
 
 // The size that an electorate is grown to where there are enough machines.
-std::size_t TargetSize(int tolerated);
+std::size_t TargetSize(int max_lost_members);
 
 }  // namespace kestrelline::control_plane
 
--- a/src/control_plane/replica_candidate.cpp
+++ b/src/control_plane/replica_candidate.cpp
@@ -79,7 +79,7 @@
     candidate_.nobody_leads = true;
     candidate_.votes.insert(candidate_.held_votes.begin(), candidate_.held_votes.end());
   }
-  if (!IsQuorum(*candidate_.best, candidate_.votes, options_.tolerated)) return;
+  if (!IsQuorum(*candidate_.best, candidate_.votes, options_.max_lost_members)) return;
   if (candidate_.pre_vote) return StandForEpoch(now);
   if (candidate_.on_disk && Electors(*candidate_.best).contains(options_.self)) Lead(now);
 }
--- a/src/control_plane/replica_leader.cpp
+++ b/src/control_plane/replica_leader.cpp
@@ -79,7 +79,7 @@
   for (const auto& [node, peer] : lead_.peers) {
     if (peer.acked && *peer.acked > since) in_contact.insert(node);
   }
-  return IsQuorum(*lead_.current, in_contact, options_.tolerated);
+  return IsQuorum(*lead_.current, in_contact, options_.max_lost_members);
 }
 
 bool Replica::Leads(Time now) const {
@@ -141,7 +141,7 @@
   for (const auto& [node, peer] : lead_.peers) {
     if (peer.stored >= lead_.current->position) holders.insert(node);
   }
-  const bool enough = IsQuorum(*lead_.current, holders, options_.tolerated);
+  const bool enough = IsQuorum(*lead_.current, holders, options_.max_lost_members);
   if (!enough && Enforced(Safeguard::kQuorumOfCopies)) return;
   committed_ = lead_.current;
   if (lead_.order_in_flight) {
--- a/src/control_plane/replica_learner.cpp
+++ b/src/control_plane/replica_learner.cpp
@@ -113,7 +113,7 @@
     if (!newest || answer.record->position > newest->position) newest = answer.record;
   }
   const bool enough =
-      IsQuorum(*newest, teachers, options_.tolerated) || !Enforced(Safeguard::kLearnBeforeVoting);
+      IsQuorum(*newest, teachers, options_.max_lost_members) || !Enforced(Safeguard::kLearnBeforeVoting);
   if (!enough || !writings_.empty()) return;
   promised_ = std::max(promised_, promised);
   highest_seen_ = std::max(highest_seen_, promised_);
--- a/src/control_plane/replica_membership.cpp
+++ b/src/control_plane/replica_membership.cpp
@@ -72,7 +72,7 @@
   std::vector<std::string> next = lead_.current->members;
   auto replaced =
       std::find_if(next.begin(), next.end(), [this](const std::string& member) { return IsLeaving(member); });
-  const std::size_t target = TargetSize(options_.tolerated);
+  const std::size_t target = TargetSize(options_.max_lost_members);
   if (replaced == next.end() && next.size() < target) {
     const std::size_t room = std::min(target - next.size(), successors.size());
     next.insert(next.end(), successors.begin(), successors.begin() + static_cast<std::ptrdiff_t>(room));
@@ -109,7 +109,8 @@
 // All that there can be; after a while as many as members may be lost, so that never the only copy leaves.
 bool Replica::EnoughCopiesElsewhere(Duration since_leaving) const {
   const std::size_t others = Electors(*lead_.current).size() - 1;
-  const std::size_t needed = std::min(others, static_cast<std::size_t>(std::max(1, options_.tolerated)));
+  const std::size_t needed =
+      std::min(others, static_cast<std::size_t>(std::max(1, options_.max_lost_members)));
   const std::size_t copies = CopiesElsewhere();
   return copies >= others || (copies >= needed && since_leaving >= options_.resign_patience);
 }
--- a/src/control_plane/replica_types.h
+++ b/src/control_plane/replica_types.h
@@ -22,7 +22,7 @@
   std::string self;
   bool bootstrap = false;  // the first start of the whole system
   bool counts_for_quorum = true;
-  int tolerated = 1;               // members that may be lost with their disks
+  int max_lost_members = 1;        // members that may be lost with their disks
   std::vector<std::string> seeds;  // the first electorate; later whom to ask
   std::uint64_t random_seed = 1;
 
--- a/src/control_sim/schedule.cpp
+++ b/src/control_sim/schedule.cpp
@@ -221,7 +221,7 @@
   void WipeSome(Random& random) {
     std::vector<std::string> electors = Electors();
     std::shuffle(electors.begin(), electors.end(), random);
-    electors.resize(std::min(electors.size(), static_cast<std::size_t>(day_.options.tolerated)));
+    electors.resize(std::min(electors.size(), static_cast<std::size_t>(day_.options.max_lost_members)));
     for (const std::string& name : electors) world_.Wipe(name);
     world_.Run(Between(random, 0, 1200));
     for (const std::string& name : electors) world_.Start(name);
@@ -409,7 +409,7 @@
   Day day;
   day.options.seed = seed;
   day.options.members = members;
-  day.options.tolerated = members / 2;
+  day.options.max_lost_members = members / 2;
   day.options.proxies = 3;
   day.options.start_spread = Duration(300);
   day.options.loss = seed % 4 == 0 ? 0.03 : 0;
--- a/src/control_sim/world.cpp
+++ b/src/control_sim/world.cpp
@@ -64,7 +64,7 @@
   ReplicaOptions options;
   options.self = name;
   options.bootstrap = machine.bootstrap;
-  options.tolerated = options_.tolerated;
+  options.max_lost_members = options_.max_lost_members;
   options.seeds = machine.seeds;
   options.random_seed = random_();
   machine.replica = std::make_unique<Replica>(options, machine.disk, LocalTime(machine));
--- a/src/control_sim/world.h
+++ b/src/control_sim/world.h
@@ -37,7 +37,7 @@
 struct WorldOptions {
   int members = 3;
   int founders = 3;  // named as seeds
-  int tolerated = 1;
+  int max_lost_members = 1;
   int proxies = 0;
   std::uint64_t seed = 1;
   double loss = 0;      // of messages between members
--- a/tests/control_plane/replica_test.cpp
+++ b/tests/control_plane/replica_test.cpp
@@ -325,7 +325,7 @@
 TEST(Replica, FiveGrowFromThreeAndBearTheLossOfTwoDisks) {
   WorldOptions options;
   options.members = 5;
-  options.tolerated = 2;
+  options.max_lost_members = 2;
   World world(options);
   ASSERT_TRUE(world.RunUntil(
       [&] {
--- a/tests/control_sim/worst_days_test.cpp
+++ b/tests/control_sim/worst_days_test.cpp
@@ -19,7 +19,7 @@
   WorldOptions options;
   options.seed = seed;
   options.members = members;
-  options.tolerated = members / 2;
+  options.max_lost_members = members / 2;
   options.proxies = proxies;
   return options;
 }
