--- a/src/control_plane/replica_types.h
+++ b/src/control_plane/replica_types.h
@@ -91,7 +91,7 @@
   wire::RecordPtr record;  // null: as before
 };
 struct ProposalResult {
-  std::uint64_t order = 0;
+  std::uint64_t proposal_id = 0;
   Outcome outcome = Outcome::kNotLeader;
 };
 using Effect = std::variant<Send, Persist, ProposalResult>;
