--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -234,7 +234,7 @@
 
 void ControlNode::SetList(wire::InstanceListPtr list) {
   instances_ = std::move(list);
-  loads_.TakeList(*instances_);
+  loads_.SetInstances(*instances_);
   lists_.Add(instances_);
 }
 
@@ -418,14 +418,14 @@
     const bool leads = Leads();
     if (leads) {
       auto instances = co_await reader_.Read();
-      if (instances && Leads()) TakeList(std::move(*instances));
+      if (instances && Leads()) SetInstances(std::move(*instances));
     }
     timer.expires_at(began + (leads ? kReadListEvery : kLeadPoll));
     co_await timer.async_wait(kTuple);
   }
 }
 
-void ControlNode::TakeList(std::vector<wire::Instance> instances) {
+void ControlNode::SetInstances(std::vector<wire::Instance> instances) {
   for (wire::Instance& instance : instances) instance.warmup_left_ms = 0;  // changes all the time; not used
   listed_ = std::move(instances);
   instances_read_ = Now();
--- a/src/control_plane/control_node.h
+++ b/src/control_plane/control_node.h
@@ -79,7 +79,7 @@
   http::Awaitable<void> ReadListWhileLeading();
   void MoveStages();
   http::Awaitable<void> Order(StageOrder order);
-  void TakeList(std::vector<wire::Instance> instances);
+  void SetInstances(std::vector<wire::Instance> instances);
   void ShowList();
 
   http::asio::io_context& io_;
--- a/src/control_plane/load_sharing.cpp
+++ b/src/control_plane/load_sharing.cpp
@@ -5,7 +5,7 @@
 
 namespace kestrelline::control_plane {
 
-void LoadSharing::TakeList(const wire::InstanceList& list) {
+void LoadSharing::SetInstances(const wire::InstanceList& list) {
   backends_by_zone_.clear();
   for (const wire::Instance& instance : list.instances)
     backends_by_zone_[instance.zone].insert(hashing::Fnv1a(instance.id));
--- a/src/control_plane/load_sharing.h
+++ b/src/control_plane/load_sharing.h
@@ -33,7 +33,7 @@
   distribution::LoadBoard& board() { return board_; }
 
   // Where backends are: those of a proxy's zone matter most to it.
-  void TakeList(const wire::InstanceList& list);
+  void SetInstances(const wire::InstanceList& list);
 
   struct Told {
     std::optional<wire::LoadChanges> to_members;
--- a/tests/distribution/load_feed_test.cpp
+++ b/tests/distribution/load_feed_test.cpp
@@ -216,7 +216,7 @@
   constexpr int kBackends = 3000, kZones = 15, kProxies = 25, kSeconds = 10;
   control_plane::LoadSharing sharing;
   const wire::InstanceList list = ListOf(kBackends, kZones);
-  sharing.TakeList(list);
+  sharing.SetInstances(list);
   std::set<std::string> zones;
   for (int z = 0; z < kZones; ++z) zones.insert("z" + std::to_string(z));
   std::mt19937_64 draw(1);
