--- a/src/control_plane/control_gateway.cpp
+++ b/src/control_plane/control_gateway.cpp
@@ -14,17 +14,17 @@
 
 using namespace http;
 
-constexpr milliseconds kMemberPatience{250};  // for the answer of one member
-constexpr milliseconds kCallPatience{900};    // callers go on elsewhere after a second
-constexpr milliseconds kKnownEvery{1000};     // makes itself known to members
-constexpr milliseconds kDraining{250};        // for answers that are under way at the end
-constexpr milliseconds kExitMargin{350};      // before `grace_s` is over, as a proxy's
+constexpr milliseconds kMemberTimeout{250};      // for the answer of one member
+constexpr milliseconds kCallTimeout{900};        // callers go on elsewhere after a second
+constexpr milliseconds kAnnounceInterval{1000};  // makes itself known to members
+constexpr milliseconds kDrainTime{250};          // for answers that are under way at the end
+constexpr milliseconds kExitMargin{350};         // before `grace_s` is over, as a proxy's
 
 milliseconds Now() {
   return std::chrono::duration_cast<milliseconds>(steady_clock::now().time_since_epoch());
 }
 
-std::vector<std::string> SeedsOf(const node::Settings& settings) {
+std::vector<std::string> OtherSeeds(const node::Settings& settings) {
   std::vector<std::string> seeds = settings.SeedIps();
   std::erase(seeds, settings.ip);
   return seeds;
@@ -36,7 +36,7 @@
     : io_(io),
       settings_(settings),
       control_port_(settings.control ? settings.control->port : 0),
-      directory_(SeedsOf(settings)),
+      directory_(OtherSeeds(settings)),
       mesh_(io, settings.ip, settings.MemberEndpoint(), nullptr),
       server_(io, [this](ApiRequest request) { return Handle(std::move(request)); }),
       refresh_(io) {}
@@ -48,7 +48,7 @@
     OnMessage(connection, std::move(message));
   };
   if (const std::error_code error = mesh_.Listen(on_message, nullptr)) return error;
-  asio::co_spawn(io_, KeepKnown(), asio::detached);
+  asio::co_spawn(io_, AnnounceToMembers(), asio::detached);
   return {};
 }
 
@@ -60,7 +60,7 @@
 // address, and hears at the port of members.
 void ControlGateway::OnMessage(mesh::Connection& connection, wire::Message message) {
   if (const auto* referral = std::get_if<wire::Referral>(&message.body)) {
-    return directory_.Take(Now(), {referral->members, referral->leader});
+    return directory_.Update(Now(), {referral->members, referral->leader});
   }
   if (std::holds_alternative<wire::Subscribe>(message.body)) {
     return connection.Send(mesh_.Encode(KnownMembers()));
@@ -80,9 +80,9 @@
 // holds nothing has no reason to go before them.
 Awaitable<void> ControlGateway::Stop(std::function<void()> done) {
   const auto exit_at = steady_clock::now() + settings_.bounds.grace - kExitMargin;
-  answers_until_ = exit_at - kDraining;
-  asio::steady_timer serving_on(io_, answers_until_);
-  co_await serving_on.async_wait(kTuple);
+  answer_deadline_ = exit_at - kDrainTime;
+  asio::steady_timer serving_timer(io_, answer_deadline_);
+  co_await serving_timer.async_wait(kTuple);
   stopping_ = true;
   refresh_.cancel();
   co_await server_.Drain(exit_at);
@@ -113,14 +113,14 @@
 }
 
 Awaitable<std::string> ControlGateway::FindMember() {
-  const auto until = std::min(answers_until_, steady_clock::now() + kCallPatience);
+  const auto until = std::min(answer_deadline_, steady_clock::now() + kCallTimeout);
   while (steady_clock::now() < until) {
     if (const auto leader = directory_.Leader(Now())) co_return *leader;
-    const std::string member = directory_.NextToAsk();
+    const std::string member = directory_.NextNode();
     if (member.empty()) break;
     const auto report = co_await AskMember(member);
     if (!report) continue;
-    directory_.Take(Now(), *report);
+    directory_.Update(Now(), *report);
     const auto& members = report->members;
     const bool is_member = std::find(members.begin(), members.end(), member) != members.end();
     if (is_member && report->leader.empty()) co_return member;  // it waits for a leader itself
@@ -131,20 +131,20 @@
 Awaitable<std::optional<MembersReport>> ControlGateway::AskMember(std::string member) {
   Request request(bhttp::verb::get, "/-/members", 11);
   request.set(bhttp::field::host, member);
-  const auto until = std::min(answers_until_, steady_clock::now() + kMemberPatience);
-  const node::Endpoint place{member, control_port_};  // GCC 12 frees such a temporary of a co_await twice
-  const auto response = co_await Exchange(io_, place, std::move(request), until);
+  const auto until = std::min(answer_deadline_, steady_clock::now() + kMemberTimeout);
+  const node::Endpoint endpoint{member, control_port_};  // GCC 12 frees such a temporary of a co_await twice
+  const auto response = co_await Exchange(io_, endpoint, std::move(request), until);
   if (!response || response->result() != bhttp::status::ok) co_return std::nullopt;
   co_return ParseMembersReport(response->body());
 }
 
-Awaitable<void> ControlGateway::KeepKnown() {
+Awaitable<void> ControlGateway::AnnounceToMembers() {
   while (!stopping_) {
-    std::vector<std::string> told = directory_.members();
-    if (told.empty()) told = SeedsOf(settings_);
+    std::vector<std::string> recipients = directory_.members();
+    if (recipients.empty()) recipients = OtherSeeds(settings_);
     const mesh::Frame frame = mesh_.Encode(KnownMembers());
-    for (const std::string& member : told) mesh_.Send(member, frame);
-    refresh_.expires_after(kKnownEvery);
+    for (const std::string& member : recipients) mesh_.Send(member, frame);
+    refresh_.expires_after(kAnnounceInterval);
     co_await refresh_.async_wait(kTuple);
   }
 }
--- a/src/control_plane/control_gateway.h
+++ b/src/control_plane/control_gateway.h
@@ -34,7 +34,7 @@
   // A member to send callers to: the leader where one is known. Empty: no member answers.
   http::Awaitable<std::string> FindMember();
   http::Awaitable<std::optional<MembersReport>> AskMember(std::string member);
-  http::Awaitable<void> KeepKnown();
+  http::Awaitable<void> AnnounceToMembers();
   http::Awaitable<void> Stop(std::function<void()> done);
 
   http::asio::io_context& io_;
@@ -46,7 +46,7 @@
   http::asio::steady_timer refresh_;
   bool leaving_ = false;   // SIGTERM came
   bool stopping_ = false;  // and the grace is nearly over
-  http::steady_clock::time_point answers_until_ = http::steady_clock::time_point::max();
+  http::steady_clock::time_point answer_deadline_ = http::steady_clock::time_point::max();
 };
 
 }  // namespace kestrelline::control_plane
--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -17,18 +17,18 @@
 
 using namespace http;
 
-constexpr milliseconds kTick{50};
-constexpr milliseconds kBetweenPublications{500};  // of changes in quick succession only the newest goes out
-constexpr milliseconds kPublishEvery{300};         // where nothing changed: how old the knowledge is
-constexpr milliseconds kReadListEvery{500};
-constexpr milliseconds kLeadPoll{100};
-constexpr milliseconds kPlanEvery{400};
-constexpr milliseconds kOrderMargin{600};
-constexpr milliseconds kLastWords{150};      // for what was sent last to other members
-constexpr milliseconds kExitMargin{350};     // before `grace_s` is over
-constexpr milliseconds kDrainReserve{1500};  // of `grace_s`, for the answers of a member that has left
-constexpr milliseconds kTellGatewaysEvery{1000};
-constexpr std::size_t kMostGateways = 64;
+constexpr milliseconds kTickInterval{50};
+constexpr milliseconds kMinChangeInterval{500};  // of changes in quick succession only the newest goes out
+constexpr milliseconds kPublishInterval{300};    // where nothing changed: how old the knowledge is
+constexpr milliseconds kListReadInterval{500};
+constexpr milliseconds kLeaderPollInterval{100};
+constexpr milliseconds kPlanInterval{400};
+constexpr milliseconds kStageOrderMargin{600};
+constexpr milliseconds kFinalSendDelay{150};  // for what was sent last to other members
+constexpr milliseconds kExitMargin{350};      // before `grace_s` is over
+constexpr milliseconds kDrainReserve{1500};   // of `grace_s`, for the answers of a member that has left
+constexpr milliseconds kGatewayUpdateInterval{1000};
+constexpr std::size_t kMaxGateways = 64;
 constexpr int kEpochShift = 32;  // a list's revision: the leader's epoch, then a count
 
 Time Now() { return std::chrono::duration_cast<milliseconds>(steady_clock::now().time_since_epoch()); }
@@ -40,12 +40,12 @@
   options.counts_for_quorum = settings.counts_for_quorum;
   options.max_lost_members = std::max(settings.fault_tolerance.machines, settings.fault_tolerance.zones);
   options.seeds = settings.SeedIps();
-  options.leave_patience = std::min(options.leave_patience, settings.bounds.grace - kDrainReserve);
+  options.leave_timeout = std::min(options.leave_timeout, settings.bounds.grace - kDrainReserve);
   options.random_seed = std::random_device{}();
   return options;
 }
 
-PersistentState LoadFrom(Store* store) { return store ? store->Load() : PersistentState{}; }
+PersistentState LoadState(Store* store) { return store ? store->Load() : PersistentState{}; }
 
 }  // namespace
 
@@ -53,7 +53,7 @@
     : io_(io),
       settings_(settings),
       mesh_(io, settings.ip, settings.MemberEndpoint(), traffic_),
-      replica_(OptionsOf(settings), LoadFrom(store.get()), Now()),
+      replica_(OptionsOf(settings), LoadState(store.get()), Now()),
       publisher_(mesh_, settings.most_subscribers),
       reader_(io, settings.cloud.value_or(node::Endpoint{})),
       api_(io, *this, settings.control ? settings.control->port : 0),
@@ -62,7 +62,7 @@
   store_ = std::make_unique<StoreThread>(std::move(store), [this](std::uint64_t ticket, bool written) {
     asio::post(io_, [this, ticket, written] {
       replica_.Persisted(Now(), ticket, written);
-      Pump();
+      ApplyEffects();
     });
   });
 }
@@ -84,37 +84,37 @@
 }
 
 void ControlNode::Leave(std::function<void()> done) {
-  if (left_ || stopping_) return;
-  left_ = std::move(done);
-  stop_until_ = steady_clock::now() + settings_.bounds.grace - kExitMargin;
+  if (on_left_ || stopping_) return;
+  on_left_ = std::move(done);
+  stop_deadline_ = steady_clock::now() + settings_.bounds.grace - kExitMargin;
   spdlog::info("leaving");
   server_.AnnounceClose();
   replica_.Leave(Now());
-  Pump();
-  TickLeave();
+  ApplyEffects();
+  TryStop();
 }
 
 void ControlNode::RequestLeave() {
   if (on_leave_requested_) on_leave_requested_();
 }
 
-void ControlNode::TickLeave() {
-  if (!left_ || stopping_ || !replica_.CanStop(Now())) return;
+void ControlNode::TryStop() {
+  if (!on_left_ || stopping_ || !replica_.CanStop(Now())) return;
   stopping_ = true;
   spdlog::info("draining");
   replica_.Resign(Now());
-  Pump();
+  ApplyEffects();
   asio::co_spawn(io_, Stop(), asio::detached);
 }
 
 Awaitable<void> ControlNode::Stop() {
-  asio::steady_timer last_words(io_, kLastWords);
-  const int unanswered = co_await server_.Drain(stop_until_);
+  asio::steady_timer final_send(io_, kFinalSendDelay);
+  const int unanswered = co_await server_.Drain(stop_deadline_);
   if (unanswered > 0) {
     violations_.Report(invariants::Invariant::kAnsweredBeforeExit, "count=" + std::to_string(unanswered));
   }
-  co_await last_words.async_wait(kTuple);
-  left_();
+  co_await final_send.async_wait(kTuple);
+  on_left_();
 }
 
 bool ControlNode::Leads() const { return replica_.Leads(Now()); }
@@ -144,14 +144,14 @@
 
 void ControlNode::Propose(Change change, std::function<void(Outcome)> decided) {
   const std::uint64_t number = replica_.Propose(Now(), std::move(change));
-  undecided_.emplace(number, std::move(decided));
-  Pump();
+  pending_proposals_.emplace(number, std::move(decided));
+  ApplyEffects();
 }
 
 void ControlNode::OnMessage(mesh::Connection& connection, wire::Message message) {
   if (const auto* subscribe = std::get_if<wire::Subscribe>(&message.body)) {
     if (publisher_.Subscribe(connection, message.sender, *subscribe, CurrentlyPublished()))
-      connection.Send(mesh_.Encode(loads_.Whole(subscribe->zone)));
+      connection.Send(mesh_.Encode(loads_.FullSummary(subscribe->zone)));
     return;
   }
   if (const auto* probe = std::get_if<wire::Probe>(&message.body)) {
@@ -163,7 +163,7 @@
     return OnListAge(connection, message.sender, *age);
   if (const auto* changes = std::get_if<wire::ListChanges>(&message.body)) return OnListChanges(*changes);
   if (std::holds_alternative<wire::ListRequest>(message.body)) {
-    if (Leads() && instances_) SendList(message.sender, mesh_.Encode(ListAsItIs()));
+    if (Leads() && instances_) SendList(message.sender, mesh_.Encode(ListWithAge()));
     return;
   }
   if (auto* report = std::get_if<wire::LoadReport>(&message.body)) {
@@ -176,21 +176,21 @@
     return OnReferral(message.sender, *referral);
   }
   replica_.Receive(Now(), message.sender, message.body);
-  Pump();
+  ApplyEffects();
 }
 
 // From a gateway: it is one, and whom it knows.
 void ControlNode::OnReferral(const std::string& from, const wire::Referral& referral) {
-  replica_.Introduce(referral.members);
+  replica_.AddKnownNodes(referral.members);
   const auto members = replica_.KnownNodes();
   const bool member = std::find(members.begin(), members.end(), from) != members.end();
-  if (replica_.committed() && !member && gateways_.size() < kMostGateways) gateways_.insert(from);
+  if (replica_.committed() && !member && gateways_.size() < kMaxGateways) gateways_.insert(from);
 }
 
 // Gateways that made themselves known, and seeds that are no members: they may be gateways.
-void ControlNode::TellGateways() {
-  if (Now() < next_tell_gateways_ || !replica_.committed()) return;
-  next_tell_gateways_ = Now() + kTellGatewaysEvery;
+void ControlNode::SendMembersToGateways() {
+  if (Now() < next_gateway_update_ || !replica_.committed()) return;
+  next_gateway_update_ = Now() + kGatewayUpdateInterval;
   const std::vector<std::string> members = replica_.KnownNodes();
   std::set<std::string> told = gateways_;
   for (const std::string& seed : settings_.SeedIps()) told.insert(seed);
@@ -208,14 +208,14 @@
   if (!instances_ || list.revision > instances_->revision) {
     SetList(std::make_shared<const wire::InstanceList>(list));
   }
-  NoteListRead(connection, list.age_ms);
+  UpdateListReadTime(connection, list.age_ms);
   PublishIfChanged();
 }
 
 void ControlNode::OnListAge(const mesh::Connection& connection, const std::string& leader,
                             const wire::ListAge& age) {
   const std::uint64_t held = instances_ ? instances_->revision : 0;
-  if (age.revision == held && instances_) return NoteListRead(connection, age.age_ms);
+  if (age.revision == held && instances_) return UpdateListReadTime(connection, age.age_ms);
   if (age.revision > held) mesh_.Send(leader, mesh_.Encode(wire::ListRequest{held}));
 }
 
@@ -226,9 +226,9 @@
   PublishIfChanged();
 }
 
-void ControlNode::NoteListRead(const mesh::Connection& connection, std::uint32_t age_ms) {
+void ControlNode::UpdateListReadTime(const mesh::Connection& connection, std::uint32_t age_ms) {
   if (const auto composed_after = replica_.ProbeSentAt(connection.echo())) {
-    instances_read_ = std::max(instances_read_, *composed_after - milliseconds(age_ms));
+    instances_read_at_ = std::max(instances_read_at_, *composed_after - milliseconds(age_ms));
   }
 }
 
@@ -250,16 +250,16 @@
 // Every tick: to other members and to the proxies here, each within its budget.
 void ControlNode::ShareLoads() {
   // What others hold of an earlier process of this member is void.
-  if (!std::exchange(shared_loads_, true)) SendToMembers(wire::LoadReport{});
-  LoadSharing::Told told = loads_.Tick(Now(), publisher_.zones());
+  if (!std::exchange(loads_reset_sent_, true)) SendToMembers(wire::LoadReport{});
+  LoadSharing::Updates updates = loads_.Tick(Now(), publisher_.zones());
   replica_.set_proxies(loads_.board().ProxiesHere());
-  if (told.to_members) SendToMembers(*told.to_members);
-  for (auto& [zone, summary] : told.to_zones) publisher_.SendToZone(zone, std::move(summary));
+  if (updates.to_members) SendToMembers(*updates.to_members);
+  for (auto& [zone, summary] : updates.to_zones) publisher_.SendToZone(zone, std::move(summary));
 }
 
 // Only the leader gives orders, and not before any order of the one before it is old enough for both not to
 // count as taking turns.
-void ControlNode::MoveStages() {
+void ControlNode::PlanStageMoves() {
   if (!Leads()) {
     leading_since_.reset();
     return;
@@ -268,71 +268,71 @@
     leading_since_ = Now();
     planner_.Reset();
   }
-  if (Now() - *leading_since_ < settings_.bounds.lease + kOrderMargin || Now() < next_plan_) return;
-  next_plan_ = Now() + kPlanEvery;
+  if (Now() - *leading_since_ < settings_.bounds.lease + kStageOrderMargin || Now() < next_plan_at_) return;
+  next_plan_at_ = Now() + kPlanInterval;
   const auto demands = loads_.board().Everywhere().demands;
   for (const wire::Demand& demand : demands) {
     spdlog::debug("demand service={} reading_ms_per_s={} generating_ms_per_s={}", demand.service,
                   demand.reading_ms_per_s, demand.generating_ms_per_s);
   }
-  auto orders = planner_.Plan(Now(), listed_, demands);
-  if (!orders.empty()) ShowList();  // no proxy picks them from now on
+  auto orders = planner_.Plan(Now(), platform_instances_, demands);
+  if (!orders.empty()) PublishList();  // no proxy picks them from now on
   for (StageOrder& order : orders) {
     spdlog::info("order instance={} stage={}", order.instance,
                  order.goal == StageGoal::kPrefill ? "prefill" : "decode");
-    asio::co_spawn(io_, Order(std::move(order)), asio::detached);
+    asio::co_spawn(io_, ExecuteStageOrder(std::move(order)), asio::detached);
   }
 }
 
-Awaitable<void> ControlNode::Order(StageOrder order) {
+Awaitable<void> ControlNode::ExecuteStageOrder(StageOrder order) {
   const std::string instance = order.instance;
   const std::uint64_t epoch = replica_.epoch();
-  OrderGiver giver{settings_.node_name, epoch,
-                   [this, epoch] { return Leads() && replica_.epoch() == epoch; }};
-  const OrderEnd end = co_await GiveOrder(io_, std::move(order), std::move(giver));
-  if (end != OrderEnd::kRefused) co_return;
+  StageOrderIssuer issuer{settings_.node_name, epoch,
+                          [this, epoch] { return Leads() && replica_.epoch() == epoch; }};
+  const StageOrderResult result = co_await SendStageOrder(io_, std::move(order), std::move(issuer));
+  if (result != StageOrderResult::kRefused) co_return;
   spdlog::warn("order refused instance={}", instance);
-  planner_.Refused(instance);
+  planner_.OnOrderRejected(instance);
 }
 
 // Carries out what the replica decided.
-void ControlNode::Pump() {
+void ControlNode::ApplyEffects() {
   for (Effect& effect : replica_.TakeEffects()) {
     if (auto* send = std::get_if<Send>(&effect)) {
       mesh_.Send(send->to, mesh_.Encode(send->body));
     } else if (auto* persist = std::get_if<Persist>(&effect)) {
       store_->Write(std::move(*persist));
     } else if (const auto* decided = std::get_if<ProposalResult>(&effect)) {
-      const auto found = undecided_.find(decided->proposal_id);
-      if (found == undecided_.end()) continue;
+      const auto found = pending_proposals_.find(decided->proposal_id);
+      if (found == pending_proposals_.end()) continue;
       const auto callback = std::move(found->second);
-      undecided_.erase(found);
+      pending_proposals_.erase(found);
       callback(decided->outcome);
     }
   }
-  LogRole();
+  LogRoleChange();
   PublishIfChanged();
 }
 
-void ControlNode::LogRole() {
+void ControlNode::LogRoleChange() {
   if (replica_.role() == logged_role_) return;
   logged_role_ = replica_.role();
   spdlog::info("role={} epoch={} leader={}", NameOf(logged_role_), replica_.epoch(), replica_.leader());
 }
 
 void ControlNode::ScheduleTick() {
-  tick_.expires_after(kTick);
+  tick_.expires_after(kTickInterval);
   tick_.async_wait([this](const error_code& cancelled) {
     if (cancelled) return;
     replica_.Tick(Now());
-    Pump();
+    ApplyEffects();
     ShareLoads();
-    TellGateways();
-    MoveStages();
-    TickLeave();
-    if (change_waits_) {
-      if (Now() >= last_change_published_ + kBetweenPublications) PublishChange();
-    } else if (Now() >= next_publication_) {
+    SendMembersToGateways();
+    PlanStageMoves();
+    TryStop();
+    if (change_pending_) {
+      if (Now() >= last_change_published_at_ + kMinChangeInterval) PublishChange();
+    } else if (Now() >= next_publication_at_) {
       Publish();
     }
     ScheduleTick();
@@ -340,9 +340,9 @@
 }
 
 // What leads to the newest configuration from the one that was published before it.
-void ControlNode::NoteConfiguration() {
+void ControlNode::UpdateConfigurationHistory() {
   const wire::RecordPtr record = replica_.committed();
-  const wire::RecordPtr before = std::exchange(newest_in_history_, record);
+  const wire::RecordPtr before = std::exchange(history_head_, record);
   if (!record || !before || record->version == before->version) return;
   auto patch = before->version < record->version
                    ? configuration::PatchBetween(before->configuration, record->configuration)
@@ -356,7 +356,7 @@
 
 distribution::Published ControlNode::CurrentlyPublished() {
   const Time now = Now();
-  NoteConfiguration();
+  UpdateConfigurationHistory();
   distribution::Published published;
   if (const wire::RecordPtr record = replica_.committed(); record && !record->configuration.empty()) {
     published.version = record->version;
@@ -368,7 +368,7 @@
   if (const auto certain = replica_.committed_confirmed_at(now)) published.age = now - *certain;
   published.instances = instances_;
   published.lists = &lists_;
-  published.instances_age = now - instances_read_;
+  published.instances_age = now - instances_read_at_;
   published.proxies = replica_.proxies();
   published.control_peers = replica_.KnownNodes();
   return published;
@@ -385,18 +385,18 @@
       instances_ != published_instances_;  // a backend leaves, or moves: proxies must know
   published_record_ = replica_.committed();
   published_instances_ = instances_;
-  change_waits_ = !list_changed && Now() < last_change_published_ + kBetweenPublications;
-  if (!change_waits_) PublishChange();
+  change_pending_ = !list_changed && Now() < last_change_published_at_ + kMinChangeInterval;
+  if (!change_pending_) PublishChange();
 }
 
 void ControlNode::PublishChange() {
-  change_waits_ = false;
-  last_change_published_ = Now();
+  change_pending_ = false;
+  last_change_published_at_ = Now();
   Publish();
 }
 
 void ControlNode::Publish() {
-  next_publication_ = Now() + kPublishEvery;
+  next_publication_at_ = Now() + kPublishInterval;
   publisher_.Publish(CurrentlyPublished());
 }
 
@@ -418,24 +418,24 @@
     const bool leads = Leads();
     if (leads) {
       auto instances = co_await reader_.Read();
-      if (instances && Leads()) SetInstances(std::move(*instances));
+      if (instances && Leads()) OnListRead(std::move(*instances));
     }
-    timer.expires_at(began + (leads ? kReadListEvery : kLeadPoll));
+    timer.expires_at(began + (leads ? kListReadInterval : kLeaderPollInterval));
     co_await timer.async_wait(kTuple);
   }
 }
 
-void ControlNode::SetInstances(std::vector<wire::Instance> instances) {
+void ControlNode::OnListRead(std::vector<wire::Instance> instances) {
   for (wire::Instance& instance : instances) instance.warmup_left_ms = 0;  // changes all the time; not used
-  listed_ = std::move(instances);
-  instances_read_ = Now();
-  ShowList();
+  platform_instances_ = std::move(instances);
+  instances_read_at_ = Now();
+  PublishList();
 }
 
 // The list as it was read, with marks at backends that are being moved, to proxies and members.
-void ControlNode::ShowList() {
+void ControlNode::PublishList() {
   wire::InstanceList list;
-  list.instances = listed_;
+  list.instances = platform_instances_;
   planner_.MarkMoving(Now(), list.instances);
   const std::uint64_t first = replica_.epoch() << kEpochShift;
   if (!instances_ || instances_->instances != list.instances || instances_->revision < first) {
@@ -446,22 +446,22 @@
   SendListToMembers();
 }
 
-wire::InstanceList ControlNode::ListAsItIs() const {
+wire::InstanceList ControlNode::ListWithAge() const {
   wire::InstanceList list = *instances_;
   list.age_ms = ListAgeMs();
   return list;
 }
 
 std::uint32_t ControlNode::ListAgeMs() const {
-  return static_cast<std::uint32_t>((Now() - instances_read_).count());
+  return static_cast<std::uint32_t>((Now() - instances_read_at_).count());
 }
 
 // What changed, and how old it is: whoever lacks what the changes build on asks for the list.
 void ControlNode::SendListToMembers() {
-  const std::uint64_t told = std::exchange(revision_to_members_, instances_->revision);
+  const std::uint64_t told = std::exchange(members_revision_, instances_->revision);
   if (told != instances_->revision) {
     const auto changes = lists_.Since(told);
-    SendListFrame(changes ? mesh_.Encode(*changes) : mesh_.Encode(ListAsItIs()));
+    SendListFrame(changes ? mesh_.Encode(*changes) : mesh_.Encode(ListWithAge()));
   }
   SendListFrame(mesh_.Encode(wire::ListAge{instances_->revision, ListAgeMs()}));
 }
@@ -472,7 +472,7 @@
 
 // After the newest probe of that member has come back: it dates the list by its own clock.
 void ControlNode::SendList(const std::string& member, const mesh::Frame& frame) {
-  mesh_.Send(member, mesh_.Encode(wire::Echo{replica_.EchoFor(member)}));
+  mesh_.Send(member, mesh_.Encode(wire::Echo{replica_.LatestProbeFrom(member)}));
   mesh_.Send(member, frame);
 }
 
--- a/src/control_plane/control_node.h
+++ b/src/control_plane/control_node.h
@@ -52,35 +52,35 @@
   void OnInstances(const mesh::Connection& connection, const wire::InstanceList& list);
   void OnListAge(const mesh::Connection& connection, const std::string& leader, const wire::ListAge& age);
   void OnListChanges(const wire::ListChanges& changes);
-  void NoteListRead(const mesh::Connection& connection, std::uint32_t age_ms);
+  void UpdateListReadTime(const mesh::Connection& connection, std::uint32_t age_ms);
   void SetList(wire::InstanceListPtr list);
   void OnLoads(const std::string& from, wire::LoadReport report);
   void ShareLoads();
-  void Pump();
-  void LogRole();
+  void ApplyEffects();
+  void LogRoleChange();
   void ScheduleTick();
   void SendToMembers(const wire::Body& body);
   void OnReferral(const std::string& from, const wire::Referral& referral);
-  void TellGateways();
+  void SendMembersToGateways();
   void SendListToMembers();
   void SendListFrame(const mesh::Frame& frame);
   void SendList(const std::string& member, const mesh::Frame& frame);
-  wire::InstanceList ListAsItIs() const;
+  wire::InstanceList ListWithAge() const;
   std::uint32_t ListAgeMs() const;  // since it was read
   std::vector<std::string> OtherMembers() const;
-  void TickLeave();
+  void TryStop();
   // Answers what was read, then ends the process.
   http::Awaitable<void> Stop();
   void PublishIfChanged();
   void PublishChange();
   void Publish();
-  void NoteConfiguration();
+  void UpdateConfigurationHistory();
   distribution::Published CurrentlyPublished();
   http::Awaitable<void> ReadListWhileLeading();
-  void MoveStages();
-  http::Awaitable<void> Order(StageOrder order);
-  void SetInstances(std::vector<wire::Instance> instances);
-  void ShowList();
+  void PlanStageMoves();
+  http::Awaitable<void> ExecuteStageOrder(StageOrder order);
+  void OnListRead(std::vector<wire::Instance> instances);
+  void PublishList();
 
   http::asio::io_context& io_;
   const node::Settings settings_;
@@ -94,33 +94,33 @@
   invariants::Violations violations_;
   http::asio::steady_timer tick_;
   std::unique_ptr<StoreThread> store_;
-  std::map<std::uint64_t, std::function<void(Outcome)>> undecided_;
+  std::map<std::uint64_t, std::function<void(Outcome)>> pending_proposals_;
 
   LoadSharing loads_;
-  bool shared_loads_ = false;  // since this process began
+  bool loads_reset_sent_ = false;  // since this process began
   StagePlanner planner_;
   std::optional<Time> leading_since_;
-  Time next_plan_{0};
-  std::vector<wire::Instance> listed_;  // as the platform told last, without marks
+  Time next_plan_at_{0};
+  std::vector<wire::Instance> platform_instances_;  // as the platform told last, without marks
   wire::InstanceListPtr instances_;
-  Time instances_read_{0};
+  Time instances_read_at_{0};
   distribution::ListHistory lists_;
   distribution::ConfigurationHistory configurations_;
-  wire::RecordPtr newest_in_history_;      // the record that `configurations_` leads to
-  std::uint64_t revision_to_members_ = 0;  // of the list that they were told last
+  wire::RecordPtr history_head_;        // the record that `configurations_` leads to
+  std::uint64_t members_revision_ = 0;  // of the list that they were told last
   wire::RecordPtr published_record_;
   wire::InstanceListPtr published_instances_;
-  Time next_publication_{0};
-  Time last_change_published_{0};
-  bool change_waits_ = false;  // for kBetweenPublications since then
+  Time next_publication_at_{0};
+  Time last_change_published_at_{0};
+  bool change_pending_ = false;  // for kMinChangeInterval since then
   Role logged_role_ = Role::kLearner;
   // Control processes that are no members; told who the members are for as long as this process lives, so
   // that one that starts anew and knows nobody hears of them.
   std::set<std::string> gateways_;
-  Time next_tell_gateways_{0};
+  Time next_gateway_update_{0};
   std::function<void()> on_leave_requested_;
-  std::function<void()> left_;  // set while this member leaves
-  http::steady_clock::time_point stop_until_;
+  std::function<void()> on_left_;  // set while this member leaves
+  http::steady_clock::time_point stop_deadline_;
   bool stopping_ = false;
 };
 
--- a/src/control_plane/load_sharing.cpp
+++ b/src/control_plane/load_sharing.cpp
@@ -11,17 +11,17 @@
     backends_by_zone_[instance.zone].insert(hashing::Fnv1a(instance.id));
 }
 
-LoadSharing::Told LoadSharing::Tick(Time now, const std::set<std::string>& zones) {
+LoadSharing::Updates LoadSharing::Tick(Time now, const std::set<std::string>& zones) {
   board_.Forget(now);
-  Told told;
-  told.to_members = ChangesForMembers(now);
+  Updates updates;
+  updates.to_members = ChangesForMembers(now);
   std::erase_if(feeds_, [&zones](const auto& entry) { return !zones.contains(entry.first); });
-  if (zones.empty()) return told;
+  if (zones.empty()) return updates;
   const std::vector<wire::BackendLoad> everywhere = board_.Everywhere().loads;
   for (const std::string& zone : zones) {
-    if (auto summary = SummaryFor(now, zone, everywhere)) told.to_zones.emplace(zone, std::move(*summary));
+    if (auto summary = SummaryFor(now, zone, everywhere)) updates.to_zones.emplace(zone, std::move(*summary));
   }
-  return told;
+  return updates;
 }
 
 std::optional<wire::LoadChanges> LoadSharing::ChangesForMembers(Time now) {
@@ -29,10 +29,10 @@
   wire::LoadChanges changes;
   changes.loads = to_members_.Next(now, here.loads);
   changes.proxies = here.proxies;
-  const bool heartbeat_due = now - last_to_members_ >= kHeartbeat;
+  const bool heartbeat_due = now - last_sent_to_members_at_ >= kHeartbeatInterval;
   if (changes.loads.empty() && !heartbeat_due) return std::nullopt;
   if (heartbeat_due) {
-    last_to_members_ = now;
+    last_sent_to_members_at_ = now;
     changes.demands = std::move(here.demands);
   }
   return changes;
@@ -41,16 +41,17 @@
 std::optional<wire::LoadSummary> LoadSharing::SummaryFor(Time now, const std::string& zone,
                                                          const std::vector<wire::BackendLoad>& loads) {
   static const distribution::BackendSet kNone;
-  const auto near = backends_by_zone_.find(zone);
-  Feed& feed = feeds_[zone];
+  const auto local_backends = backends_by_zone_.find(zone);
+  ZoneFeed& feed = feeds_[zone];
   wire::LoadSummary summary{
-      feed.feed.Next(now, loads, near == backends_by_zone_.end() ? kNone : near->second), false};
-  if (summary.loads.empty() && now - feed.last_told < kHeartbeat) return std::nullopt;
-  feed.last_told = now;
+      feed.feed.Next(now, loads, local_backends == backends_by_zone_.end() ? kNone : local_backends->second),
+      false};
+  if (summary.loads.empty() && now - feed.last_sent_at < kHeartbeatInterval) return std::nullopt;
+  feed.last_sent_at = now;
   return summary;
 }
 
-wire::LoadSummary LoadSharing::Whole(const std::string& zone) const {
+wire::LoadSummary LoadSharing::FullSummary(const std::string& zone) const {
   const auto feed = feeds_.find(zone);
   if (feed == feeds_.end()) return {{}, true};
   return feed->second.feed.Whole();
--- a/src/control_plane/load_sharing.h
+++ b/src/control_plane/load_sharing.h
@@ -25,29 +25,29 @@
   using Time = std::chrono::milliseconds;  // of a steady clock
 
   // To the proxies of one zone, and from one member to another; bytes a second.
-  static constexpr double kBytesToProxy = 9000;
-  static constexpr double kBytesToMember = 12000;
-  static constexpr Time kRepeatToMembers{4000};
-  static constexpr Time kHeartbeat{400};  // at the latest, though nothing changed
+  static constexpr double kProxyBytesPerSecond = 9000;
+  static constexpr double kMemberBytesPerSecond = 12000;
+  static constexpr Time kMemberRepeatInterval{4000};
+  static constexpr Time kHeartbeatInterval{400};  // at the latest, though nothing changed
 
   distribution::LoadBoard& board() { return board_; }
 
   // Where backends are: those of a proxy's zone matter most to it.
   void SetInstances(const wire::InstanceList& list);
 
-  struct Told {
+  struct Updates {
     std::optional<wire::LoadChanges> to_members;
     std::map<std::string, wire::LoadSummary> to_zones;
   };
   // What to tell now, given the zones in which proxies subscribe here.
-  Told Tick(Time now, const std::set<std::string>& zones);
+  Updates Tick(Time now, const std::set<std::string>& zones);
   // For a proxy that has just subscribed.
-  wire::LoadSummary Whole(const std::string& zone) const;
+  wire::LoadSummary FullSummary(const std::string& zone) const;
 
  private:
-  struct Feed {
-    distribution::LoadFeed feed{{kBytesToProxy, kBytesToProxy / 2, Time(0)}};
-    Time last_told{0};
+  struct ZoneFeed {
+    distribution::LoadFeed feed{{kProxyBytesPerSecond, kProxyBytesPerSecond / 2, Time(0)}};
+    Time last_sent_at{0};
   };
 
   std::optional<wire::LoadChanges> ChangesForMembers(Time now);
@@ -56,9 +56,10 @@
 
   distribution::LoadBoard board_;
   std::map<std::string, distribution::BackendSet> backends_by_zone_;
-  std::map<std::string, Feed> feeds_;
-  distribution::LoadFeed to_members_{{kBytesToMember, kBytesToMember / 2, kRepeatToMembers}};
-  Time last_to_members_{0};
+  std::map<std::string, ZoneFeed> feeds_;
+  distribution::LoadFeed to_members_{
+      {kMemberBytesPerSecond, kMemberBytesPerSecond / 2, kMemberRepeatInterval}};
+  Time last_sent_to_members_at_{0};
 };
 
 }  // namespace kestrelline::control_plane
--- a/src/control_plane/member_directory.cpp
+++ b/src/control_plane/member_directory.cpp
@@ -26,27 +26,27 @@
 
 MemberDirectory::MemberDirectory(std::vector<std::string> seeds) : seeds_(std::move(seeds)), nodes_(seeds_) {}
 
-std::string MemberDirectory::NextToAsk() {
+std::string MemberDirectory::NextNode() {
   if (nodes_.empty()) return {};
   return nodes_[next_++ % nodes_.size()];
 }
 
 std::optional<std::string> MemberDirectory::Leader(Time now) const {
-  if (leader_.empty() || now - leader_told_ > kLeaderKnownFor) return std::nullopt;
+  if (leader_.empty() || now - leader_reported_at_ > kLeaderTtl) return std::nullopt;
   return leader_;
 }
 
-void MemberDirectory::Take(Time now, const MembersReport& report) {
+void MemberDirectory::Update(Time now, const MembersReport& report) {
   if (report.members.empty()) return;  // from one that knows nothing itself
   leader_ = report.leader;
-  leader_told_ = now;
+  leader_reported_at_ = now;
   members_ = report.members;
-  if (members_.size() > kMostMembers) members_.resize(kMostMembers);
+  if (members_.size() > kMaxMembers) members_.resize(kMaxMembers);
   nodes_ = members_;
   for (const std::string& seed : seeds_) {
     if (std::find(nodes_.begin(), nodes_.end(), seed) == nodes_.end()) nodes_.push_back(seed);
   }
-  if (nodes_.size() > kMostMembers) nodes_.resize(kMostMembers);
+  if (nodes_.size() > kMaxMembers) nodes_.resize(kMaxMembers);
 }
 
 }  // namespace kestrelline::control_plane
--- a/src/control_plane/member_directory.h
+++ b/src/control_plane/member_directory.h
@@ -25,17 +25,17 @@
  public:
   using Time = std::chrono::milliseconds;  // of a steady clock
 
-  static constexpr Time kLeaderKnownFor{2500};  // members tell it every second
-  static constexpr std::size_t kMostMembers = 32;
+  static constexpr Time kLeaderTtl{2500};  // members tell it every second
+  static constexpr std::size_t kMaxMembers = 32;
 
   explicit MemberDirectory(std::vector<std::string> seeds);
 
   // Members and seeds in turn; empty if there are none.
-  std::string NextToAsk();
+  std::string NextNode();
   std::size_t size() const { return nodes_.size(); }
   // The one that a member named as leader a short while ago.
   std::optional<std::string> Leader(Time now) const;
-  void Take(Time now, const MembersReport& report);
+  void Update(Time now, const MembersReport& report);
   // The members that were told last; empty if never.
   const std::vector<std::string>& members() const { return members_; }
 
@@ -45,7 +45,7 @@
   std::vector<std::string> nodes_;  // the members told last, then seeds that are none
   std::size_t next_ = 0;
   std::string leader_;
-  Time leader_told_{0};
+  Time leader_reported_at_{0};
 };
 
 }  // namespace kestrelline::control_plane
--- a/src/control_plane/operator_api.cpp
+++ b/src/control_plane/operator_api.cpp
@@ -15,17 +15,17 @@
 
 using namespace http;
 
-constexpr milliseconds kWaitForLeader{600};
-constexpr milliseconds kLeaderPoll{50};
+constexpr milliseconds kLeaderTimeout{600};
+constexpr milliseconds kLeaderPollInterval{50};
 // A caller goes on to another member after a second without an answer; it has long gone by then.
-constexpr milliseconds kDecisionPatience{3500};
+constexpr milliseconds kDecisionTimeout{3500};
 
 wire::Digest DigestOf(const std::string& text) {
   const XXH128_hash_t hash = XXH3_128bits(text.data(), text.size());
   return {hash.high64, hash.low64};
 }
 
-std::optional<std::uint64_t> IfMatch(const ApiRequest& request) {
+std::optional<std::uint64_t> ParseIfMatch(const ApiRequest& request) {
   std::string_view text = request[bhttp::field::if_match];
   if (text.size() >= 2 && text.front() == '"' && text.back() == '"') text = text.substr(1, text.size() - 2);
   std::uint64_t value = 0;
@@ -34,7 +34,7 @@
   return value;
 }
 
-ApiResponse AnswerTo(Outcome outcome, std::uint64_t version) {
+ApiResponse ResponseFor(Outcome outcome, std::uint64_t version) {
   switch (outcome) {
     case Outcome::kCommitted:
       return JsonResponse(bhttp::status::ok, "{\"version\":" + std::to_string(version) + "}");
@@ -58,16 +58,16 @@
 Awaitable<ApiResponse> OperatorApi::Handle(ApiRequest request) {
   const std::string target(request.target());
   if (target == "/-/config") {
-    if (request.method() == bhttp::verb::put) co_return co_await Put(std::move(request));
-    if (request.method() == bhttp::verb::patch) co_return co_await Alter(std::move(request));
-    if (request.method() == bhttp::verb::get) co_return co_await Get(target);
+    if (request.method() == bhttp::verb::put) co_return co_await ReplaceConfiguration(std::move(request));
+    if (request.method() == bhttp::verb::patch) co_return co_await PatchConfiguration(std::move(request));
+    if (request.method() == bhttp::verb::get) co_return co_await GetConfiguration(target);
     co_return ErrorResponse(bhttp::status::method_not_allowed, "PUT, PATCH or GET");
   }
   const bool get = request.method() == bhttp::verb::get;
   if (target == "/-/status" && get) co_return JsonResponse(bhttp::status::ok, state_.Status());
   if (target == "/-/metrics" && get) co_return MetricsResponse(state_.Metrics());
   if (target == "/-/members" && get) co_return JsonResponse(bhttp::status::ok, state_.Members());
-  if (target == "/-/history" && get) co_return co_await History(target);
+  if (target == "/-/history" && get) co_return co_await GetHistory(target);
   if (target == "/-/leave" && request.method() == bhttp::verb::post) {
     state_.RequestLeave();
     co_return JsonResponse(bhttp::status::accepted, "{\"leaving\":true}");
@@ -75,9 +75,9 @@
   co_return ErrorResponse(bhttp::status::not_found, "no such resource");
 }
 
-Awaitable<std::optional<ApiResponse>> OperatorApi::ElsewhereUnlessLeading(std::string target) {
+Awaitable<std::optional<ApiResponse>> OperatorApi::RedirectUnlessLeader(std::string target) {
   asio::steady_timer timer(io_);
-  const auto until = steady_clock::now() + kWaitForLeader;
+  const auto until = steady_clock::now() + kLeaderTimeout;
   while (true) {
     if (state_.Leads()) co_return std::nullopt;
     const std::string leader = state_.OtherLeader();
@@ -87,14 +87,14 @@
       co_return response;
     }
     if (steady_clock::now() >= until) break;
-    timer.expires_after(kLeaderPoll);
+    timer.expires_after(kLeaderPollInterval);
     co_await timer.async_wait(kTuple);
   }
   co_return ErrorResponse(bhttp::status::service_unavailable, "no leader is known");
 }
 
-Awaitable<ApiResponse> OperatorApi::Get(std::string target) {
-  if (auto elsewhere = co_await ElsewhereUnlessLeading(target)) co_return std::move(*elsewhere);
+Awaitable<ApiResponse> OperatorApi::GetConfiguration(std::string target) {
+  if (auto redirect = co_await RedirectUnlessLeader(target)) co_return std::move(*redirect);
   const wire::RecordPtr record = state_.Committed();
   if (!record || record->configuration.empty()) {
     co_return ErrorResponse(bhttp::status::not_found, "there is no configuration yet");
@@ -102,8 +102,8 @@
   co_return JsonResponse(bhttp::status::ok, record->configuration);
 }
 
-Awaitable<ApiResponse> OperatorApi::History(std::string target) {
-  if (auto elsewhere = co_await ElsewhereUnlessLeading(target)) co_return std::move(*elsewhere);
+Awaitable<ApiResponse> OperatorApi::GetHistory(std::string target) {
+  if (auto redirect = co_await RedirectUnlessLeader(target)) co_return std::move(*redirect);
   std::string versions;
   if (const wire::RecordPtr record = state_.Committed()) {
     for (const wire::AcceptedChange& change : record->history) {
@@ -113,46 +113,46 @@
   co_return JsonResponse(bhttp::status::ok, "{\"versions\":[" + versions + "]}");
 }
 
-Awaitable<ApiResponse> OperatorApi::Put(ApiRequest request) {
-  if (auto elsewhere = co_await ElsewhereUnlessLeading("/-/config")) co_return std::move(*elsewhere);
-  const auto builds_on = IfMatch(request);
-  if (!builds_on) co_return ErrorResponse(bhttp::status::bad_request, "If-Match holds no version");
+Awaitable<ApiResponse> OperatorApi::ReplaceConfiguration(ApiRequest request) {
+  if (auto redirect = co_await RedirectUnlessLeader("/-/config")) co_return std::move(*redirect);
+  const auto base_version = ParseIfMatch(request);
+  if (!base_version) co_return ErrorResponse(bhttp::status::bad_request, "If-Match holds no version");
   const configuration::ParseResult parsed = configuration::Parse(request.body());
   if (!parsed.configuration) co_return ErrorResponse(bhttp::status::bad_request, parsed.error);
   Change change;
   change.version = parsed.configuration->version;
-  change.builds_on = *builds_on;
+  change.base_version = *base_version;
   change.digest = DigestOf(request.body());
   change.configuration = std::move(request.body());
   const std::uint64_t version = change.version;
-  co_return AnswerTo(co_await Decide(std::move(change)), version);
+  co_return ResponseFor(co_await AwaitDecision(std::move(change)), version);
 }
 
-Awaitable<ApiResponse> OperatorApi::Alter(ApiRequest request) {
-  if (auto elsewhere = co_await ElsewhereUnlessLeading("/-/config")) co_return std::move(*elsewhere);
-  const auto builds_on = IfMatch(request);
-  if (!builds_on) co_return ErrorResponse(bhttp::status::bad_request, "If-Match holds no version");
+Awaitable<ApiResponse> OperatorApi::PatchConfiguration(ApiRequest request) {
+  if (auto redirect = co_await RedirectUnlessLeader("/-/config")) co_return std::move(*redirect);
+  const auto base_version = ParseIfMatch(request);
+  if (!base_version) co_return ErrorResponse(bhttp::status::bad_request, "If-Match holds no version");
   const configuration::Patch::Result parsed = configuration::Patch::Parse(request.body());
   if (!parsed.patch) co_return ErrorResponse(bhttp::status::bad_request, parsed.error);
   Change change;
   change.version = parsed.patch->version();
-  change.builds_on = *builds_on;
+  change.base_version = *base_version;
   change.digest = DigestOf(request.body());
   const wire::RecordPtr record = state_.Committed();
-  if (record && record->version == *builds_on) {
+  if (record && record->version == *base_version) {
     configuration::PatchedText patched = parsed.patch->ApplyTo(record->configuration);
     if (!patched.error.empty()) co_return ErrorResponse(bhttp::status::bad_request, patched.error);
     change.configuration = std::move(patched.text);
   } else {
-    change.only_if_known = true;
+    change.only_if_accepted_before = true;
   }
   const std::uint64_t version = change.version;
-  co_return AnswerTo(co_await Decide(std::move(change)), version);
+  co_return ResponseFor(co_await AwaitDecision(std::move(change)), version);
 }
 
-Awaitable<Outcome> OperatorApi::Decide(Change change) {
+Awaitable<Outcome> OperatorApi::AwaitDecision(Change change) {
   struct Waiting {
-    explicit Waiting(asio::io_context& io) : timer(io, kDecisionPatience) {}
+    explicit Waiting(asio::io_context& io) : timer(io, kDecisionTimeout) {}
     asio::steady_timer timer;
     std::optional<Outcome> outcome;
   };
--- a/src/control_plane/operator_api.h
+++ b/src/control_plane/operator_api.h
@@ -43,14 +43,14 @@
 
  private:
   // Waits a little for a leader; nothing if this member leads, else the answer that sends the caller on.
-  http::Awaitable<std::optional<http::ApiResponse>> ElsewhereUnlessLeading(std::string target);
-  http::Awaitable<http::ApiResponse> Put(http::ApiRequest request);
-  // Alters named items of the configuration, on the terms of Put.
-  http::Awaitable<http::ApiResponse> Alter(http::ApiRequest request);
-  http::Awaitable<http::ApiResponse> Get(std::string target);
+  http::Awaitable<std::optional<http::ApiResponse>> RedirectUnlessLeader(std::string target);
+  http::Awaitable<http::ApiResponse> ReplaceConfiguration(http::ApiRequest request);
+  // Alters named items of the configuration, on the terms of ReplaceConfiguration.
+  http::Awaitable<http::ApiResponse> PatchConfiguration(http::ApiRequest request);
+  http::Awaitable<http::ApiResponse> GetConfiguration(std::string target);
   // The versions that were taken, the oldest first.
-  http::Awaitable<http::ApiResponse> History(std::string target);
-  http::Awaitable<Outcome> Decide(Change change);
+  http::Awaitable<http::ApiResponse> GetHistory(std::string target);
+  http::Awaitable<Outcome> AwaitDecision(Change change);
 
   http::asio::io_context& io_;
   ControlState& state_;
--- a/src/control_plane/orders.cpp
+++ b/src/control_plane/orders.cpp
@@ -15,12 +15,12 @@
   // Versions of changes that were taken rise: one below the oldest that is remembered may be a forgotten one.
   const bool forgotten = history.size() >= kMaxHistory && change.version < history.front().version;
   if (forgotten) return Outcome::kHistoryExpired;
-  if (change.only_if_known || change.builds_on != current.version) return Outcome::kConflict;
+  if (change.only_if_accepted_before || change.base_version != current.version) return Outcome::kConflict;
   if (change.version <= current.version) return Outcome::kOldVersion;
   return std::nullopt;
 }
 
-wire::Record Apply(const wire::Record& current, Change change) {
+wire::Record ApplyChange(const wire::Record& current, Change change) {
   wire::Record next = current;
   next.version = change.version;
   next.configuration = std::move(change.configuration);
--- a/src/control_plane/replica.cpp
+++ b/src/control_plane/replica.cpp
@@ -28,19 +28,19 @@
     : options_(std::move(options)),
       random_(options_.random_seed),
       promised_(stored.promised),
-      disk_(stored.disk),
+      disk_id_(stored.disk),
       record_(std::move(stored.record)),
       nonce_(random_()),
       probes_(random_()) {
-  for (const std::string& seed : options_.seeds) Know(seed);
-  highest_seen_ = promised_;
+  for (const std::string& seed : options_.seeds) AddKnownNode(seed);
+  highest_seen_epoch_ = promised_;
   if (record_) {
     role_ = Role::kFollower;
-    voter_ = true;
+    can_vote_ = true;
     pending_position_ = record_->position;
-    for (const std::string& elector : Electors(*record_)) Know(elector);
-    if (Enforced(Safeguard::kQuietAfterRestart)) quiet_until_ = now + options_.lease;
-    RollElection(now);
+    for (const std::string& elector : Electors(*record_)) AddKnownNode(elector);
+    if (Enforced(Safeguard::kQuietAfterRestart)) restart_quiet_until_ = now + options_.lease;
+    ScheduleElection(now);
     return;
   }
   const bool founder =
@@ -48,20 +48,20 @@
   // A disk that held something once may have held a promise.
   const bool pristine = !stored.ever_written || !Enforced(Safeguard::kFoundOnPristineDisk);
   if (!options_.bootstrap || !founder || !pristine) return;
-  wire::Record first;
-  first.position = {0, 1};
-  first.members = options_.seeds;
-  std::sort(first.members.begin(), first.members.end());
-  learner_.founding = std::make_shared<const wire::Record>(std::move(first));
+  wire::Record initial;
+  initial.position = {0, 1};
+  initial.members = options_.seeds;
+  std::sort(initial.members.begin(), initial.members.end());
+  learner_state_.initial_record = std::make_shared<const wire::Record>(std::move(initial));
 }
 
-void Replica::Know(const std::string& node) {
-  if (node == options_.self || known_.size() >= kMostKnownNodes) return;
-  known_.insert(node);
+void Replica::AddKnownNode(const std::string& node) {
+  if (node == options_.self || known_nodes_.size() >= kMaxKnownNodes) return;
+  known_nodes_.insert(node);
 }
 
-void Replica::Introduce(const std::vector<std::string>& members) {
-  for (const std::string& member : members) Know(member);
+void Replica::AddKnownNodes(const std::vector<std::string>& members) {
+  for (const std::string& member : members) AddKnownNode(member);
 }
 
 std::vector<std::string> Replica::KnownNodes() const {
@@ -69,7 +69,7 @@
   if (committed_) {
     nodes = Electors(*committed_);
   } else {
-    nodes = known_;
+    nodes = known_nodes_;
     nodes.insert(options_.self);
   }
   return {nodes.begin(), nodes.end()};
@@ -77,59 +77,61 @@
 
 std::vector<Effect> Replica::TakeEffects() { return std::exchange(effects_, {}); }
 
-void Replica::Write(Writing writing) {
+void Replica::Write(PendingWrite write) {
   const std::uint64_t ticket = next_ticket_++;
-  if (writing.record) pending_position_ = std::max(pending_position_, writing.record->position);
-  Emit(Persist{ticket, promised_, disk_, writing.record});
-  writings_.emplace(ticket, std::move(writing));
+  if (write.record) pending_position_ = std::max(pending_position_, write.record->position);
+  Emit(Persist{ticket, promised_, disk_id_, write.record});
+  pending_writes_.emplace(ticket, std::move(write));
 }
 
 void Replica::Persisted(Time now, std::uint64_t ticket, bool written) {
-  const auto found = writings_.find(ticket);
-  if (found == writings_.end()) return;
-  const Writing writing = std::move(found->second);
-  writings_.erase(found);
+  const auto found = pending_writes_.find(ticket);
+  if (found == pending_writes_.end()) return;
+  const PendingWrite write = std::move(found->second);
+  pending_writes_.erase(found);
   if (!written) {
     // What was meant to be stored may be sent again.
     pending_position_ = StoredPosition();
-    if (writing.then == Writing::Then::kStand && role_ == Role::kCandidate) StepDown(now);
+    if (write.completion == PendingWrite::Completion::kRequestVotes && role_ == Role::kCandidate)
+      StepDown(now);
     return;
   }
-  if (writing.record && (!record_ || writing.record->position > record_->position)) record_ = writing.record;
-  switch (writing.then) {
-    case Writing::Then::kVote: {
+  if (write.record && (!record_ || write.record->position > record_->position)) record_ = write.record;
+  switch (write.completion) {
+    case PendingWrite::Completion::kSendVote: {
       wire::VoteReply reply;
-      reply.epoch = writing.epoch;
-      reply.granted = promised_ == writing.epoch;
+      reply.epoch = write.epoch;
+      reply.granted = promised_ == write.epoch;
       reply.promised = promised_;
-      if (StoredPosition() > writing.candidate_held) reply.record = record_;
-      SendTo(writing.to, std::move(reply));
+      if (StoredPosition() > write.candidate_position) reply.record = record_;
+      SendTo(write.to, std::move(reply));
       break;
     }
-    case Writing::Then::kStored:
-      Reply(now, writing.to, writing.epoch, 0);
+    case PendingWrite::Completion::kAcknowledgeRecord:
+      SendHeartbeatReply(now, write.to, write.epoch, 0);
       break;
-    case Writing::Then::kStand:
-      if (role_ != Role::kCandidate || candidate_.pre_vote || epoch_ != writing.epoch) break;
-      candidate_.on_disk = true;
-      candidate_.votes.insert(options_.self);
-      AskForVotes();
+    case PendingWrite::Completion::kRequestVotes:
+      if (role_ != Role::kCandidate || candidate_state_.pre_vote || epoch_ != write.epoch) break;
+      candidate_state_.own_promise_stored = true;
+      candidate_state_.votes.insert(options_.self);
+      RequestVotes();
       CountVotes(now);
       break;
-    case Writing::Then::kOwnCopy:
+    case PendingWrite::Completion::kTryCommit:
       TryCommit(now);
       break;
-    case Writing::Then::kAnswerLearner:
-      AnswerLearner(writing.to, writing.epoch);
+    case PendingWrite::Completion::kReplyToLearner:
+      ReplyToLearner(write.to, write.epoch);
       break;
-    case Writing::Then::kLearned:
-    case Writing::Then::kFounded:
+    case PendingWrite::Completion::kFinishLearning:
+    case PendingWrite::Completion::kFinishFounding:
       role_ = Role::kFollower;
-      voter_ = true;
-      learner_ = {};
-      for (const std::string& elector : Electors(*record_)) Know(elector);
-      if (writing.then == Writing::Then::kLearned) quiet_until_ = now + options_.lease;
-      RollElection(now);
+      can_vote_ = true;
+      learner_state_ = {};
+      for (const std::string& elector : Electors(*record_)) AddKnownNode(elector);
+      if (write.completion == PendingWrite::Completion::kFinishLearning)
+        restart_quiet_until_ = now + options_.lease;
+      ScheduleElection(now);
       break;
   }
 }
@@ -154,15 +156,15 @@
 
 std::optional<Time> Replica::committed_confirmed_at(Time now) const {
   if (Leads(now)) return now;
-  return heard_certain_;
+  return confirmed_at_;
 }
 
-std::uint64_t Replica::EchoFor(const std::string& member) const {
-  const auto peer = lead_.peers.find(member);
-  return role_ == Role::kLeader && peer != lead_.peers.end() ? peer->second.probe : 0;
+std::uint64_t Replica::LatestProbeFrom(const std::string& member) const {
+  const auto peer = leader_state_.peers.find(member);
+  return role_ == Role::kLeader && peer != leader_state_.peers.end() ? peer->second.latest_probe : 0;
 }
 
-void Replica::RollElection(Time now) {
+void Replica::ScheduleElection(Time now) {
   const auto jitter = static_cast<std::uint64_t>(options_.election_jitter.count());
   const Duration wait(static_cast<std::int64_t>(jitter == 0 ? 0 : random_() % jitter));
   election_at_ = std::max(now, lease_until_) + wait;
--- a/src/control_plane/replica_follower.cpp
+++ b/src/control_plane/replica_follower.cpp
@@ -8,15 +8,16 @@
 
 namespace kestrelline::control_plane {
 
-void Replica::Reply(Time now, const std::string& to, std::uint64_t epoch, std::uint64_t sent_ms) {
+void Replica::SendHeartbeatReply(Time now, const std::string& to, std::uint64_t epoch,
+                                 std::uint64_t sent_ms) {
   wire::HeartbeatReply reply;
   reply.epoch = epoch;
   reply.sent_ms = sent_ms;
   reply.promised = promised_;
   reply.stored = StoredPosition();
-  reply.proxies = proxies_here_;
+  reply.proxies = local_proxies_;
   reply.probe = probes_.Send(now);
-  reply.disk = disk_;
+  reply.disk = disk_id_;
   reply.writing = pending_position_;
   reply.leaving = leaving_since_.has_value();
   SendTo(to, reply);
@@ -26,85 +27,85 @@
   if (!IsElector()) {
     if (!options_.counts_for_quorum || leaving_since_ || now < next_hello_) return;
     next_hello_ = now + options_.hello_interval;
-    for (const std::string& node : known_) SendTo(node, wire::Hello{true, nonce_});
+    for (const std::string& node : known_nodes_) SendTo(node, wire::Hello{true, nonce_});
     return;
   }
   if (leaving_since_ || now < lease_until_ || now < election_at_) return;
-  BeginPreVote(now);
+  StartPreVote(now);
 }
 
 void Replica::Follow(Time now, const std::string& leader, std::uint64_t epoch) {
   if (role_ == Role::kLeader || role_ == Role::kCandidate) StepDown(now);
   epoch_ = epoch;
   promised_ = std::max(promised_, epoch);
-  highest_seen_ = std::max(highest_seen_, epoch);
+  highest_seen_epoch_ = std::max(highest_seen_epoch_, epoch);
   leader_ = leader;
   lease_holder_ = leader;
   lease_until_ = now + options_.lease;
-  RollElection(now);
+  ScheduleElection(now);
 }
 
 // What the leader vouches for held when it sent this: at or after the moment at which the probe that it
 // echoes was sent from here. The moment of receipt says nothing, the message may have been held up.
 void Replica::On(Time now, const std::string& from, const wire::Heartbeat& beat) {
-  Know(from);
-  if (!voter_) return;
+  AddKnownNode(from);
+  if (!can_vote_) return;
   if (beat.epoch < promised_) {
-    highest_seen_ = std::max(highest_seen_, beat.epoch);
-    Reply(now, from, beat.epoch, beat.sent_ms);
+    highest_seen_epoch_ = std::max(highest_seen_epoch_, beat.epoch);
+    SendHeartbeatReply(now, from, beat.epoch, beat.sent_ms);
     return;
   }
   Follow(now, from, beat.epoch);
   if (beat.resigning) {
     lease_until_ = now;
-    RollElection(now);
+    ScheduleElection(now);
     return;
   }
-  if (leaving_since_) successor_waits_ = beat.successor_waits;
+  if (leaving_since_) successor_expected_ = beat.successor_waits;
   if (record_ && record_->position == beat.committed) committed_ = record_;
   const auto composed_after =
       Enforced(Safeguard::kDateByProbe) ? probes_.SentAt(beat.echo) : std::optional<Time>(now);
   if (composed_after) {
     const bool newest = beat.leased && committed_ && committed_->position == beat.committed;
-    if (newest) heard_certain_ = std::max(heard_certain_.value_or(Time(0)), *composed_after);
+    if (newest) confirmed_at_ = std::max(confirmed_at_.value_or(Time(0)), *composed_after);
   }
-  proxies_everywhere_ = beat.proxies;
-  Reply(now, from, beat.epoch, beat.sent_ms);
+  total_proxies_ = beat.proxies;
+  SendHeartbeatReply(now, from, beat.epoch, beat.sent_ms);
 }
 
 void Replica::On(Time now, const std::string& from, const wire::Append& append) {
-  Know(from);
-  if (!voter_ || !append.record) return;
+  AddKnownNode(from);
+  if (!can_vote_ || !append.record) return;
   if (append.epoch < promised_ && Enforced(Safeguard::kPromiseBinds)) {
-    Reply(now, from, append.epoch, 0);
+    SendHeartbeatReply(now, from, append.epoch, 0);
     return;
   }
   Follow(now, from, append.epoch);
-  for (const std::string& elector : Electors(*append.record)) Know(elector);
+  for (const std::string& elector : Electors(*append.record)) AddKnownNode(elector);
   if (append.record->position <= StoredPosition()) {
-    Reply(now, from, append.epoch, 0);
+    SendHeartbeatReply(now, from, append.epoch, 0);
     return;
   }
-  if (append.record->position <= pending_position_ || writings_.size() >= kMostPersists) return;
-  Writing writing;
-  writing.then = Writing::Then::kStored;
-  writing.record = append.record;
-  writing.to = from;
-  writing.epoch = append.epoch;
-  Write(std::move(writing));
+  if (append.record->position <= pending_position_ || pending_writes_.size() >= kMaxPendingWrites) return;
+  PendingWrite write;
+  write.completion = PendingWrite::Completion::kAcknowledgeRecord;
+  write.record = append.record;
+  write.to = from;
+  write.epoch = append.epoch;
+  Write(std::move(write));
 }
 
-bool Replica::MayGrant(Time now, const std::string& candidate, std::uint64_t epoch) const {
-  if (!voter_ || epoch <= promised_) return false;
+bool Replica::CanGrantVote(Time now, const std::string& candidate, std::uint64_t epoch) const {
+  if (!can_vote_ || epoch <= promised_) return false;
   if (role_ == Role::kLeader && Leads(now)) return false;
   return now >= lease_until_ || lease_holder_ == candidate;
 }
 
 void Replica::On(Time now, const std::string& from, const wire::VoteRequest& request) {
-  Know(from);
-  if (!request.pre_vote) highest_seen_ = std::max(highest_seen_, request.epoch);
-  const bool grantable = MayGrant(now, from, request.epoch);
-  const bool quiet = now < quiet_until_;
+  AddKnownNode(from);
+  if (!request.pre_vote) highest_seen_epoch_ = std::max(highest_seen_epoch_, request.epoch);
+  const bool grantable = CanGrantVote(now, from, request.epoch);
+  const bool quiet = now < restart_quiet_until_;
   if (grantable && !request.pre_vote && (!quiet || request.nobody_leads))
     return GrantVote(now, from, request);
   wire::VoteReply reply;
@@ -122,13 +123,13 @@
   promised_ = request.epoch;
   epoch_ = request.epoch;
   // The candidate has its time; a vote is no lease.
-  election_at_ = now + options_.vote_patience;
-  Writing writing;
-  writing.then = Writing::Then::kVote;
-  writing.to = to;
-  writing.epoch = request.epoch;
-  writing.candidate_held = request.held;
-  Write(std::move(writing));
+  election_at_ = now + options_.vote_timeout;
+  PendingWrite write;
+  write.completion = PendingWrite::Completion::kSendVote;
+  write.to = to;
+  write.epoch = request.epoch;
+  write.candidate_position = request.held;
+  Write(std::move(write));
 }
 
 }  // namespace kestrelline::control_plane
--- a/src/control_plane/replica_learner.cpp
+++ b/src/control_plane/replica_learner.cpp
@@ -10,118 +10,120 @@
 namespace kestrelline::control_plane {
 
 void Replica::TickLearner(Time now) {
-  if (!writings_.empty() || now < learner_.next_request) return;
-  if (learner_.founding) return TickFounder(now);
-  learner_.next_request = now + options_.learn_interval;
-  for (const std::string& node : known_) SendTo(node, wire::LearnRequest{nonce_, false});
+  if (!pending_writes_.empty() || now < learner_state_.next_request_at) return;
+  if (learner_state_.initial_record) return TickFounder(now);
+  learner_state_.next_request_at = now + options_.learn_interval;
+  for (const std::string& node : known_nodes_) SendTo(node, wire::LearnRequest{nonce_, false});
 }
 
 // Asks the other founders first: where one of them votes in an epoch already, there is something to learn.
 void Replica::TickFounder(Time now) {
-  if (!learner_.founding_until) learner_.founding_until = now + options_.founding_wait;
-  if (MayFound(now)) {
-    Writing writing;
-    writing.then = Writing::Then::kFounded;
-    writing.record = learner_.founding;
-    return Write(std::move(writing));
+  if (!learner_state_.founding_deadline) learner_state_.founding_deadline = now + options_.founding_wait;
+  if (CanFoundSystem(now)) {
+    PendingWrite write;
+    write.completion = PendingWrite::Completion::kFinishFounding;
+    write.record = learner_state_.initial_record;
+    return Write(std::move(write));
   }
-  learner_.next_request = now + options_.founding_interval;
-  for (const std::string& node : known_) SendTo(node, wire::LearnRequest{nonce_, true});
+  learner_state_.next_request_at = now + options_.founding_interval;
+  for (const std::string& node : known_nodes_) SendTo(node, wire::LearnRequest{nonce_, true});
 }
 
-bool Replica::MayFound(Time now) const {
+bool Replica::CanFoundSystem(Time now) const {
   const auto has_nothing = [this](const std::string& founder) {
-    return founder == options_.self || learner_.not_founded.contains(founder);
+    return founder == options_.self || learner_state_.uninitialized_founders.contains(founder);
   };
-  const auto& founders = learner_.founding->members;
-  return now >= *learner_.founding_until || std::all_of(founders.begin(), founders.end(), has_nothing);
+  const auto& founders = learner_state_.initial_record->members;
+  return now >= *learner_state_.founding_deadline ||
+         std::all_of(founders.begin(), founders.end(), has_nothing);
 }
 
 // Whoever lost its disk may have been counted for a record that is not committed yet. Nobody may count that
 // copy from now on: a leader forgets it, another member promises a later epoch, so that the one before it
 // commits nothing any more.
 void Replica::On(Time now, const std::string& from, const wire::LearnRequest& request) {
-  Know(from);
+  AddKnownNode(from);
   if (request.founding) {
     // Promises alone tell nothing: a founder makes them to newcomers that learn before the others have
     // founded.
-    SendTo(from, wire::LearnReply{request.nonce, StoredPosition().epoch, voter_, nullptr});
+    SendTo(from, wire::LearnReply{request.nonce, StoredPosition().epoch, can_vote_, nullptr});
     return;
   }
-  if (!voter_) {
+  if (!can_vote_) {
     SendTo(from, wire::LearnReply{request.nonce, promised_, false, nullptr});
     return;
   }
   if (role_ == Role::kLeader) {
-    if (!lead_.peers.contains(from) && lead_.peers.size() >= kMostKnownNodes) return;
-    Peer& peer = lead_.peers[from];
-    if (Enforced(Safeguard::kForgetLostCopies)) peer.stored = {};
-    peer.append_sent.reset();
-    peer.disk = request.nonce;
-    peer.disk_since = now;
-    if (!Electors(*lead_.current).contains(from)) lead_.learner_seen = now;
-    return AnswerLearner(from, request.nonce);
+    if (!leader_state_.peers.contains(from) && leader_state_.peers.size() >= kMaxKnownNodes) return;
+    Peer& peer = leader_state_.peers[from];
+    if (Enforced(Safeguard::kForgetLostCopies)) peer.stored_position = {};
+    peer.append_sent_at.reset();
+    peer.disk_id = request.nonce;
+    peer.disk_id_since = now;
+    if (!Electors(*leader_state_.proposed).contains(from)) leader_state_.learner_seen_at = now;
+    return ReplyToLearner(from, request.nonce);
   }
   const auto answered = answered_learners_.find(from);
   if (answered != answered_learners_.end() && answered->second == request.nonce) {
-    return AnswerLearner(from, request.nonce);
+    return ReplyToLearner(from, request.nonce);
   }
-  const bool under_way = std::any_of(writings_.begin(), writings_.end(), [&](const auto& entry) {
-    return entry.second.then == Writing::Then::kAnswerLearner && entry.second.to == from;
+  const bool under_way = std::any_of(pending_writes_.begin(), pending_writes_.end(), [&](const auto& entry) {
+    return entry.second.completion == PendingWrite::Completion::kReplyToLearner && entry.second.to == from;
   });
   if (under_way) return;
   if (role_ == Role::kCandidate) StepDown(now);
   if (Enforced(Safeguard::kForgetLostCopies)) ++promised_;
-  highest_seen_ = std::max(highest_seen_, promised_);
-  Writing writing;
-  writing.then = Writing::Then::kAnswerLearner;
-  writing.to = from;
-  writing.epoch = request.nonce;
-  Write(std::move(writing));
+  highest_seen_epoch_ = std::max(highest_seen_epoch_, promised_);
+  PendingWrite write;
+  write.completion = PendingWrite::Completion::kReplyToLearner;
+  write.to = from;
+  write.epoch = request.nonce;
+  Write(std::move(write));
 }
 
-void Replica::AnswerLearner(const std::string& to, std::uint64_t nonce) {
-  if (answered_learners_.size() >= kMostKnownNodes) answered_learners_.clear();
+void Replica::ReplyToLearner(const std::string& to, std::uint64_t nonce) {
+  if (answered_learners_.size() >= kMaxKnownNodes) answered_learners_.clear();
   answered_learners_[to] = nonce;
   SendTo(to, wire::LearnReply{nonce, promised_, true, record_});
 }
 
 void Replica::On(Time, const std::string& from, const wire::LearnReply& reply) {
   if (role_ != Role::kLearner || reply.nonce != nonce_) return;
-  if (learner_.founding) {
+  if (learner_state_.initial_record) {
     if (reply.voter && reply.promised > 0) {
-      learner_.founding = nullptr;  // others went on without this member, or before its disk was emptied
+      learner_state_.initial_record =
+          nullptr;  // others went on without this member, or before its disk was emptied
     } else {
-      learner_.not_founded.insert(from);
+      learner_state_.uninitialized_founders.insert(from);
     }
     return;
   }
   if (!reply.voter || !reply.record) return;
-  for (const std::string& elector : Electors(*reply.record)) Know(elector);
-  if (!learner_.answers.contains(from) && learner_.answers.size() >= kMostKnownNodes) return;
-  learner_.answers[from] = {reply.promised, reply.record};
-  TakeLearned();
+  for (const std::string& elector : Electors(*reply.record)) AddKnownNode(elector);
+  if (!learner_state_.replies.contains(from) && learner_state_.replies.size() >= kMaxKnownNodes) return;
+  learner_state_.replies[from] = {reply.promised, reply.record};
+  TryFinishLearning();
 }
 
-void Replica::TakeLearned() {
+void Replica::TryFinishLearning() {
   wire::RecordPtr newest;
   std::uint64_t promised = 0;
   NodeSet teachers;
-  for (const auto& [node, answer] : learner_.answers) {
+  for (const auto& [node, answer] : learner_state_.replies) {
     teachers.insert(node);
     promised = std::max(promised, answer.promised);
     if (!newest || answer.record->position > newest->position) newest = answer.record;
   }
   const bool enough =
       IsQuorum(*newest, teachers, options_.max_lost_members) || !Enforced(Safeguard::kLearnBeforeVoting);
-  if (!enough || !writings_.empty()) return;
+  if (!enough || !pending_writes_.empty()) return;
   promised_ = std::max(promised_, promised);
-  highest_seen_ = std::max(highest_seen_, promised_);
-  disk_ = nonce_;
-  Writing writing;
-  writing.then = Writing::Then::kLearned;
-  writing.record = newest;
-  Write(std::move(writing));
+  highest_seen_epoch_ = std::max(highest_seen_epoch_, promised_);
+  disk_id_ = nonce_;
+  PendingWrite write;
+  write.completion = PendingWrite::Completion::kFinishLearning;
+  write.record = newest;
+  Write(std::move(write));
 }
 
 }  // namespace kestrelline::control_plane
--- a/src/control_plane/replica_membership.cpp
+++ b/src/control_plane/replica_membership.cpp
@@ -11,23 +11,24 @@
 namespace kestrelline::control_plane {
 
 void Replica::On(Time now, const std::string& from, const wire::Hello& hello) {
-  Know(from);
+  AddKnownNode(from);
   if (role_ != Role::kLeader || !hello.counts_for_quorum) return;
-  if (Electors(*lead_.current).contains(from)) return;
-  if (!lead_.peers.contains(from) && lead_.peers.size() >= kMostKnownNodes) return;
-  Peer& peer = lead_.peers[from];
-  peer.last_hello = now;
-  if (peer.stored < lead_.current->position && !peer.append_sent) SendRecord(now, from, peer);
+  if (Electors(*leader_state_.proposed).contains(from)) return;
+  if (!leader_state_.peers.contains(from) && leader_state_.peers.size() >= kMaxKnownNodes) return;
+  Peer& peer = leader_state_.peers[from];
+  peer.last_hello_at = now;
+  if (peer.stored_position < leader_state_.proposed->position && !peer.append_sent_at)
+    SendRecord(now, from, peer);
 }
 
 // Members without a vote that are present and hold the newest record.
 std::vector<std::string> Replica::Successors(Time now) const {
   std::vector<std::string> successors;
-  const NodeSet electors = Electors(*lead_.current);
-  for (const auto& [node, peer] : lead_.peers) {
-    const bool present = peer.last_hello && !peer.leaving && peer.last_reply &&
-                         now - *peer.last_reply < options_.lost_after / 2;
-    const bool ready = present && peer.stored >= lead_.current->position;
+  const NodeSet electors = Electors(*leader_state_.proposed);
+  for (const auto& [node, peer] : leader_state_.peers) {
+    const bool present = peer.last_hello_at && !peer.leaving && peer.last_reply_at &&
+                         now - *peer.last_reply_at < options_.failure_timeout / 2;
+    const bool ready = present && peer.stored_position >= leader_state_.proposed->position;
     if (ready && !electors.contains(node)) successors.push_back(node);
   }
   return successors;
@@ -35,41 +36,43 @@
 
 // One that holds the newest record, or that is on the way to it. A leader that has just begun may not have
 // heard of those that wait.
-bool Replica::SuccessorInSight(Time now) const {
-  if (now - lead_.since < 4 * options_.hello_interval) return true;
-  if (!lead_.current->next_members.empty()) return true;  // on its way to a seat
-  if (lead_.learner_seen && now - *lead_.learner_seen < options_.lost_after) return true;
-  const NodeSet electors = Electors(*lead_.current);
-  return std::any_of(lead_.peers.begin(), lead_.peers.end(), [&](const auto& entry) {
+bool Replica::ExpectsSuccessor(Time now) const {
+  if (now - leader_state_.leading_since < 4 * options_.hello_interval) return true;
+  if (!leader_state_.proposed->next_members.empty()) return true;  // on its way to a seat
+  if (leader_state_.learner_seen_at && now - *leader_state_.learner_seen_at < options_.failure_timeout)
+    return true;
+  const NodeSet electors = Electors(*leader_state_.proposed);
+  return std::any_of(leader_state_.peers.begin(), leader_state_.peers.end(), [&](const auto& entry) {
     const Peer& peer = entry.second;
-    const bool present = peer.last_hello && now - *peer.last_hello < options_.lost_after;
+    const bool present = peer.last_hello_at && now - *peer.last_hello_at < options_.failure_timeout;
     return present && !peer.leaving && !electors.contains(entry.first);
   });
 }
 
 bool Replica::IsLeaving(const std::string& member) const {
   if (member == options_.self) return leaving_since_.has_value();
-  const auto peer = lead_.peers.find(member);
-  return peer != lead_.peers.end() && peer->second.leaving;
+  const auto peer = leader_state_.peers.find(member);
+  return peer != leader_state_.peers.end() && peer->second.leaving;
 }
 
 bool Replica::IsLost(Time now, const std::string& member) const {
   if (member == options_.self) return false;
-  const auto peer = lead_.peers.find(member);
-  const bool heard = peer != lead_.peers.end() && peer->second.last_reply;
-  return now - (heard ? *peer->second.last_reply : lead_.since) >= options_.lost_after;
+  const auto peer = leader_state_.peers.find(member);
+  const bool heard = peer != leader_state_.peers.end() && peer->second.last_reply_at;
+  return now - (heard ? *peer->second.last_reply_at : leader_state_.leading_since) >=
+         options_.failure_timeout;
 }
 
 bool Replica::ChangeMembership(Time now) {
-  if (!lead_.current->next_members.empty()) {
-    wire::Record settled = *lead_.current;
+  if (!leader_state_.proposed->next_members.empty()) {
+    wire::Record settled = *leader_state_.proposed;
     settled.members = std::exchange(settled.next_members, {});
     Replicate(now, std::move(settled));
     return true;
   }
   const std::vector<std::string> successors = Successors(now);
   if (successors.empty()) return false;
-  std::vector<std::string> next = lead_.current->members;
+  std::vector<std::string> next = leader_state_.proposed->members;
   auto replaced =
       std::find_if(next.begin(), next.end(), [this](const std::string& member) { return IsLeaving(member); });
   const std::size_t target = TargetSize(options_.max_lost_members);
@@ -85,7 +88,7 @@
     *replaced = successors.front();
   }
   std::sort(next.begin(), next.end());
-  wire::Record joint = *lead_.current;
+  wire::Record joint = *leader_state_.proposed;
   if (Enforced(Safeguard::kJointElectorate)) {
     joint.next_members = std::move(next);
   } else {
@@ -96,33 +99,33 @@
 }
 
 // Electors other than this member that hold the newest record.
-std::size_t Replica::CopiesElsewhere() const {
+std::size_t Replica::CountOtherCopies() const {
   const auto holds = [this](const std::string& node) {
-    const auto peer = lead_.peers.find(node);
-    return node != options_.self && peer != lead_.peers.end() &&
-           peer->second.stored >= lead_.current->position;
+    const auto peer = leader_state_.peers.find(node);
+    return node != options_.self && peer != leader_state_.peers.end() &&
+           peer->second.stored_position >= leader_state_.proposed->position;
   };
-  const NodeSet electors = Electors(*lead_.current);
+  const NodeSet electors = Electors(*leader_state_.proposed);
   return static_cast<std::size_t>(std::count_if(electors.begin(), electors.end(), holds));
 }
 
 // All that there can be; after a while as many as members may be lost, so that never the only copy leaves.
-bool Replica::EnoughCopiesElsewhere(Duration since_leaving) const {
-  const std::size_t others = Electors(*lead_.current).size() - 1;
+bool Replica::HasEnoughOtherCopies(Duration since_leaving) const {
+  const std::size_t others = Electors(*leader_state_.proposed).size() - 1;
   const std::size_t needed =
       std::min(others, static_cast<std::size_t>(std::max(1, options_.max_lost_members)));
-  const std::size_t copies = CopiesElsewhere();
-  return copies >= others || (copies >= needed && since_leaving >= options_.resign_patience);
+  const std::size_t copies = CountOtherCopies();
+  return copies >= others || (copies >= needed && since_leaving >= options_.resign_timeout);
 }
 
 void Replica::Leave(Time now) {
   if (leaving_since_) return;
   leaving_since_ = now;
-  successor_waits_ = true;  // until the leader says otherwise
+  successor_expected_ = true;  // until the leader says otherwise
   if (role_ == Role::kCandidate) StepDown(now);
-  if (role_ == Role::kLeader) return NextWork(now);
+  if (role_ == Role::kLeader) return StartNextChange(now);
   const std::string leader = LeaderWithinLease(now);
-  if (voter_ && !leader.empty()) Reply(now, leader, epoch_, 0);
+  if (can_vote_ && !leader.empty()) SendHeartbeatReply(now, leader, epoch_, 0);
 }
 
 bool Replica::CanStop(Time now) const {
@@ -136,22 +139,22 @@
   const bool has_seat = in_committed || (newer_here && IsElector());
   if (!has_seat) return true;
   const Duration since = now - *leaving_since_;
-  if (since >= options_.leave_patience) return true;
-  if (since < options_.leave_least) return false;
+  if (since >= options_.leave_timeout) return true;
+  if (since < options_.min_leave_time) return false;
   if (role_ != Role::kLeader) {
     const bool leaderless = LeaderWithinLease(now).empty();
-    return leaderless ? since >= options_.leaderless_patience : !successor_waits_;
+    return leaderless ? since >= options_.leaderless_timeout : !successor_expected_;
   }
-  if (SuccessorInSight(now)) return false;
-  const bool settled = committed_ && committed_->position == lead_.current->position;
-  return settled && EnoughCopiesElsewhere(since);
+  if (ExpectsSuccessor(now)) return false;
+  const bool settled = committed_ && committed_->position == leader_state_.proposed->position;
+  return settled && HasEnoughOtherCopies(since);
 }
 
 void Replica::Resign(Time now) {
   if (!leaving_since_) leaving_since_ = now;
   stopping_ = true;
   if (role_ != Role::kLeader) return;
-  FailOrders();
+  FailProposals();
   SendHeartbeats(now, true);
   role_ = Role::kFollower;
   leader_.clear();
--- a/src/control_plane/stage_orders.cpp
+++ b/src/control_plane/stage_orders.cpp
@@ -13,27 +13,27 @@
 using namespace http;
 
 // Short: an order that is held up must not arrive after the lease that it was given under.
-constexpr milliseconds kPatience{400};
+constexpr milliseconds kOrderTimeout{400};
 // A report shows the backend as it stood some hundred ms ago.
-constexpr milliseconds kBeforeLookUp{400};
+constexpr milliseconds kVerificationDelay{400};
 
-bhttp::request<bhttp::string_body> Compose(const StageOrder& order, const OrderGiver& giver,
-                                           std::uint64_t sequence) {
+bhttp::request<bhttp::string_body> MakeOrderRequest(const StageOrder& order, const StageOrderIssuer& issuer,
+                                                    std::uint64_t sequence) {
   bhttp::request<bhttp::string_body> request(bhttp::verb::post, "/-/order", 11);
   request.set(bhttp::field::host, order.address);
   request.set(bhttp::field::content_type, "application/json");
   request.set(bhttp::field::connection, "close");
   request.set("Expect-Instance", order.instance);
   const std::string goal = order.goal == StageGoal::kPrefill ? "prefill" : "decode";
-  request.body() = "{\"op\":\"stage\",\"stage\":\"" + goal + "\",\"holder\":\"" + giver.holder +
-                   "\",\"fence\":" + std::to_string(giver.fence) +
+  request.body() = "{\"op\":\"stage\",\"stage\":\"" + goal + "\",\"holder\":\"" + issuer.holder +
+                   "\",\"fence\":" + std::to_string(issuer.fence) +
                    ",\"if_revision\":" + std::to_string(sequence) + "}";
   request.prepare_payload();
   return request;
 }
 
 // On a connection that is open.
-Awaitable<std::optional<StageReport>> AskForReport(beast::tcp_stream& stream, const StageOrder& order) {
+Awaitable<std::optional<StageReport>> FetchReport(beast::tcp_stream& stream, const StageOrder& order) {
   bhttp::request<bhttp::empty_body> request(bhttp::verb::get, "/-/report", 11);
   request.set(bhttp::field::host, order.address);
   request.set("Expect-Instance", order.instance);
@@ -46,30 +46,31 @@
   co_return ParseStageReport(response.body());
 }
 
-Awaitable<bool> Open(beast::tcp_stream& stream, const StageOrder& order) {
+Awaitable<bool> OpenConnection(beast::tcp_stream& stream, const StageOrder& order) {
   const auto endpoint = node::ParseEndpoint(order.address);
   if (!endpoint) co_return false;
-  if (co_await Connect(stream, *endpoint, steady_clock::now() + kPatience)) co_return false;
+  if (co_await Connect(stream, *endpoint, steady_clock::now() + kOrderTimeout)) co_return false;
   // What a cut holds up is dropped with the connection.
   error_code ignored;
   stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
   co_return true;
 }
 
-bool Holds(const StageReport& report, StageGoal goal) {
+bool HasReached(const StageReport& report, StageGoal goal) {
   return report.prefill == (goal == StageGoal::kPrefill);
 }
 
-// Whether an order that got no answer was taken: its backend counts it, or is at it.
-Awaitable<OrderEnd> LookUp(asio::io_context& io, const StageOrder& order, std::uint64_t sequence_before) {
-  asio::steady_timer pause(io, kBeforeLookUp);
+// Whether an order that got no answer was accepted: its backend counts it, or is at it.
+Awaitable<StageOrderResult> VerifyOrder(asio::io_context& io, const StageOrder& order,
+                                        std::uint64_t sequence_before) {
+  asio::steady_timer pause(io, kVerificationDelay);
   co_await pause.async_wait(kTuple);
   beast::tcp_stream stream(io);
-  if (!co_await Open(stream, order)) co_return OrderEnd::kUnknown;
-  const auto report = co_await AskForReport(stream, order);
-  if (!report) co_return OrderEnd::kUnknown;
-  const bool taken = report->sequence > sequence_before || report->busy || Holds(*report, order.goal);
-  co_return taken ? OrderEnd::kTaken : OrderEnd::kRefused;
+  if (!co_await OpenConnection(stream, order)) co_return StageOrderResult::kUnknown;
+  const auto report = co_await FetchReport(stream, order);
+  if (!report) co_return StageOrderResult::kUnknown;
+  const bool accepted = report->sequence > sequence_before || report->busy || HasReached(*report, order.goal);
+  co_return accepted ? StageOrderResult::kAccepted : StageOrderResult::kRefused;
 }
 
 }  // namespace
@@ -86,24 +87,25 @@
   return report;
 }
 
-Awaitable<OrderEnd> GiveOrder(asio::io_context& io, StageOrder order, OrderGiver giver) {
+Awaitable<StageOrderResult> SendStageOrder(asio::io_context& io, StageOrder order, StageOrderIssuer issuer) {
   beast::tcp_stream stream(io);
-  if (!co_await Open(stream, order)) co_return OrderEnd::kRefused;
-  const auto before = co_await AskForReport(stream, order);
-  if (!before || before->busy) co_return OrderEnd::kRefused;
-  if (Holds(*before, order.goal)) co_return OrderEnd::kTaken;
+  if (!co_await OpenConnection(stream, order)) co_return StageOrderResult::kRefused;
+  const auto before = co_await FetchReport(stream, order);
+  if (!before || before->busy) co_return StageOrderResult::kRefused;
+  if (HasReached(*before, order.goal)) co_return StageOrderResult::kAccepted;
   // This process may have stood still since it planned the order, and another may lead by now.
-  if (!giver.may_send()) co_return OrderEnd::kRefused;
-  const auto request = Compose(order, giver, before->sequence);
+  if (!issuer.may_send()) co_return StageOrderResult::kRefused;
+  const auto request = MakeOrderRequest(order, issuer, before->sequence);
   const auto [write_error, written] = co_await bhttp::async_write(stream, request, kTuple);
   if (!write_error) {
     beast::flat_buffer buffer(kLongestParsed);
     bhttp::response<bhttp::string_body> response;
     const auto [read_error, read] = co_await bhttp::async_read(stream, buffer, response, kTuple);
-    if (!read_error) co_return response.result_int() / 100 == 2 ? OrderEnd::kTaken : OrderEnd::kRefused;
+    if (!read_error)
+      co_return response.result_int() / 100 == 2 ? StageOrderResult::kAccepted : StageOrderResult::kRefused;
   }
   stream.close();
-  co_return co_await LookUp(io, order, before->sequence);
+  co_return co_await VerifyOrder(io, order, before->sequence);
 }
 
 }  // namespace kestrelline::control_plane
--- a/src/control_plane/stage_orders.h
+++ b/src/control_plane/stage_orders.h
@@ -14,14 +14,14 @@
 
 namespace kestrelline::control_plane {
 
-enum class OrderEnd {
-  kTaken,    // it is being done, or holds already
-  kRefused,  // it was not given, or the backend said no
-  kUnknown,  // no answer, nor a report: it may have been taken
+enum class StageOrderResult {
+  kAccepted,  // it is being done, or holds already
+  kRefused,   // it was not given, or the backend said no
+  kUnknown,   // no answer, nor a report: it may have been accepted
 };
 
 // Who gives an order, and whether it still may. The fence is the leader's epoch.
-struct OrderGiver {
+struct StageOrderIssuer {
   std::string holder;
   std::uint64_t fence = 0;
   std::function<bool()> may_send;  // asked right before the order leaves
@@ -29,7 +29,7 @@
 
 // What a backend reports of itself (GET /-/report), as far as orders go by it.
 struct StageReport {
-  std::uint64_t sequence = 0;  // orders taken
+  std::uint64_t sequence = 0;  // orders accepted
   bool busy = false;           // one is under way
   bool prefill = false;
 };
@@ -37,7 +37,8 @@
 
 // Asks the backend for its report first, so that the order names the sequence that it builds on; and again
 // where the order got no answer.
-http::Awaitable<OrderEnd> GiveOrder(http::asio::io_context& io, StageOrder order, OrderGiver giver);
+http::Awaitable<StageOrderResult> SendStageOrder(http::asio::io_context& io, StageOrder order,
+                                                 StageOrderIssuer issuer);
 
 }  // namespace kestrelline::control_plane
 
--- a/src/control_plane/stage_planner.cpp
+++ b/src/control_plane/stage_planner.cpp
@@ -20,20 +20,22 @@
 std::size_t StagePlanner::WantedPrefill(const Service& service, const wire::Demand& demand) const {
   const auto all = static_cast<double>(service.prefill.size() + service.decode.size() +
                                        service.moving_to_prefill + service.moving_to_decode);
-  const double least = std::max(1.0, std::ceil(all * options_.least_share));
-  const wire::Instance& any = *service.prefill.front();
-  double prefill = demand.reading_ms_per_s / kMsPerS / options_.prefill_busy;
-  const double decode = demand.generating_ms_per_s / kMsPerS / std::max(1u, any.slots) / options_.decode_busy;
-  if (prefill + decode < all * options_.little_busy)
-    return static_cast<std::size_t>(all * options_.share_at_rest);
+  const double min_prefill = std::max(1.0, std::ceil(all * options_.min_stage_share));
+  const wire::Instance& sample = *service.prefill.front();
+  double prefill = demand.reading_ms_per_s / kMsPerS / options_.target_prefill_utilization;
+  const double decode =
+      demand.generating_ms_per_s / kMsPerS / std::max(1u, sample.slots) / options_.target_decode_utilization;
+  if (prefill + decode < all * options_.idle_utilization)
+    return static_cast<std::size_t>(all * options_.idle_prefill_share);
   // What neither needs is shared out as they need.
   prefill *= all / (prefill + decode);
-  return static_cast<std::size_t>(std::lround(std::clamp(prefill, least, std::max(least, all - least))));
+  return static_cast<std::size_t>(
+      std::lround(std::clamp(prefill, min_prefill, std::max(min_prefill, all - min_prefill))));
 }
 
 // From the zone that has the most of the one stage, and the fewest of the other.
-const wire::Instance* StagePlanner::Choose(const std::vector<const wire::Instance*>& from,
-                                           const std::vector<const wire::Instance*>& to) const {
+const wire::Instance* StagePlanner::ChooseInstance(const std::vector<const wire::Instance*>& from,
+                                                   const std::vector<const wire::Instance*>& to) const {
   const wire::Instance* best = nullptr;
   int best_surplus = 0;
   for (const wire::Instance* instance : from) {
@@ -64,40 +66,45 @@
   }
   std::vector<StageOrder> orders;
   for (const auto& [name, service] : services) {
-    const std::size_t under_way = service.moving_to_prefill + service.moving_to_decode;
-    if (service.prefill.empty() || service.decode.empty() || under_way >= options_.most_at_once) continue;
-    const std::string& asked_of = name;
-    const auto demand = std::find_if(demands.begin(), demands.end(), [&asked_of](const wire::Demand& entry) {
-      return entry.service == asked_of;
-    });
+    const std::size_t moving = service.moving_to_prefill + service.moving_to_decode;
+    if (service.prefill.empty() || service.decode.empty() || moving >= options_.max_concurrent_moves)
+      continue;
+    const std::string& service_name = name;
+    const auto demand =
+        std::find_if(demands.begin(), demands.end(),
+                     [&service_name](const wire::Demand& entry) { return entry.service == service_name; });
     const std::size_t wanted = WantedPrefill(service, demand == demands.end() ? wire::Demand{} : *demand);
     const std::size_t have = service.prefill.size() + service.moving_to_prefill;
     if (wanted == have) continue;
     const StageGoal goal = wanted > have ? StageGoal::kPrefill : StageGoal::kDecode;
-    const auto last = last_.find(name);
-    if (last != last_.end()) {
+    const auto last = last_moves_.find(name);
+    if (last != last_moves_.end()) {
       const bool opposite = last->second.goal != goal;
       // Back again only where it is worth more than one move.
       if (opposite && std::max(wanted, have) - std::min(wanted, have) < 2) continue;
-      if (now - last->second.began < (opposite ? options_.settle : options_.between)) continue;
+      if (now - last->second.started_at <
+          (opposite ? options_.reverse_move_interval : options_.min_move_interval))
+        continue;
     }
-    const wire::Instance* chosen = goal == StageGoal::kPrefill ? Choose(service.decode, service.prefill)
-                                                               : Choose(service.prefill, service.decode);
+    const wire::Instance* chosen = goal == StageGoal::kPrefill
+                                       ? ChooseInstance(service.decode, service.prefill)
+                                       : ChooseInstance(service.prefill, service.decode);
     if (chosen == nullptr) continue;
     orders.push_back({chosen->id, chosen->address, goal});
     moves_[chosen->id] = {goal, now};
-    last_[name] = {goal, now};
+    last_moves_[name] = {goal, now};
   }
   return orders;
 }
 
 void StagePlanner::MarkMoving(Time now, std::vector<wire::Instance>& instances) {
-  std::erase_if(moves_, [&](const auto& entry) { return now - entry.second.began > options_.patience; });
+  std::erase_if(moves_,
+                [&](const auto& entry) { return now - entry.second.started_at > options_.move_timeout; });
   for (wire::Instance& instance : instances) {
     const auto move = moves_.find(instance.id);
     if (move == moves_.end()) continue;
-    const bool there = move->second.goal == StageGoal::kPrefill ? instance.prefill : instance.decode;
-    if (there) {
+    const bool reached = move->second.goal == StageGoal::kPrefill ? instance.prefill : instance.decode;
+    if (reached) {
       moves_.erase(move);
     } else {
       instance.prefill = false;
--- a/src/control_plane/stage_planner.h
+++ b/src/control_plane/stage_planner.h
@@ -26,17 +26,17 @@
 };
 
 struct StagePlannerOptions {
-  double prefill_busy = 0.55;  // the part of its time that a prefill backend should read
-  // The part of its slots that a decode backend should have taken: short prompts are read there too, and each
-  // token comes later the more of them run.
-  double decode_busy = 0.55;
-  double least_share = 0.25;     // of the backends, for either stage
-  double share_at_rest = 0.5;    // prefill's, while clients ask for little
-  double little_busy = 0.15;     // of all backends' time: less than this is little
-  std::size_t most_at_once = 3;  // moves under way
-  std::chrono::milliseconds between{800};
-  std::chrono::milliseconds settle{4000};    // before the opposite move
-  std::chrono::milliseconds patience{6000};  // for the list to show a move
+  double target_prefill_utilization = 0.55;  // the part of its time that a prefill backend should read
+  // The part of its slots that a decode backend should have taken: short prompts are read reached too, and
+  // each token comes later the more of them run.
+  double target_decode_utilization = 0.55;
+  double min_stage_share = 0.25;         // of the backends, for either stage
+  double idle_prefill_share = 0.5;       // prefill's, while clients ask for little
+  double idle_utilization = 0.15;        // of all backends' time: less than this is little
+  std::size_t max_concurrent_moves = 3;  // moves under way
+  std::chrono::milliseconds min_move_interval{800};
+  std::chrono::milliseconds reverse_move_interval{4000};  // before the opposite move
+  std::chrono::milliseconds move_timeout{6000};           // for the list to show a move
 };
 
 class StagePlanner {
@@ -49,7 +49,7 @@
   std::vector<StageOrder> Plan(Time now, const std::vector<wire::Instance>& instances,
                                const std::vector<wire::Demand>& demands);
   // The backend did not take the order.
-  void Refused(const std::string& instance) { moves_.erase(instance); }
+  void OnOrderRejected(const std::string& instance) { moves_.erase(instance); }
   // Another member led meanwhile.
   void Reset() { moves_.clear(); }
   // Marks backends whose move is under way as of neither stage, so that no proxy picks them.
@@ -58,7 +58,7 @@
  private:
   struct Move {
     StageGoal goal = StageGoal::kPrefill;
-    Time began{0};
+    Time started_at{0};
   };
   struct Service {
     std::vector<const wire::Instance*> prefill;
@@ -68,12 +68,12 @@
   };
 
   std::size_t WantedPrefill(const Service& service, const wire::Demand& demand) const;
-  const wire::Instance* Choose(const std::vector<const wire::Instance*>& from,
-                               const std::vector<const wire::Instance*>& to) const;
+  const wire::Instance* ChooseInstance(const std::vector<const wire::Instance*>& from,
+                                       const std::vector<const wire::Instance*>& to) const;
 
   StagePlannerOptions options_;
-  std::map<std::string, Move> moves_;  // by instance
-  std::map<std::string, Move> last_;   // by service
+  std::map<std::string, Move> moves_;       // by instance
+  std::map<std::string, Move> last_moves_;  // by service
 };
 
 }  // namespace kestrelline::control_plane
--- a/src/control_plane/store.cpp
+++ b/src/control_plane/store.cpp
@@ -14,7 +14,7 @@
 namespace kestrelline::control_plane {
 namespace {
 
-class Category : public std::error_category {
+class StoreErrorCategory : public std::error_category {
  public:
   const char* name() const noexcept override { return "store"; }
   std::string message(int value) const override {
@@ -32,7 +32,7 @@
 
 constexpr const char* kFileName = "/control.db";
 
-constexpr const char* kPrepare =
+constexpr const char* kSchema =
     "PRAGMA locking_mode=EXCLUSIVE;"  // no index in memory that processes share
     "PRAGMA journal_mode=WAL;"
     "PRAGMA synchronous=FULL;"
@@ -60,22 +60,22 @@
   return static_cast<std::int64_t>(XXH3_64bits(bytes.data(), bytes.size()));
 }
 
-struct Opened {
+struct OpenResult {
   sqlite3* database = nullptr;
   int error = SQLITE_OK;
 };
 
-Opened OpenFile(const std::string& path) {
-  Opened opened;
+OpenResult OpenFile(const std::string& path) {
+  OpenResult result;
   constexpr int kFlags = SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX;
-  opened.error = sqlite3_open_v2(path.c_str(), &opened.database, kFlags, nullptr);
-  if (opened.error == SQLITE_OK) {
-    opened.error = sqlite3_exec(opened.database, kPrepare, nullptr, nullptr, nullptr);
+  result.error = sqlite3_open_v2(path.c_str(), &result.database, kFlags, nullptr);
+  if (result.error == SQLITE_OK) {
+    result.error = sqlite3_exec(result.database, kSchema, nullptr, nullptr, nullptr);
   }
-  if (opened.error == SQLITE_OK) return opened;
-  sqlite3_close(opened.database);
-  opened.database = nullptr;
-  return opened;
+  if (result.error == SQLITE_OK) return result;
+  sqlite3_close(result.database);
+  result.database = nullptr;
+  return result;
 }
 
 // A disk that is full or in trouble is not damage: what is on it must stay.
@@ -84,26 +84,26 @@
 }  // namespace
 
 const std::error_category& StoreCategory() {
-  static const Category category;
+  static const StoreErrorCategory category;
   return category;
 }
 std::error_code make_error_code(StoreError error) { return {static_cast<int>(error), StoreCategory()}; }
 
 std::unique_ptr<Store> Store::Open(const std::string& directory, std::error_code& error) {
   const std::string path = directory + kFileName;
-  Opened opened = OpenFile(path);
-  const bool damaged = IsDamage(opened.error);
+  OpenResult result = OpenFile(path);
+  const bool damaged = IsDamage(result.error);
   if (damaged) {
     for (const char* suffix : {"", "-wal", "-journal"}) std::remove((path + suffix).c_str());
-    opened = OpenFile(path);
+    result = OpenFile(path);
   }
-  if (opened.database == nullptr) {
+  if (result.database == nullptr) {
     error = StoreError::kCannotOpen;
     return nullptr;
   }
   error = {};
-  std::unique_ptr<Store> store(new Store(opened.database));
-  if (damaged && !store->SetNumber("INSERT OR REPLACE INTO damage(id, files) VALUES(1, ?)", 1)) {
+  std::unique_ptr<Store> store(new Store(result.database));
+  if (damaged && !store->WriteNumber("INSERT OR REPLACE INTO damage(id, files) VALUES(1, ?)", 1)) {
     error = StoreError::kCannotWrite;
     return nullptr;
   }
@@ -116,22 +116,23 @@
   return sqlite3_exec(database_, statement, nullptr, nullptr, nullptr) == SQLITE_OK;
 }
 
-std::optional<std::int64_t> Store::Number(const char* query) {
+std::optional<std::int64_t> Store::ReadNumber(const char* query) {
   const Statement statement = Prepare(database_, query);
   if (!statement || sqlite3_step(statement.get()) != SQLITE_ROW) return std::nullopt;
   return sqlite3_column_int64(statement.get(), 0);
 }
 
-bool Store::SetNumber(const char* statement, std::uint64_t value) {
+bool Store::WriteNumber(const char* statement, std::uint64_t value) {
   const Statement prepared = Prepare(database_, statement);
   return prepared && sqlite3_bind_int64(prepared.get(), 1, static_cast<std::int64_t>(value)) == SQLITE_OK &&
          sqlite3_step(prepared.get()) == SQLITE_DONE;
 }
 
 PersistentState Store::Load() {
-  const auto promised = Number("SELECT epoch FROM promise WHERE id=1");
+  const auto promised = ReadNumber("SELECT epoch FROM promise WHERE id=1");
   PersistentState nothing;
-  nothing.ever_written = promised.has_value() || Number("SELECT files FROM damage WHERE id=1").has_value();
+  nothing.ever_written =
+      promised.has_value() || ReadNumber("SELECT files FROM damage WHERE id=1").has_value();
   const Statement body = Prepare(database_, "SELECT digest, body FROM record WHERE id=1");
   if (!promised || !body || sqlite3_step(body.get()) != SQLITE_ROW) return nothing;
   const std::string_view bytes(static_cast<const char*>(sqlite3_column_blob(body.get(), 1)),
@@ -142,30 +143,30 @@
   PersistentState stored;
   stored.ever_written = true;
   stored.promised = static_cast<std::uint64_t>(*promised);
-  stored.disk = static_cast<std::uint64_t>(Number("SELECT identity FROM disk WHERE id=1").value_or(0));
+  stored.disk = static_cast<std::uint64_t>(ReadNumber("SELECT identity FROM disk WHERE id=1").value_or(0));
   stored.record = std::make_shared<const wire::Record>(std::move(*record));
   return stored;
 }
 
 std::error_code Store::Write(std::uint64_t promised, std::uint64_t disk, const wire::Record* record) {
   if (!Execute("BEGIN IMMEDIATE")) return StoreError::kCannotWrite;
-  bool good = SetNumber("INSERT OR REPLACE INTO promise(id, epoch) VALUES(1, ?)", promised) &&
-              SetNumber("INSERT OR REPLACE INTO disk(id, identity) VALUES(1, ?)", disk);
-  if (good && record != nullptr) {
+  bool succeeded = WriteNumber("INSERT OR REPLACE INTO promise(id, epoch) VALUES(1, ?)", promised) &&
+                   WriteNumber("INSERT OR REPLACE INTO disk(id, identity) VALUES(1, ?)", disk);
+  if (succeeded && record != nullptr) {
     const std::string bytes = wire::EncodeRecord(*record);
     const Statement body =
         Prepare(database_, "INSERT OR REPLACE INTO record(id, digest, body) VALUES(1, ?, ?)");
-    good = body && sqlite3_bind_int64(body.get(), 1, DigestOf(bytes)) == SQLITE_OK &&
-           sqlite3_bind_blob(body.get(), 2, bytes.data(), static_cast<int>(bytes.size()), SQLITE_STATIC) ==
-               SQLITE_OK &&
-           sqlite3_step(body.get()) == SQLITE_DONE;
+    succeeded = body && sqlite3_bind_int64(body.get(), 1, DigestOf(bytes)) == SQLITE_OK &&
+                sqlite3_bind_blob(body.get(), 2, bytes.data(), static_cast<int>(bytes.size()),
+                                  SQLITE_STATIC) == SQLITE_OK &&
+                sqlite3_step(body.get()) == SQLITE_DONE;
   }
-  if (good && Execute("COMMIT")) return {};
+  if (succeeded && Execute("COMMIT")) return {};
   Execute("ROLLBACK");
   return StoreError::kCannotWrite;
 }
 
-StoreThread::StoreThread(std::unique_ptr<Store> store, Done done)
+StoreThread::StoreThread(std::unique_ptr<Store> store, WriteCallback done)
     : store_(std::move(store)), done_(std::move(done)), thread_([this] { Run(); }) {}
 
 StoreThread::~StoreThread() {
@@ -173,16 +174,16 @@
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  changed_.notify_one();
+  queue_changed_.notify_one();
   thread_.join();
 }
 
 void StoreThread::Write(Persist persist) {
   {
     const std::lock_guard lock(mutex_);
-    if (queue_.size() < kMostQueued) {
+    if (queue_.size() < kMaxQueued) {
       queue_.push_back(std::move(persist));
-      changed_.notify_one();
+      queue_changed_.notify_one();
       return;
     }
   }
@@ -192,7 +193,7 @@
 void StoreThread::Run() {
   std::unique_lock lock(mutex_);
   while (true) {
-    changed_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
+    queue_changed_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
     if (queue_.empty()) return;
     const Persist persist = std::move(queue_.front());
     queue_.pop_front();
--- a/src/control_plane/store.h
+++ b/src/control_plane/store.h
@@ -44,8 +44,8 @@
  private:
   explicit Store(sqlite3* database) : database_(database) {}
   bool Execute(const char* statement);
-  std::optional<std::int64_t> Number(const char* query);
-  bool SetNumber(const char* statement, std::uint64_t value);
+  std::optional<std::int64_t> ReadNumber(const char* query);
+  bool WriteNumber(const char* statement, std::uint64_t value);
 
   sqlite3* database_;
 };
@@ -53,11 +53,11 @@
 // Writes in order on a thread of its own, so that a slow or hung disk holds nobody else up.
 class StoreThread {
  public:
-  static constexpr std::size_t kMostQueued = 64;  // more fail at once
+  static constexpr std::size_t kMaxQueued = 64;  // more fail at once
 
   // `done` is called on the thread, with the ticket of each write.
-  using Done = std::function<void(std::uint64_t ticket, bool written)>;
-  StoreThread(std::unique_ptr<Store> store, Done done);
+  using WriteCallback = std::function<void(std::uint64_t ticket, bool written)>;
+  StoreThread(std::unique_ptr<Store> store, WriteCallback done);
   ~StoreThread();
 
   void Write(Persist persist);
@@ -66,9 +66,9 @@
   void Run();
 
   std::unique_ptr<Store> store_;
-  Done done_;
+  WriteCallback done_;
   std::mutex mutex_;
-  std::condition_variable changed_;
+  std::condition_variable queue_changed_;
   std::deque<Persist> queue_;
   bool stopping_ = false;
   std::thread thread_;
--- a/tests/control_plane/leave_test.cpp
+++ b/tests/control_plane/leave_test.cpp
@@ -92,7 +92,7 @@
 
 // Long enough after Leave for anything but the end of the whole patience.
 Time RunPastResignPatience(DrivenReplica& leader) {
-  const Time until = leader.now + 2 * ReplicaOptions().resign_patience;
+  const Time until = leader.now + 2 * ReplicaOptions().resign_timeout;
   while (leader.now < until) {
     leader.now += kSoon;
     StayInContact(leader, kThird);
--- a/tests/control_plane/member_directory_test.cpp
+++ b/tests/control_plane/member_directory_test.cpp
@@ -13,30 +13,30 @@
 TEST(MemberDirectory, AsksSeedsThenMembersInTurn) {
   MemberDirectory directory({"s1", "s2"});
   EXPECT_TRUE(directory.members().empty());
-  EXPECT_EQ(directory.NextToAsk(), "s1");
-  EXPECT_EQ(directory.NextToAsk(), "s2");
-  directory.Take(milliseconds(0), {{"m1", "m2", "s1"}, "m2"});
+  EXPECT_EQ(directory.NextNode(), "s1");
+  EXPECT_EQ(directory.NextNode(), "s2");
+  directory.Update(milliseconds(0), {{"m1", "m2", "s1"}, "m2"});
   std::set<std::string> asked;
-  for (std::size_t i = 0; i < directory.size(); ++i) asked.insert(directory.NextToAsk());
+  for (std::size_t i = 0; i < directory.size(); ++i) asked.insert(directory.NextNode());
   EXPECT_EQ(asked, (std::set<std::string>{"m1", "m2", "s1", "s2"}));
 }
 
 TEST(MemberDirectory, ALeaderCountsForAWhile) {
   MemberDirectory directory({"s1"});
   EXPECT_FALSE(directory.Leader(milliseconds(0)));
-  directory.Take(milliseconds(100), {{"m1"}, "m1"});
-  EXPECT_EQ(directory.Leader(milliseconds(100) + MemberDirectory::kLeaderKnownFor), "m1");
-  EXPECT_FALSE(directory.Leader(milliseconds(101) + MemberDirectory::kLeaderKnownFor));
+  directory.Update(milliseconds(100), {{"m1"}, "m1"});
+  EXPECT_EQ(directory.Leader(milliseconds(100) + MemberDirectory::kLeaderTtl), "m1");
+  EXPECT_FALSE(directory.Leader(milliseconds(101) + MemberDirectory::kLeaderTtl));
 }
 
 // Another gateway that has just started knows nothing: what is known here stays.
 TEST(MemberDirectory, WhoKnowsNothingTeachesNothing) {
   MemberDirectory directory({"s1"});
-  directory.Take(milliseconds(0), {{"m1"}, "m1"});
-  directory.Take(milliseconds(1), {{}, ""});
+  directory.Update(milliseconds(0), {{"m1"}, "m1"});
+  directory.Update(milliseconds(1), {{}, ""});
   EXPECT_EQ(directory.Leader(milliseconds(1)), "m1");
   EXPECT_EQ(directory.members(), std::vector<std::string>{"m1"});
-  EXPECT_EQ(MemberDirectory({}).NextToAsk(), "");
+  EXPECT_EQ(MemberDirectory({}).NextNode(), "");
 }
 
 TEST(MemberDirectory, ReportsAreReadAsMembersWriteThem) {
--- a/tests/control_plane/planning_test.cpp
+++ b/tests/control_plane/planning_test.cpp
@@ -32,7 +32,7 @@
 std::vector<wire::Demand> Asked(double prefill, double decode) {
   const StagePlannerOptions options;
   return {{"llm", static_cast<std::uint32_t>(prefill * 1000),
-           static_cast<std::uint32_t>(decode * options.decode_busy * kSlots * 1000)}};
+           static_cast<std::uint32_t>(decode * options.target_decode_utilization * kSlots * 1000)}};
 }
 std::size_t Count(const std::vector<wire::Instance>& instances, bool prefill) {
   std::size_t count = 0;
@@ -111,7 +111,7 @@
   std::size_t orders = 0;
   for (; now < milliseconds(5000); now += milliseconds(500))
     orders += planner.Plan(now, instances, Asked(8, 2)).size();
-  EXPECT_EQ(orders, StagePlannerOptions{}.most_at_once);
+  EXPECT_EQ(orders, StagePlannerOptions{}.max_concurrent_moves);
   auto shown = instances;
   planner.MarkMoving(now, shown);
   EXPECT_EQ(Count(shown, true) + Count(shown, false), 15u);
