--- a/src/control_plane/control_gateway.cpp
+++ b/src/control_plane/control_gateway.cpp
@@ -14,11 +14,11 @@
 
 using namespace http;
 
-constexpr milliseconds kMemberTimeout{250};      // for the answer of one member
-constexpr milliseconds kCallTimeout{900};        // callers go on elsewhere after a second
-constexpr milliseconds kAnnounceInterval{1000};  // makes itself known to members
-constexpr milliseconds kDrainTime{250};          // for answers that are under way at the end
-constexpr milliseconds kExitMargin{350};         // before `grace_s` is over, as a proxy's
+constexpr milliseconds kMemberTimeout{250};      // for the response of one member
+constexpr milliseconds kCallTimeout{900};        // callers retry elsewhere after a second
+constexpr milliseconds kAnnounceInterval{1000};  // announces itself to members
+constexpr milliseconds kDrainTime{250};          // for responses in progress at the end
+constexpr milliseconds kExitMargin{350};         // before `grace_s` ends, as in a proxy
 
 milliseconds Now() {
   return std::chrono::duration_cast<milliseconds>(steady_clock::now().time_since_epoch());
@@ -56,8 +56,8 @@
   return {{}, directory_.members(), directory_.Leader(Now()).value_or("")};
 }
 
-// A proxy hears on its connection whom to go to. A member that looks for the others calls itself by its IP
-// address, and hears at the port of members.
+// Proxies get the members on their own connection. A member that looks for the others identifies itself by
+// its IP address, and is answered at the members' port.
 void ControlGateway::OnMessage(mesh::Connection& connection, wire::Message message) {
   if (const auto* referral = std::get_if<wire::Referral>(&message.body)) {
     return directory_.Update(Now(), {referral->members, referral->leader});
@@ -76,8 +76,8 @@
   asio::co_spawn(io_, Stop(std::move(done)), asio::detached);
 }
 
-// The proxy beside it drains for as long, and callers come until the platform has seen it: a process that
-// holds nothing has no reason to go before them.
+// The proxy on the same machine drains for the whole grace period, and callers arrive until the platform has
+// noticed the departure. The gateway holds no state, so it has no reason to stop earlier.
 Awaitable<void> ControlGateway::Stop(std::function<void()> done) {
   const auto exit_at = steady_clock::now() + settings_.bounds.grace - kExitMargin;
   answer_deadline_ = exit_at - kDrainTime;
@@ -105,7 +105,7 @@
   co_return response;
 }
 
-// As a member tells it: gateways ask one another too.
+// In the format of a member, since gateways also ask each other.
 ApiResponse ControlGateway::Members() const {
   return JsonResponse(bhttp::status::ok, R"({"members":)" + json::List(directory_.members()) +
                                              R"(,"leader":")" + directory_.Leader(Now()).value_or("") +
@@ -113,8 +113,8 @@
 }
 
 Awaitable<std::string> ControlGateway::FindMember() {
-  const auto until = std::min(answer_deadline_, steady_clock::now() + kCallTimeout);
-  while (steady_clock::now() < until) {
+  const auto deadline = std::min(answer_deadline_, steady_clock::now() + kCallTimeout);
+  while (steady_clock::now() < deadline) {
     if (const auto leader = directory_.Leader(Now())) co_return *leader;
     const std::string member = directory_.NextNode();
     if (member.empty()) break;
@@ -123,7 +123,7 @@
     directory_.Update(Now(), *report);
     const auto& members = report->members;
     const bool is_member = std::find(members.begin(), members.end(), member) != members.end();
-    if (is_member && report->leader.empty()) co_return member;  // it waits for a leader itself
+    if (is_member && report->leader.empty()) co_return member;  // it will wait for a leader itself
   }
   co_return std::string();
 }
@@ -131,9 +131,10 @@
 Awaitable<std::optional<MembersReport>> ControlGateway::AskMember(std::string member) {
   Request request(bhttp::verb::get, "/-/members", 11);
   request.set(bhttp::field::host, member);
-  const auto until = std::min(answer_deadline_, steady_clock::now() + kMemberTimeout);
-  const node::Endpoint endpoint{member, control_port_};  // GCC 12 frees such a temporary of a co_await twice
-  const auto response = co_await Exchange(io_, endpoint, std::move(request), until);
+  const auto deadline = std::min(answer_deadline_, steady_clock::now() + kMemberTimeout);
+  const node::Endpoint endpoint{
+      member, control_port_};  // named, since GCC 12 destroys such a temporary in a co_await twice
+  const auto response = co_await Exchange(io_, endpoint, std::move(request), deadline);
   if (!response || response->result() != bhttp::status::ok) co_return std::nullopt;
   co_return ParseMembersReport(response->body());
 }
--- a/src/control_plane/control_gateway.h
+++ b/src/control_plane/control_gateway.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A control process on a machine without a disk: it can't be a member, so it sends whoever calls it on,
-// callers of the operator's API to the leader, proxies and members that start to the members. Seeds may name
-// it. It makes itself known to the members, which tell it who they are; it holds no other state.
+// A control process on a machine without a disk. It cannot be a member, so it redirects callers of the
+// operator's API to the leader, and refers proxies and starting members to the members. Seeds may name it. It
+// announces itself to the members, which send it the current members; it holds no other state.
 #ifndef KESTRELLINE_CONTROL_PLANE_CONTROL_GATEWAY_H_
 #define KESTRELLINE_CONTROL_PLANE_CONTROL_GATEWAY_H_
 
@@ -23,7 +23,8 @@
   ControlGateway(http::asio::io_context& io, const node::Settings& settings);
 
   std::error_code Start();
-  // Sends callers on until the grace is nearly over, answers what was read, and calls `done`.
+  // Keeps redirecting until the grace period is nearly over, answers the requests that were read, then calls
+  // `done`.
   void Leave(std::function<void()> done);
 
  private:
@@ -31,7 +32,7 @@
   wire::Referral KnownMembers() const;
   http::Awaitable<http::ApiResponse> Handle(http::ApiRequest request);
   http::ApiResponse Members() const;
-  // A member to send callers to: the leader where one is known. Empty: no member answers.
+  // A member to redirect callers to, preferably the leader; empty if no member answers.
   http::Awaitable<std::string> FindMember();
   http::Awaitable<std::optional<MembersReport>> AskMember(std::string member);
   http::Awaitable<void> AnnounceToMembers();
@@ -44,8 +45,8 @@
   mesh::Mesh mesh_;
   http::ApiServer server_;
   http::asio::steady_timer refresh_;
-  bool leaving_ = false;   // SIGTERM came
-  bool stopping_ = false;  // and the grace is nearly over
+  bool leaving_ = false;   // Leave was called
+  bool stopping_ = false;  // the grace period is nearly over
   http::steady_clock::time_point answer_deadline_ = http::steady_clock::time_point::max();
 };
 
--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -18,18 +18,20 @@
 using namespace http;
 
 constexpr milliseconds kTickInterval{50};
-constexpr milliseconds kMinChangeInterval{500};  // of changes in quick succession only the newest goes out
-constexpr milliseconds kPublishInterval{300};    // where nothing changed: how old the knowledge is
+constexpr milliseconds kMinChangeInterval{500};  // changes in quick succession are published once
+constexpr milliseconds kPublishInterval{300};    // without changes only the age is published
 constexpr milliseconds kListReadInterval{500};
 constexpr milliseconds kLeaderPollInterval{100};
 constexpr milliseconds kPlanInterval{400};
+// A new leader sends no stage orders for the lease plus this margin, see PlanStageMoves.
 constexpr milliseconds kStageOrderMargin{600};
-constexpr milliseconds kFinalSendDelay{150};  // for what was sent last to other members
-constexpr milliseconds kExitMargin{350};      // before `grace_s` is over
-constexpr milliseconds kDrainReserve{1500};   // of `grace_s`, for the answers of a member that has left
+constexpr milliseconds kFinalSendDelay{150};  // for the last messages to other members
+constexpr milliseconds kExitMargin{350};      // before `grace_s` ends
+constexpr milliseconds kDrainReserve{
+    1500};  // part of `grace_s` for answering requests after the seat is handed over
 constexpr milliseconds kGatewayUpdateInterval{1000};
 constexpr std::size_t kMaxGateways = 64;
-constexpr int kEpochShift = 32;  // a list's revision: the leader's epoch, then a count
+constexpr int kEpochShift = 32;  // a list revision is the leader's epoch, then a counter
 
 Time Now() { return std::chrono::duration_cast<milliseconds>(steady_clock::now().time_since_epoch()); }
 
@@ -125,8 +127,8 @@
 
 std::string ControlNode::Members() const {
   const wire::RecordPtr record = replica_.committed();
-  const wire::Record none;
-  const wire::Record& known = record ? *record : none;
+  const wire::Record empty;
+  const wire::Record& known = record ? *record : empty;
   return "{\"members\":" + json::List(known.members) + ",\"next_members\":" + json::List(known.next_members) +
          ",\"leader\":\"" + replica_.leader() + "\",\"epoch\":" + std::to_string(replica_.epoch()) + "}";
 }
@@ -143,8 +145,8 @@
 }
 
 void ControlNode::Propose(Change change, std::function<void(Outcome)> decided) {
-  const std::uint64_t number = replica_.Propose(Now(), std::move(change));
-  pending_proposals_.emplace(number, std::move(decided));
+  const std::uint64_t id = replica_.Propose(Now(), std::move(change));
+  pending_proposals_.emplace(id, std::move(decided));
   ApplyEffects();
 }
 
@@ -179,30 +181,31 @@
   ApplyEffects();
 }
 
-// From a gateway: it is one, and whom it knows.
+// A referral is sent by a gateway and lists the members that it knows.
 void ControlNode::OnReferral(const std::string& from, const wire::Referral& referral) {
   replica_.AddKnownNodes(referral.members);
   const auto members = replica_.KnownNodes();
-  const bool member = std::find(members.begin(), members.end(), from) != members.end();
-  if (replica_.committed() && !member && gateways_.size() < kMaxGateways) gateways_.insert(from);
+  const bool is_member = std::find(members.begin(), members.end(), from) != members.end();
+  if (replica_.committed() && !is_member && gateways_.size() < kMaxGateways) gateways_.insert(from);
 }
 
-// Gateways that made themselves known, and seeds that are no members: they may be gateways.
+// Sends the members to the gateways that announced themselves, and to seeds that are not members, since they
+// may be gateways.
 void ControlNode::SendMembersToGateways() {
   if (Now() < next_gateway_update_ || !replica_.committed()) return;
   next_gateway_update_ = Now() + kGatewayUpdateInterval;
   const std::vector<std::string> members = replica_.KnownNodes();
-  std::set<std::string> told = gateways_;
-  for (const std::string& seed : settings_.SeedIps()) told.insert(seed);
-  for (const std::string& member : members) told.erase(member);
-  told.erase(settings_.ip);
-  if (told.empty()) return;
+  std::set<std::string> recipients = gateways_;
+  for (const std::string& seed : settings_.SeedIps()) recipients.insert(seed);
+  for (const std::string& member : members) recipients.erase(member);
+  recipients.erase(settings_.ip);
+  if (recipients.empty()) return;
   const mesh::Frame frame = mesh_.Encode(wire::Referral{{}, members, replica_.LeaderWithinLease(Now())});
-  for (const std::string& gateway : told) mesh_.Send(gateway, frame);
+  for (const std::string& gateway : recipients) mesh_.Send(gateway, frame);
 }
 
-// The list is as old as it says, counted from before it was composed; where that is unknown, as old as the
-// last.
+// The age of the list is counted from a time before the leader composed it. If that time is unknown, the read
+// time of the previous list stays.
 void ControlNode::OnInstances(const mesh::Connection& connection, const wire::InstanceList& list) {
   if (instances_ && list.revision < instances_->revision) return;
   if (!instances_ || list.revision > instances_->revision) {
@@ -214,21 +217,22 @@
 
 void ControlNode::OnListAge(const mesh::Connection& connection, const std::string& leader,
                             const wire::ListAge& age) {
-  const std::uint64_t held = instances_ ? instances_->revision : 0;
-  if (age.revision == held && instances_) return UpdateListReadTime(connection, age.age_ms);
-  if (age.revision > held) mesh_.Send(leader, mesh_.Encode(wire::ListRequest{held}));
+  const std::uint64_t held_revision = instances_ ? instances_->revision : 0;
+  if (age.revision == held_revision && instances_) return UpdateListReadTime(connection, age.age_ms);
+  if (age.revision > held_revision) mesh_.Send(leader, mesh_.Encode(wire::ListRequest{held_revision}));
 }
 
-// Changes of a list that is not here are void: the list's age, which follows, asks for it.
+// Ignores changes to a list that this member does not hold: the ListAge message that follows makes it request
+// the full list.
 void ControlNode::OnListChanges(const wire::ListChanges& changes) {
   if (!instances_ || instances_->revision != changes.base) return;
-  SetList(distribution::Apply(*instances_, changes));  // its age follows
+  SetList(distribution::Apply(*instances_, changes));  // the ListAge message follows
   PublishIfChanged();
 }
 
 void ControlNode::UpdateListReadTime(const mesh::Connection& connection, std::uint32_t age_ms) {
-  if (const auto composed_after = replica_.ProbeSentAt(connection.echo())) {
-    instances_read_at_ = std::max(instances_read_at_, *composed_after - milliseconds(age_ms));
+  if (const auto sent_no_earlier_than = replica_.ProbeSentAt(connection.echo())) {
+    instances_read_at_ = std::max(instances_read_at_, *sent_no_earlier_than - milliseconds(age_ms));
   }
 }
 
@@ -247,9 +251,9 @@
   }
 }
 
-// Every tick: to other members and to the proxies here, each within its budget.
+// Sends loads to the other members and to the local proxies, within their budgets. Runs on every tick.
 void ControlNode::ShareLoads() {
-  // What others hold of an earlier process of this member is void.
+  // Clears the loads that other members hold from an earlier process of this member.
   if (!std::exchange(loads_reset_sent_, true)) SendToMembers(wire::LoadReport{});
   LoadSharing::Updates updates = loads_.Tick(Now(), publisher_.zones());
   replica_.set_proxies(loads_.board().ProxiesHere());
@@ -257,8 +261,8 @@
   for (auto& [zone, summary] : updates.to_zones) publisher_.SendToZone(zone, std::move(summary));
 }
 
-// Only the leader gives orders, and not before any order of the one before it is old enough for both not to
-// count as taking turns.
+// Only the leader sends stage orders, and not until the orders of the previous leader are so old that
+// backends do not see two holders taking turns.
 void ControlNode::PlanStageMoves() {
   if (!Leads()) {
     leading_since_.reset();
@@ -276,7 +280,7 @@
                   demand.reading_ms_per_s, demand.generating_ms_per_s);
   }
   auto orders = planner_.Plan(Now(), platform_instances_, demands);
-  if (!orders.empty()) PublishList();  // no proxy picks them from now on
+  if (!orders.empty()) PublishList();  // so that no proxy picks the backends from now on
   for (StageOrder& order : orders) {
     spdlog::info("order instance={} stage={}", order.instance,
                  order.goal == StageGoal::kPrefill ? "prefill" : "decode");
@@ -290,12 +294,12 @@
   StageOrderIssuer issuer{settings_.node_name, epoch,
                           [this, epoch] { return Leads() && replica_.epoch() == epoch; }};
   const StageOrderResult result = co_await SendStageOrder(io_, std::move(order), std::move(issuer));
-  if (result != StageOrderResult::kRefused) co_return;
+  if (result != StageOrderResult::kRejected) co_return;
   spdlog::warn("order refused instance={}", instance);
   planner_.OnOrderRejected(instance);
 }
 
-// Carries out what the replica decided.
+// Executes the effects emitted by the replica.
 void ControlNode::ApplyEffects() {
   for (Effect& effect : replica_.TakeEffects()) {
     if (auto* send = std::get_if<Send>(&effect)) {
@@ -339,16 +343,16 @@
   });
 }
 
-// What leads to the newest configuration from the one that was published before it.
+// Adds the patch from the previously committed configuration to the newest one.
 void ControlNode::UpdateConfigurationHistory() {
   const wire::RecordPtr record = replica_.committed();
-  const wire::RecordPtr before = std::exchange(history_head_, record);
-  if (!record || !before || record->version == before->version) return;
-  auto patch = before->version < record->version
-                   ? configuration::PatchBetween(before->configuration, record->configuration)
+  const wire::RecordPtr previous = std::exchange(history_head_, record);
+  if (!record || !previous || record->version == previous->version) return;
+  auto patch = previous->version < record->version
+                   ? configuration::PatchBetween(previous->configuration, record->configuration)
                    : std::nullopt;
   if (patch) {
-    configurations_.Add(before->version, record->version, std::move(*patch));
+    configurations_.Add(previous->version, record->version, std::move(*patch));
   } else {
     configurations_.Clear();
   }
@@ -365,7 +369,7 @@
     };
     published.configurations = &configurations_;
   }
-  if (const auto certain = replica_.committed_confirmed_at(now)) published.age = now - *certain;
+  if (const auto confirmed_at = replica_.committed_confirmed_at(now)) published.age = now - *confirmed_at;
   published.instances = instances_;
   published.lists = &lists_;
   published.instances_age = now - instances_read_at_;
@@ -381,8 +385,7 @@
     spdlog::info("configuration version={} members={}", replica_.committed()->version,
                  replica_.committed()->members.size());
   }
-  const bool list_changed =
-      instances_ != published_instances_;  // a backend leaves, or moves: proxies must know
+  const bool list_changed = instances_ != published_instances_;  // a backend leaves or moves: publish at once
   published_record_ = replica_.committed();
   published_instances_ = instances_;
   change_pending_ = !list_changed && Now() < last_change_published_at_ + kMinChangeInterval;
@@ -414,32 +417,33 @@
 Awaitable<void> ControlNode::ReadListWhileLeading() {
   asio::steady_timer timer(io_);
   while (!stopping_) {
-    const auto began = steady_clock::now();
+    const auto started_at = steady_clock::now();
     const bool leads = Leads();
     if (leads) {
       auto instances = co_await reader_.Read();
       if (instances && Leads()) OnListRead(std::move(*instances));
     }
-    timer.expires_at(began + (leads ? kListReadInterval : kLeaderPollInterval));
+    timer.expires_at(started_at + (leads ? kListReadInterval : kLeaderPollInterval));
     co_await timer.async_wait(kTuple);
   }
 }
 
 void ControlNode::OnListRead(std::vector<wire::Instance> instances) {
-  for (wire::Instance& instance : instances) instance.warmup_left_ms = 0;  // changes all the time; not used
+  for (wire::Instance& instance : instances)
+    instance.warmup_left_ms = 0;  // changes constantly and is not used
   platform_instances_ = std::move(instances);
   instances_read_at_ = Now();
   PublishList();
 }
 
-// The list as it was read, with marks at backends that are being moved, to proxies and members.
+// Publishes the list from the platform to proxies and members, with backends that are being moved marked.
 void ControlNode::PublishList() {
   wire::InstanceList list;
   list.instances = platform_instances_;
   planner_.MarkMoving(Now(), list.instances);
-  const std::uint64_t first = replica_.epoch() << kEpochShift;
-  if (!instances_ || instances_->instances != list.instances || instances_->revision < first) {
-    list.revision = std::max(first, instances_ ? instances_->revision : 0) + 1;
+  const std::uint64_t first_of_epoch = replica_.epoch() << kEpochShift;
+  if (!instances_ || instances_->instances != list.instances || instances_->revision < first_of_epoch) {
+    list.revision = std::max(first_of_epoch, instances_ ? instances_->revision : 0) + 1;
     SetList(std::make_shared<const wire::InstanceList>(std::move(list)));
   }
   PublishIfChanged();
@@ -456,11 +460,11 @@
   return static_cast<std::uint32_t>((Now() - instances_read_at_).count());
 }
 
-// What changed, and how old it is: whoever lacks what the changes build on asks for the list.
+// Sends the changes and the age of the list. A member that lacks the base revision requests the full list.
 void ControlNode::SendListToMembers() {
-  const std::uint64_t told = std::exchange(members_revision_, instances_->revision);
-  if (told != instances_->revision) {
-    const auto changes = lists_.Since(told);
+  const std::uint64_t sent_revision = std::exchange(members_revision_, instances_->revision);
+  if (sent_revision != instances_->revision) {
+    const auto changes = lists_.Since(sent_revision);
     SendListFrame(changes ? mesh_.Encode(*changes) : mesh_.Encode(ListWithAge()));
   }
   SendListFrame(mesh_.Encode(wire::ListAge{instances_->revision, ListAgeMs()}));
@@ -470,7 +474,7 @@
   for (const std::string& node : OtherMembers()) SendList(node, frame);
 }
 
-// After the newest probe of that member has come back: it dates the list by its own clock.
+// Echoes the latest probe of the member first, so that it can date the list by its own clock.
 void ControlNode::SendList(const std::string& member, const mesh::Frame& frame) {
   mesh_.Send(member, mesh_.Encode(wire::Echo{replica_.LatestProbeFrom(member)}));
   mesh_.Send(member, frame);
--- a/src/control_plane/control_node.h
+++ b/src/control_plane/control_node.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A process of the control plane: the replica with its disk, its connections, the operator's API, the
-// platform's list and the subscriptions of proxies.
+// A member process of the control plane: it connects the replica to its disk and to the other members, serves
+// the operator's API, reads the platform's instance list and serves the subscriptions of proxies. Runs on the
+// thread of its io_context.
 #ifndef KESTRELLINE_CONTROL_PLANE_CONTROL_NODE_H_
 #define KESTRELLINE_CONTROL_PLANE_CONTROL_NODE_H_
 
@@ -32,10 +33,10 @@
   ~ControlNode() override;
 
   std::error_code Start();
-  // Called when the operator asks this member to leave.
+  // Sets the callback for the operator's request to leave.
   void OnLeaveRequested(std::function<void()> requested) { on_leave_requested_ = std::move(requested); }
-  // Stops as a member that is missed by nobody: one that waits takes its seat first, else leading is handed
-  // on. `done` is called when the process may end.
+  // Leaves in an orderly way: a waiting member takes the seat first, and leadership is handed over. Calls
+  // `done` when the process may exit.
   void Leave(std::function<void()> done);
 
   bool Leads() const override;
@@ -66,10 +67,10 @@
   void SendListFrame(const mesh::Frame& frame);
   void SendList(const std::string& member, const mesh::Frame& frame);
   wire::InstanceList ListWithAge() const;
-  std::uint32_t ListAgeMs() const;  // since it was read
+  std::uint32_t ListAgeMs() const;  // since the platform was asked
   std::vector<std::string> OtherMembers() const;
   void TryStop();
-  // Answers what was read, then ends the process.
+  // Answers the requests that were read, then calls on_left_.
   http::Awaitable<void> Stop();
   void PublishIfChanged();
   void PublishChange();
@@ -97,29 +98,29 @@
   std::map<std::uint64_t, std::function<void(Outcome)>> pending_proposals_;
 
   LoadSharing loads_;
-  bool loads_reset_sent_ = false;  // since this process began
+  bool loads_reset_sent_ = false;  // the empty report at the start of this process was sent
   StagePlanner planner_;
   std::optional<Time> leading_since_;
   Time next_plan_at_{0};
-  std::vector<wire::Instance> platform_instances_;  // as the platform told last, without marks
+  std::vector<wire::Instance> platform_instances_;  // as last read, without marks for moves
   wire::InstanceListPtr instances_;
   Time instances_read_at_{0};
   distribution::ListHistory lists_;
   distribution::ConfigurationHistory configurations_;
-  wire::RecordPtr history_head_;        // the record that `configurations_` leads to
-  std::uint64_t members_revision_ = 0;  // of the list that they were told last
+  wire::RecordPtr history_head_;        // the record that `configurations_` ends at
+  std::uint64_t members_revision_ = 0;  // of the list last sent to the other members
   wire::RecordPtr published_record_;
   wire::InstanceListPtr published_instances_;
   Time next_publication_at_{0};
   Time last_change_published_at_{0};
-  bool change_pending_ = false;  // for kMinChangeInterval since then
+  bool change_pending_ = false;  // until kMinChangeInterval after the last published change
   Role logged_role_ = Role::kLearner;
-  // Control processes that are no members; told who the members are for as long as this process lives, so
-  // that one that starts anew and knows nobody hears of them.
+  // Known gateways (control processes without a disk). They are kept until this process exits, so that a
+  // gateway that restarts without knowing any member is still sent the members.
   std::set<std::string> gateways_;
   Time next_gateway_update_{0};
   std::function<void()> on_leave_requested_;
-  std::function<void()> on_left_;  // set while this member leaves
+  std::function<void()> on_left_;  // set while this member is leaving
   http::steady_clock::time_point stop_deadline_;
   bool stopping_ = false;
 };
--- a/src/control_plane/electorate.h
+++ b/src/control_plane/electorate.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Who votes, and what makes a quorum of them. No I/O, no clock.
+// The set of voting members (electors) and the quorum rules. Pure functions.
 #ifndef KESTRELLINE_CONTROL_PLANE_ELECTORATE_H_
 #define KESTRELLINE_CONTROL_PLANE_ELECTORATE_H_
 
@@ -14,17 +14,18 @@
 
 using NodeSet = std::set<std::string>;
 
-// How many of `members` make a quorum: a majority, and one more than may be lost with their disks.
+// The quorum size for `members` electors: a majority, and at least one more than may be lost with their
+// disks.
 std::size_t QuorumSize(std::size_t members, int max_lost_members);
 
-// Whether `nodes` are a quorum of the record's electorate: while it is exchanged, of the old and of the new
-// one.
+// Whether `nodes` contain a quorum of the record's electorate; during a membership change, of both the old
+// and the new electorate.
 bool IsQuorum(const wire::Record& record, const NodeSet& nodes, int max_lost_members);
 
-// All who have a vote by that record.
+// All members with a vote according to the record, those of a joint electorate included.
 NodeSet Electors(const wire::Record& record);
 
-// The size that an electorate is grown to where there are enough machines.
+// The size to which an electorate grows if there are enough machines.
 std::size_t TargetSize(int max_lost_members);
 
 }  // namespace kestrelline::control_plane
--- a/src/control_plane/load_sharing.cpp
+++ b/src/control_plane/load_sharing.cpp
@@ -17,23 +17,23 @@
   updates.to_members = ChangesForMembers(now);
   std::erase_if(feeds_, [&zones](const auto& entry) { return !zones.contains(entry.first); });
   if (zones.empty()) return updates;
-  const std::vector<wire::BackendLoad> everywhere = board_.Everywhere().loads;
+  const std::vector<wire::BackendLoad> all_loads = board_.Everywhere().loads;
   for (const std::string& zone : zones) {
-    if (auto summary = SummaryFor(now, zone, everywhere)) updates.to_zones.emplace(zone, std::move(*summary));
+    if (auto summary = SummaryFor(now, zone, all_loads)) updates.to_zones.emplace(zone, std::move(*summary));
   }
   return updates;
 }
 
 std::optional<wire::LoadChanges> LoadSharing::ChangesForMembers(Time now) {
-  wire::LoadReport here = board_.Here();
+  wire::LoadReport local = board_.Here();
   wire::LoadChanges changes;
-  changes.loads = to_members_.Next(now, here.loads);
-  changes.proxies = here.proxies;
+  changes.loads = to_members_.Next(now, local.loads);
+  changes.proxies = local.proxies;
   const bool heartbeat_due = now - last_sent_to_members_at_ >= kHeartbeatInterval;
   if (changes.loads.empty() && !heartbeat_due) return std::nullopt;
   if (heartbeat_due) {
     last_sent_to_members_at_ = now;
-    changes.demands = std::move(here.demands);
+    changes.demands = std::move(local.demands);
   }
   return changes;
 }
--- a/src/control_plane/load_sharing.h
+++ b/src/control_plane/load_sharing.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member's part in telling proxies what all of them have sent to backends: takes the reports of the proxies
-// here and the changes of other members, and decides what each zone's proxies and the other members are told,
-// within budgets of bytes that do not grow with the number of backends. No I/O, no clock.
+// Distribution of backend loads by one member of the control plane. It collects the load reports of the
+// proxies subscribed here and the changes reported by other members, and decides what to send to the proxies
+// of each zone and to the other members, within bandwidth budgets that do not grow with the number of
+// backends. No I/O, no clock.
 #ifndef KESTRELLINE_CONTROL_PLANE_LOAD_SHARING_H_
 #define KESTRELLINE_CONTROL_PLANE_LOAD_SHARING_H_
 
@@ -24,24 +25,25 @@
  public:
   using Time = std::chrono::milliseconds;  // of a steady clock
 
-  // To the proxies of one zone, and from one member to another; bytes a second.
+  // Budgets in bytes per second, to each proxy of a zone and to each other member.
   static constexpr double kProxyBytesPerSecond = 9000;
   static constexpr double kMemberBytesPerSecond = 12000;
   static constexpr Time kMemberRepeatInterval{4000};
-  static constexpr Time kHeartbeatInterval{400};  // at the latest, though nothing changed
+  static constexpr Time kHeartbeatInterval{400};  // longest pause between messages, even if nothing changed
 
   distribution::LoadBoard& board() { return board_; }
 
-  // Where backends are: those of a proxy's zone matter most to it.
+  // Sets the zones of the backends; proxies get the loads of their own zone first.
   void SetInstances(const wire::InstanceList& list);
 
+  // Messages that are due; absent if there is nothing to send.
   struct Updates {
     std::optional<wire::LoadChanges> to_members;
     std::map<std::string, wire::LoadSummary> to_zones;
   };
-  // What to tell now, given the zones in which proxies subscribe here.
+  // Returns the messages to send now. `zones` are those of the proxies subscribed here.
   Updates Tick(Time now, const std::set<std::string>& zones);
-  // For a proxy that has just subscribed.
+  // The full summary, for a proxy that has just subscribed.
   wire::LoadSummary FullSummary(const std::string& zone) const;
 
  private:
--- a/src/control_plane/member_directory.cpp
+++ b/src/control_plane/member_directory.cpp
@@ -37,7 +37,7 @@
 }
 
 void MemberDirectory::Update(Time now, const MembersReport& report) {
-  if (report.members.empty()) return;  // from one that knows nothing itself
+  if (report.members.empty()) return;
   leader_ = report.leader;
   leader_reported_at_ = now;
   members_ = report.members;
--- a/src/control_plane/member_directory.h
+++ b/src/control_plane/member_directory.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a process without a disk knows of the members of the control plane: whom to ask next, and who led when
-// last heard of. No I/O, no clock.
+// The members of the control plane as known to a gateway (a control process without a disk): which node to
+// ask next, and which member was last reported as leader. No I/O, no clock.
 #ifndef KESTRELLINE_CONTROL_PLANE_MEMBER_DIRECTORY_H_
 #define KESTRELLINE_CONTROL_PLANE_MEMBER_DIRECTORY_H_
 
@@ -13,36 +13,37 @@
 
 namespace kestrelline::control_plane {
 
-// The answer of a member to GET /-/members.
+// The response of a member to GET /-/members.
 struct MembersReport {
   std::vector<std::string> members;
-  std::string leader;  // empty: none is known
+  std::string leader;  // empty if none is known
 };
-// Nothing unless `json` is such an answer.
+// Empty if `json` is not a valid response.
 std::optional<MembersReport> ParseMembersReport(std::string_view json);
 
 class MemberDirectory {
  public:
   using Time = std::chrono::milliseconds;  // of a steady clock
 
-  static constexpr Time kLeaderTtl{2500};  // members tell it every second
+  static constexpr Time kLeaderTtl{2500};  // members report it every second
   static constexpr std::size_t kMaxMembers = 32;
 
   explicit MemberDirectory(std::vector<std::string> seeds);
 
-  // Members and seeds in turn; empty if there are none.
+  // Members and seeds in rotation; empty if there are none.
   std::string NextNode();
   std::size_t size() const { return nodes_.size(); }
-  // The one that a member named as leader a short while ago.
+  // The leader reported within the last kLeaderTtl.
   std::optional<std::string> Leader(Time now) const;
+  // Ignores a report without members: its sender does not know them either.
   void Update(Time now, const MembersReport& report);
-  // The members that were told last; empty if never.
+  // The latest reported members; empty if none were reported yet.
   const std::vector<std::string>& members() const { return members_; }
 
  private:
   const std::vector<std::string> seeds_;
   std::vector<std::string> members_;
-  std::vector<std::string> nodes_;  // the members told last, then seeds that are none
+  std::vector<std::string> nodes_;  // the latest reported members, then seeds that are not among them
   std::size_t next_ = 0;
   std::string leader_;
   Time leader_reported_at_{0};
--- a/src/control_plane/operator_api.cpp
+++ b/src/control_plane/operator_api.cpp
@@ -17,7 +17,7 @@
 
 constexpr milliseconds kLeaderTimeout{600};
 constexpr milliseconds kLeaderPollInterval{50};
-// A caller goes on to another member after a second without an answer; it has long gone by then.
+// Callers retry with another member after a second without an answer, so nobody waits any longer by then.
 constexpr milliseconds kDecisionTimeout{3500};
 
 wire::Digest DigestOf(const std::string& text) {
@@ -77,7 +77,7 @@
 
 Awaitable<std::optional<ApiResponse>> OperatorApi::RedirectUnlessLeader(std::string target) {
   asio::steady_timer timer(io_);
-  const auto until = steady_clock::now() + kLeaderTimeout;
+  const auto deadline = steady_clock::now() + kLeaderTimeout;
   while (true) {
     if (state_.Leads()) co_return std::nullopt;
     const std::string leader = state_.OtherLeader();
@@ -86,7 +86,7 @@
       response.set(bhttp::field::location, "http://" + leader + ":" + std::to_string(control_port_) + target);
       co_return response;
     }
-    if (steady_clock::now() >= until) break;
+    if (steady_clock::now() >= deadline) break;
     timer.expires_after(kLeaderPollInterval);
     co_await timer.async_wait(kTuple);
   }
@@ -151,18 +151,18 @@
 }
 
 Awaitable<Outcome> OperatorApi::AwaitDecision(Change change) {
-  struct Waiting {
-    explicit Waiting(asio::io_context& io) : timer(io, kDecisionTimeout) {}
+  struct PendingDecision {
+    explicit PendingDecision(asio::io_context& io) : timer(io, kDecisionTimeout) {}
     asio::steady_timer timer;
     std::optional<Outcome> outcome;
   };
-  const auto waiting = std::make_shared<Waiting>(io_);
-  state_.Propose(std::move(change), [waiting](Outcome outcome) {
-    waiting->outcome = outcome;
-    waiting->timer.cancel();
+  const auto decision = std::make_shared<PendingDecision>(io_);
+  state_.Propose(std::move(change), [decision](Outcome outcome) {
+    decision->outcome = outcome;
+    decision->timer.cancel();
   });
-  if (!waiting->outcome) co_await waiting->timer.async_wait(kTuple);
-  co_return waiting->outcome.value_or(Outcome::kNotLeader);
+  if (!decision->outcome) co_await decision->timer.async_wait(kTuple);
+  co_return decision->outcome.value_or(Outcome::kNotLeader);
 }
 
 }  // namespace kestrelline::control_plane
--- a/src/control_plane/operator_api.h
+++ b/src/control_plane/operator_api.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The operator's API: puts and gets the configuration. What the orders mean is decided by the replica.
+// The operator's HTTP API: reads, replaces and patches the configuration. The replica decides each change.
 #ifndef KESTRELLINE_CONTROL_PLANE_OPERATOR_API_H_
 #define KESTRELLINE_CONTROL_PLANE_OPERATOR_API_H_
 
@@ -16,22 +16,23 @@
 
 namespace kestrelline::control_plane {
 
-// What the API needs of the node that it runs in.
+// The interface of the control node that the API uses.
 class ControlState {
  public:
   virtual ~ControlState() = default;
   virtual bool Leads() const = 0;
-  // The IP address of another member that leads now; empty if none is known.
+  // The IP address of another member that leads now, or empty.
   virtual std::string OtherLeader() const = 0;
   virtual wire::RecordPtr Committed() const = 0;
+  // The status of this member, as JSON.
   virtual std::string Status() const = 0;
-  // Who votes, and what this member knows of the leader, as JSON.
+  // The electorate and the known leader, as JSON.
   virtual std::string Members() const = 0;
-  // In the Prometheus text format.
+  // Metrics in the Prometheus text format.
   virtual std::string Metrics() const = 0;
-  // This process is to stop, as by SIGTERM.
+  // Requests that this process stops, as SIGTERM does.
   virtual void RequestLeave() = 0;
-  // Calls back once the order is decided, at once or later.
+  // Proposes a change; `decided` is called with its outcome, possibly before this returns.
   virtual void Propose(Change change, std::function<void(Outcome)> decided) = 0;
 };
 
@@ -42,13 +43,14 @@
   http::Awaitable<http::ApiResponse> Handle(http::ApiRequest request);
 
  private:
-  // Waits a little for a leader; nothing if this member leads, else the answer that sends the caller on.
+  // Waits up to kLeaderTimeout for a leader. Empty if this member leads, else a redirect or an error
+  // response.
   http::Awaitable<std::optional<http::ApiResponse>> RedirectUnlessLeader(std::string target);
   http::Awaitable<http::ApiResponse> ReplaceConfiguration(http::ApiRequest request);
-  // Alters named items of the configuration, on the terms of ReplaceConfiguration.
+  // Changes named items of the configuration; If-Match applies as in ReplaceConfiguration.
   http::Awaitable<http::ApiResponse> PatchConfiguration(http::ApiRequest request);
   http::Awaitable<http::ApiResponse> GetConfiguration(std::string target);
-  // The versions that were taken, the oldest first.
+  // The committed versions, oldest first.
   http::Awaitable<http::ApiResponse> GetHistory(std::string target);
   http::Awaitable<Outcome> AwaitDecision(Change change);
 
--- a/src/control_plane/orders.cpp
+++ b/src/control_plane/orders.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Evaluation of proposed configuration changes against the replicated record.
 #include <algorithm>
 #include <utility>
 
@@ -8,13 +10,13 @@
 namespace kestrelline::control_plane {
 
 std::optional<Outcome> EvaluateChange(const wire::Record& current, const Change& change) {
-  const wire::AcceptedChange same{change.version, change.digest};
+  const wire::AcceptedChange entry{change.version, change.digest};
   const auto& history = current.history;
-  const bool known = std::find(history.rbegin(), history.rend(), same) != history.rend();
+  const bool known = std::find(history.rbegin(), history.rend(), entry) != history.rend();
   if (known && Enforced(Safeguard::kRecogniseOrders)) return Outcome::kCommitted;
-  // Versions of changes that were taken rise: one below the oldest that is remembered may be a forgotten one.
-  const bool forgotten = history.size() >= kMaxHistory && change.version < history.front().version;
-  if (forgotten) return Outcome::kHistoryExpired;
+  // Committed versions increase: one below the oldest in the history may have been committed and dropped.
+  const bool below_history = history.size() >= kMaxHistory && change.version < history.front().version;
+  if (below_history) return Outcome::kHistoryExpired;
   if (change.only_if_accepted_before || change.base_version != current.version) return Outcome::kConflict;
   if (change.version <= current.version) return Outcome::kOldVersion;
   return std::nullopt;
--- a/src/control_plane/replica.cpp
+++ b/src/control_plane/replica.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What all roles of a member share: messages, the disk, what others are told.
+// What the roles of a member share: message dispatch, disk writes, known nodes and election timing.
 #include "control_plane/replica.h"
 
 #include <algorithm>
@@ -45,7 +45,7 @@
   }
   const bool founder =
       std::find(options_.seeds.begin(), options_.seeds.end(), options_.self) != options_.seeds.end();
-  // A disk that held something once may have held a promise.
+  // A disk that once held state may have held a promise, so its owner must learn instead of founding.
   const bool pristine = !stored.ever_written || !Enforced(Safeguard::kFoundOnPristineDisk);
   if (!options_.bootstrap || !founder || !pristine) return;
   wire::Record initial;
@@ -90,7 +90,7 @@
   const PendingWrite write = std::move(found->second);
   pending_writes_.erase(found);
   if (!written) {
-    // What was meant to be stored may be sent again.
+    // Allow the record to be sent and written again.
     pending_position_ = StoredPosition();
     if (write.completion == PendingWrite::Completion::kRequestVotes && role_ == Role::kCandidate)
       StepDown(now);
--- a/src/control_plane/replica_candidate.cpp
+++ b/src/control_plane/replica_candidate.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Elections: a pre-vote that binds nobody, then an epoch that a quorum promises.
+// Elections: a non-binding pre-vote, then a vote in which a quorum promises the new epoch.
 #include <algorithm>
 #include <utility>
 
@@ -23,8 +23,8 @@
   CountVotes(now);
 }
 
-// No elector leads, and each said so itself. Whoever led before a restart has forgotten it, so no lease can
-// hold that a voter forgot.
+// Whether each elector reported that it does not lead. A leader that restarted no longer leads, so in this
+// case there is no valid lease that a restarted voter could have forgotten.
 bool Replica::NoElectorLeads() const {
   const NodeSet electors = Electors(*candidate_state_.newest_record);
   const NodeSet& not_leading = candidate_state_.not_leading;
@@ -33,11 +33,11 @@
 
 void Replica::StartElection(Time now) {
   const bool no_elector_leads = candidate_state_.no_elector_leads;
-  wire::RecordPtr best = std::move(candidate_state_.newest_record);
+  wire::RecordPtr newest = std::move(candidate_state_.newest_record);
   candidate_state_ = {};
   candidate_state_.no_elector_leads = no_elector_leads;
   candidate_state_.round_deadline = now + 2 * options_.vote_timeout;
-  candidate_state_.newest_record = record_->position > best->position ? record_ : std::move(best);
+  candidate_state_.newest_record = record_->position > newest->position ? record_ : std::move(newest);
   epoch_ = std::max(promised_, highest_seen_epoch_) + 1;
   promised_ = epoch_;
   highest_seen_epoch_ = epoch_;
@@ -57,20 +57,20 @@
 
 void Replica::On(Time now, const std::string& from, const wire::VoteReply& reply) {
   highest_seen_epoch_ = std::max(highest_seen_epoch_, reply.promised);
-  const bool of_this_round = reply.epoch == epoch_ && reply.pre_vote == candidate_state_.pre_vote;
-  if (role_ != Role::kCandidate || !of_this_round) return;
+  const bool current_round = reply.epoch == epoch_ && reply.pre_vote == candidate_state_.pre_vote;
+  if (role_ != Role::kCandidate || !current_round) return;
   if (candidate_state_.pre_vote && !reply.leading) candidate_state_.not_leading.insert(from);
   if (!reply.granted) {
     if (!candidate_state_.pre_vote && reply.promised > epoch_) return StepDown(now);
     return CountVotes(now);
   }
-  const bool held = candidate_state_.pre_vote && reply.restarted_lately;
-  (held ? candidate_state_.conditional_votes : candidate_state_.votes).insert(from);
+  const bool conditional = candidate_state_.pre_vote && reply.restarted_lately;
+  (conditional ? candidate_state_.conditional_votes : candidate_state_.votes).insert(from);
   const bool newer = reply.record && reply.record->position > candidate_state_.newest_record->position;
   if (newer && Enforced(Safeguard::kNewestCopyAtElection)) {
-    const NodeSet before = Electors(*candidate_state_.newest_record);
+    const NodeSet previous_electors = Electors(*candidate_state_.newest_record);
     candidate_state_.newest_record = reply.record;
-    if (Electors(*candidate_state_.newest_record) != before) RequestVotes();
+    if (Electors(*candidate_state_.newest_record) != previous_electors) RequestVotes();
   }
   CountVotes(now);
 }
@@ -90,8 +90,8 @@
 
 void Replica::TickCandidate(Time now) {
   if (now < candidate_state_.round_deadline) return;
-  if (!candidate_state_.pre_vote &&
-      !candidate_state_.own_promise_stored) {  // the disk is slow: the round begins when it is done
+  if (!candidate_state_.pre_vote && !candidate_state_.own_promise_stored) {
+    // The disk is slow: the round starts after the write.
     candidate_state_.round_deadline = now + options_.vote_timeout;
     return;
   }
--- a/src/control_plane/replica_follower.cpp
+++ b/src/control_plane/replica_follower.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Following a leader, and voting.
+// Following a leader, and voting in elections.
 #include <algorithm>
 
 #include "control_plane/replica.h"
@@ -45,8 +45,8 @@
   ScheduleElection(now);
 }
 
-// What the leader vouches for held when it sent this: at or after the moment at which the probe that it
-// echoes was sent from here. The moment of receipt says nothing, the message may have been held up.
+// The leader's statement was true when it sent the heartbeat, which was after this member sent the probe that
+// the heartbeat echoes. The time of receipt proves nothing, since the message may have been delayed.
 void Replica::On(Time now, const std::string& from, const wire::Heartbeat& beat) {
   AddKnownNode(from);
   if (!can_vote_) return;
@@ -63,11 +63,11 @@
   }
   if (leaving_since_) successor_expected_ = beat.successor_waits;
   if (record_ && record_->position == beat.committed) committed_ = record_;
-  const auto composed_after =
+  const auto sent_no_earlier_than =
       Enforced(Safeguard::kDateByProbe) ? probes_.SentAt(beat.echo) : std::optional<Time>(now);
-  if (composed_after) {
+  if (sent_no_earlier_than) {
     const bool newest = beat.leased && committed_ && committed_->position == beat.committed;
-    if (newest) confirmed_at_ = std::max(confirmed_at_.value_or(Time(0)), *composed_after);
+    if (newest) confirmed_at_ = std::max(confirmed_at_.value_or(Time(0)), *sent_no_earlier_than);
   }
   total_proxies_ = beat.proxies;
   SendHeartbeatReply(now, from, beat.epoch, beat.sent_ms);
@@ -105,15 +105,15 @@
   AddKnownNode(from);
   if (!request.pre_vote) highest_seen_epoch_ = std::max(highest_seen_epoch_, request.epoch);
   const bool grantable = CanGrantVote(now, from, request.epoch);
-  const bool quiet = now < restart_quiet_until_;
-  if (grantable && !request.pre_vote && (!quiet || request.nobody_leads))
+  const bool restarted_lately = now < restart_quiet_until_;
+  if (grantable && !request.pre_vote && (!restarted_lately || request.nobody_leads))
     return GrantVote(now, from, request);
   wire::VoteReply reply;
   reply.epoch = request.epoch;
   reply.pre_vote = request.pre_vote;
   reply.granted = grantable && request.pre_vote;
   reply.promised = promised_;
-  reply.restarted_lately = quiet;
+  reply.restarted_lately = restarted_lately;
   reply.leading = role_ == Role::kLeader && Leads(now);
   SendTo(from, std::move(reply));
 }
@@ -122,7 +122,7 @@
   if (role_ == Role::kLeader || role_ == Role::kCandidate) StepDown(now);
   promised_ = request.epoch;
   epoch_ = request.epoch;
-  // The candidate has its time; a vote is no lease.
+  // Give the candidate one round before standing for election. A vote grants no lease.
   election_at_ = now + options_.vote_timeout;
   PendingWrite write;
   write.completion = PendingWrite::Completion::kSendVote;
--- a/src/control_plane/replica_leader.cpp
+++ b/src/control_plane/replica_leader.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Leading: copies, commits, the operator's orders.
+// Leading: replication, commits, and the proposals of the operator.
 #include <algorithm>
 #include <utility>
 
@@ -10,7 +10,7 @@
 namespace kestrelline::control_plane {
 
 void Replica::BecomeLeader(Time now) {
-  wire::Record initial = *candidate_state_.newest_record;
+  wire::Record record = *candidate_state_.newest_record;
   candidate_state_ = {};
   role_ = Role::kLeader;
   leader_ = options_.self;
@@ -18,14 +18,14 @@
   leader_state_.leading_since = now;
   leader_state_.last_quorum_contact = now;
   leader_state_.next_heartbeat_at = now;
-  Replicate(now, std::move(initial));
+  Replicate(now, std::move(record));
   SendHeartbeats(now, false);
 }
 
 void Replica::Replicate(Time now, wire::Record record) {
-  const std::uint64_t before =
+  const std::uint64_t last_sequence =
       leader_state_.proposed ? leader_state_.proposed->position.sequence : record.position.sequence;
-  record.position = {epoch_, before + 1};
+  record.position = {epoch_, last_sequence + 1};
   leader_state_.proposed = std::make_shared<const wire::Record>(std::move(record));
   for (const std::string& elector : Electors(*leader_state_.proposed)) AddKnownNode(elector);
   PendingWrite write;
@@ -34,7 +34,8 @@
   Write(std::move(write));
   for (const std::string& node : ReplicationTargets(now)) {
     Peer& peer = leader_state_.peers[node];
-    // One that is still taking an older record gets the newest next: a slow link never fills with old ones.
+    // A peer that is still receiving an older record gets the newest one afterwards, so that a slow link does
+    // not fill up with outdated records.
     const bool behind = peer.append_sent_at && peer.append_position > peer.stored_position;
     if (!behind || !Enforced(Safeguard::kOneRecordUnderWay)) SendRecord(now, node, peer);
   }
@@ -43,10 +44,10 @@
 NodeSet Replica::ReplicationTargets(Time now) const {
   NodeSet targets = Electors(*leader_state_.proposed);
   for (const auto& [node, peer] : leader_state_.peers) {
-    const bool waits = peer.last_hello_at && now - *peer.last_hello_at < options_.failure_timeout;
-    const bool leaves =
+    const bool waiting = peer.last_hello_at && now - *peer.last_hello_at < options_.failure_timeout;
+    const bool leaving =
         peer.leaving && peer.last_reply_at && now - *peer.last_reply_at < options_.failure_timeout;
-    if (waits || leaves) targets.insert(node);
+    if (waiting || leaving) targets.insert(node);
   }
   targets.erase(options_.self);
   return targets;
@@ -95,7 +96,8 @@
   highest_seen_epoch_ = std::max(highest_seen_epoch_, reply.promised);
   if (role_ != Role::kLeader) return;
   if (reply.promised > epoch_) {
-    // A member promised a later epoch; it can't take this leader's records. An epoch above that one heals it.
+    // A member promised a later epoch and cannot store this leader's records. A new election, for an epoch
+    // above that promise, resolves this.
     if (leaving_since_) return StepDown(now);
     FailProposals();
     leader_.clear();
@@ -104,17 +106,17 @@
   if (reply.epoch != epoch_) return;
   if (!leader_state_.peers.contains(from) && leader_state_.peers.size() >= kMaxKnownNodes) return;
   Peer& peer = leader_state_.peers[from];
-  const Time answered(static_cast<std::int64_t>(reply.sent_ms));
-  // A reply that was on its way as its disk was lost speaks of a copy that is no more.
-  if (peer.disk_id && answered > peer.disk_id_since) peer.disk_id = reply.disk;
-  const bool of_lost_disk = peer.disk_id && *peer.disk_id != reply.disk;
-  if (of_lost_disk && Enforced(Safeguard::kDiskIdentity)) return;
+  const Time heartbeat_sent(static_cast<std::int64_t>(reply.sent_ms));
+  // A reply that was in transit when the member lost its disk reports a copy that no longer exists.
+  if (peer.disk_id && heartbeat_sent > peer.disk_id_since) peer.disk_id = reply.disk;
+  const bool from_lost_disk = peer.disk_id && *peer.disk_id != reply.disk;
+  if (from_lost_disk && Enforced(Safeguard::kDiskIdentity)) return;
   peer.last_reply_at = now;
   peer.proxies = reply.proxies;
   peer.latest_probe = reply.probe;
   peer.leaving = reply.leaving;
   if (reply.sent_ms > 0)
-    peer.last_acked_heartbeat = std::max(peer.last_acked_heartbeat.value_or(answered), answered);
+    peer.last_acked_heartbeat = std::max(peer.last_acked_heartbeat.value_or(heartbeat_sent), heartbeat_sent);
   peer.stored_position = std::max(peer.stored_position, reply.stored);
   if (peer.stored_position >= leader_state_.proposed->position) {
     TryCommit(now);
@@ -124,14 +126,15 @@
   StartNextChange(now);
 }
 
-// The newest record, unless one is on its way there. What answers a heartbeat that was sent after a record
-// came after it on the same connection: if the record is not even being written, it was lost.
+// Sends the newest record unless one is in transit to the peer. A heartbeat that was sent after a record
+// arrives after it on the same connection. So if the peer answers that heartbeat and is not writing the
+// record, the record was lost.
 void Replica::CatchUpPeer(Time now, const std::string& to, Peer& peer, const wire::HeartbeatReply& reply) {
-  const bool under_way = peer.append_sent_at && peer.append_position > peer.stored_position;
-  if (under_way) {
+  const bool in_transit = peer.append_sent_at && peer.append_position > peer.stored_position;
+  if (in_transit) {
     const bool being_written = reply.writing >= peer.append_position;
-    const bool passed_by = Time(static_cast<std::int64_t>(reply.sent_ms)) > *peer.append_sent_at;
-    const bool lost = passed_by && !being_written && now - *peer.append_sent_at >= options_.resend_interval;
+    const bool overtaken = Time(static_cast<std::int64_t>(reply.sent_ms)) > *peer.append_sent_at;
+    const bool lost = overtaken && !being_written && now - *peer.append_sent_at >= options_.resend_interval;
     if (!lost) return;
   }
   SendRecord(now, to, peer);
@@ -163,19 +166,17 @@
   }
   if (HasQuorumContactSince(now - options_.lease)) leader_state_.last_quorum_contact = now;
   if (now - leader_state_.last_quorum_contact >= options_.lease)
-    return StepDown(now);  // others may lead by now
+    return StepDown(now);  // another member may lead by now
   if (now >= leader_state_.next_heartbeat_at) SendHeartbeats(now, false);
   StartNextChange(now);
 }
 
-// Begins the next change of the record, where the last one is committed.
 void Replica::StartNextChange(Time now) {
   while (role_ == Role::kLeader && committed_ && committed_->position == leader_state_.proposed->position) {
     if (ChangeMembership(now) || leader_state_.proposals.empty() || !ProcessFrontProposal(now)) return;
   }
 }
 
-// False if the front order has to wait, for its copies or for contact.
 bool Replica::ProcessFrontProposal(Time now) {
   Proposal& front = leader_state_.proposals.front();
   const auto outcome = EvaluateChange(*leader_state_.proposed, front.change);
@@ -186,11 +187,12 @@
     Replicate(now, std::move(next));
     return true;
   }
-  // What was taken stays taken. Any other verdict goes by the newest state: a quorum has to confirm, after
-  // the order came, that there is no later epoch.
-  const bool refused = *outcome == Outcome::kConflict || *outcome == Outcome::kOldVersion;
-  const bool proven = HasQuorumContactSince(front.received_at) || !Enforced(Safeguard::kContactBeforeRefusal);
-  if (refused && !proven) {
+  // An earlier commit is final. A rejection depends on the newest state: a quorum has to confirm, after the
+  // proposal arrived, that there is no later epoch.
+  const bool rejected = *outcome == Outcome::kConflict || *outcome == Outcome::kOldVersion;
+  const bool confirmed =
+      HasQuorumContactSince(front.received_at) || !Enforced(Safeguard::kContactBeforeRefusal);
+  if (rejected && !confirmed) {
     if (leader_state_.last_heartbeat_at <= front.received_at && now > front.received_at)
       SendHeartbeats(now, false);
     return false;
--- a/src/control_plane/replica_learner.cpp
+++ b/src/control_plane/replica_learner.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member with an empty disk: it founds the system at its first start, else it learns promises and records
-// from a quorum of the others before it votes or acknowledges. And how a voter answers one.
+// A member with an empty disk. At the first start of the system it takes part in founding it. Otherwise it
+// learns the promises and records of a quorum of the others before it votes or acknowledges. Also how a voter
+// answers such a learner.
 #include <algorithm>
 
 #include "control_plane/replica.h"
@@ -16,7 +17,7 @@
   for (const std::string& node : known_nodes_) SendTo(node, wire::LearnRequest{nonce_, false});
 }
 
-// Asks the other founders first: where one of them votes in an epoch already, there is something to learn.
+// Asks the other founders first: if one of them already votes in an epoch, there is state to learn from it.
 void Replica::TickFounder(Time now) {
   if (!learner_state_.founding_deadline) learner_state_.founding_deadline = now + options_.founding_wait;
   if (CanFoundSystem(now)) {
@@ -38,14 +39,14 @@
          std::all_of(founders.begin(), founders.end(), has_nothing);
 }
 
-// Whoever lost its disk may have been counted for a record that is not committed yet. Nobody may count that
-// copy from now on: a leader forgets it, another member promises a later epoch, so that the one before it
-// commits nothing any more.
+// A member that lost its disk may have been counted as holding a record that is not committed yet. From now
+// on that copy must not be counted: a leader discards it from its tally, and any other member promises a
+// later epoch, so that nothing more is committed in the earlier one.
 void Replica::On(Time now, const std::string& from, const wire::LearnRequest& request) {
   AddKnownNode(from);
   if (request.founding) {
-    // Promises alone tell nothing: a founder makes them to newcomers that learn before the others have
-    // founded.
+    // The highest promise does not show that the system runs: a founder also promises epochs to learners that
+    // ask before the others have founded. The epoch of the stored record does.
     SendTo(from, wire::LearnReply{request.nonce, StoredPosition().epoch, can_vote_, nullptr});
     return;
   }
@@ -63,14 +64,16 @@
     if (!Electors(*leader_state_.proposed).contains(from)) leader_state_.learner_seen_at = now;
     return ReplyToLearner(from, request.nonce);
   }
-  const auto answered = answered_learners_.find(from);
-  if (answered != answered_learners_.end() && answered->second == request.nonce) {
+  const auto last_answer = answered_learners_.find(from);
+  if (last_answer != answered_learners_.end() && last_answer->second == request.nonce) {
     return ReplyToLearner(from, request.nonce);
   }
-  const bool under_way = std::any_of(pending_writes_.begin(), pending_writes_.end(), [&](const auto& entry) {
-    return entry.second.completion == PendingWrite::Completion::kReplyToLearner && entry.second.to == from;
-  });
-  if (under_way) return;
+  const bool reply_pending =
+      std::any_of(pending_writes_.begin(), pending_writes_.end(), [&](const auto& entry) {
+        return entry.second.completion == PendingWrite::Completion::kReplyToLearner &&
+               entry.second.to == from;
+      });
+  if (reply_pending) return;
   if (role_ == Role::kCandidate) StepDown(now);
   if (Enforced(Safeguard::kForgetLostCopies)) ++promised_;
   highest_seen_epoch_ = std::max(highest_seen_epoch_, promised_);
@@ -92,7 +95,7 @@
   if (learner_state_.initial_record) {
     if (reply.voter && reply.promised > 0) {
       learner_state_.initial_record =
-          nullptr;  // others went on without this member, or before its disk was emptied
+          nullptr;  // the system already runs without this member, or ran before its disk was lost
     } else {
       learner_state_.uninitialized_founders.insert(from);
     }
@@ -108,14 +111,14 @@
 void Replica::TryFinishLearning() {
   wire::RecordPtr newest;
   std::uint64_t promised = 0;
-  NodeSet teachers;
+  NodeSet responders;
   for (const auto& [node, answer] : learner_state_.replies) {
-    teachers.insert(node);
+    responders.insert(node);
     promised = std::max(promised, answer.promised);
     if (!newest || answer.record->position > newest->position) newest = answer.record;
   }
   const bool enough =
-      IsQuorum(*newest, teachers, options_.max_lost_members) || !Enforced(Safeguard::kLearnBeforeVoting);
+      IsQuorum(*newest, responders, options_.max_lost_members) || !Enforced(Safeguard::kLearnBeforeVoting);
   if (!enough || !pending_writes_.empty()) return;
   promised_ = std::max(promised_, promised);
   highest_seen_epoch_ = std::max(highest_seen_epoch_, promised_);
--- a/src/control_plane/replica_membership.cpp
+++ b/src/control_plane/replica_membership.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Who votes changes by agreement alone (joint consensus): members that wait with a copy fill an electorate
-// that is too small, and take the seats of those that leave or are lost. And how a member stops.
+// Changes of the electorate, by joint consensus only: waiting members that hold a copy fill up an electorate
+// that is too small, and replace members that leave or have failed. Also the planned departure of a member.
 #include <algorithm>
 #include <utility>
 
@@ -21,24 +21,24 @@
     SendRecord(now, from, peer);
 }
 
-// Members without a vote that are present and hold the newest record.
+// Members without a vote that are reachable and hold the newest record.
 std::vector<std::string> Replica::Successors(Time now) const {
   std::vector<std::string> successors;
   const NodeSet electors = Electors(*leader_state_.proposed);
   for (const auto& [node, peer] : leader_state_.peers) {
-    const bool present = peer.last_hello_at && !peer.leaving && peer.last_reply_at &&
-                         now - *peer.last_reply_at < options_.failure_timeout / 2;
-    const bool ready = present && peer.stored_position >= leader_state_.proposed->position;
+    const bool reachable = peer.last_hello_at && !peer.leaving && peer.last_reply_at &&
+                           now - *peer.last_reply_at < options_.failure_timeout / 2;
+    const bool ready = reachable && peer.stored_position >= leader_state_.proposed->position;
     if (ready && !electors.contains(node)) successors.push_back(node);
   }
   return successors;
 }
 
-// One that holds the newest record, or that is on the way to it. A leader that has just begun may not have
-// heard of those that wait.
+// Whether some member holds the newest record without a vote, or is about to. A new leader assumes so until
+// it has had time to hear from the waiting members.
 bool Replica::ExpectsSuccessor(Time now) const {
   if (now - leader_state_.leading_since < 4 * options_.hello_interval) return true;
-  if (!leader_state_.proposed->next_members.empty()) return true;  // on its way to a seat
+  if (!leader_state_.proposed->next_members.empty()) return true;  // one is being added
   if (leader_state_.learner_seen_at && now - *leader_state_.learner_seen_at < options_.failure_timeout)
     return true;
   const NodeSet electors = Electors(*leader_state_.proposed);
@@ -58,8 +58,8 @@
 bool Replica::IsLost(Time now, const std::string& member) const {
   if (member == options_.self) return false;
   const auto peer = leader_state_.peers.find(member);
-  const bool heard = peer != leader_state_.peers.end() && peer->second.last_reply_at;
-  return now - (heard ? *peer->second.last_reply_at : leader_state_.leading_since) >=
+  const bool replied = peer != leader_state_.peers.end() && peer->second.last_reply_at;
+  return now - (replied ? *peer->second.last_reply_at : leader_state_.leading_since) >=
          options_.failure_timeout;
 }
 
@@ -98,7 +98,7 @@
   return true;
 }
 
-// Electors other than this member that hold the newest record.
+// Number of electors other than this member that hold the newest record.
 std::size_t Replica::CountOtherCopies() const {
   const auto holds = [this](const std::string& node) {
     const auto peer = leader_state_.peers.find(node);
@@ -109,19 +109,20 @@
   return static_cast<std::size_t>(std::count_if(electors.begin(), electors.end(), holds));
 }
 
-// All that there can be; after a while as many as members may be lost, so that never the only copy leaves.
+// Whether all other electors hold the newest record or, after resign_timeout, at least as many as members may
+// be lost: the only copy never leaves.
 bool Replica::HasEnoughOtherCopies(Duration since_leaving) const {
-  const std::size_t others = Electors(*leader_state_.proposed).size() - 1;
+  const std::size_t other_electors = Electors(*leader_state_.proposed).size() - 1;
   const std::size_t needed =
-      std::min(others, static_cast<std::size_t>(std::max(1, options_.max_lost_members)));
+      std::min(other_electors, static_cast<std::size_t>(std::max(1, options_.max_lost_members)));
   const std::size_t copies = CountOtherCopies();
-  return copies >= others || (copies >= needed && since_leaving >= options_.resign_timeout);
+  return copies >= other_electors || (copies >= needed && since_leaving >= options_.resign_timeout);
 }
 
 void Replica::Leave(Time now) {
   if (leaving_since_) return;
   leaving_since_ = now;
-  successor_expected_ = true;  // until the leader says otherwise
+  successor_expected_ = true;  // until the leader reports otherwise
   if (role_ == Role::kCandidate) StepDown(now);
   if (role_ == Role::kLeader) return StartNextChange(now);
   const std::string leader = LeaderWithinLease(now);
@@ -131,23 +132,24 @@
 bool Replica::CanStop(Time now) const {
   if (!Enforced(Safeguard::kLeaveByAgreement)) return true;
   if (!leaving_since_) return true;
-  // A record without this member frees it only once it is committed: before that the others' disks may hold
-  // no more than the electorate that needs it. A newer record with it binds it once it is stored here: its
-  // copy may be one that a change was committed by, before this member hears so.
+  // A record without this member releases it only once that record is committed: before that, the disks of
+  // the others may hold only the electorate that needs this member. A newer record that includes it binds it
+  // as soon as it is stored here: this copy may already have been counted for a commit that this member has
+  // not heard of yet.
   const bool in_committed = committed_ && Electors(*committed_).contains(options_.self);
   const bool newer_here = !committed_ || StoredPosition() > committed_->position;
   const bool has_seat = in_committed || (newer_here && IsElector());
   if (!has_seat) return true;
-  const Duration since = now - *leaving_since_;
-  if (since >= options_.leave_timeout) return true;
-  if (since < options_.min_leave_time) return false;
+  const Duration leaving_for = now - *leaving_since_;
+  if (leaving_for >= options_.leave_timeout) return true;
+  if (leaving_for < options_.min_leave_time) return false;
   if (role_ != Role::kLeader) {
     const bool leaderless = LeaderWithinLease(now).empty();
-    return leaderless ? since >= options_.leaderless_timeout : !successor_expected_;
+    return leaderless ? leaving_for >= options_.leaderless_timeout : !successor_expected_;
   }
   if (ExpectsSuccessor(now)) return false;
-  const bool settled = committed_ && committed_->position == leader_state_.proposed->position;
-  return settled && HasEnoughOtherCopies(since);
+  const bool all_committed = committed_ && committed_->position == leader_state_.proposed->position;
+  return all_committed && HasEnoughOtherCopies(leaving_for);
 }
 
 void Replica::Resign(Time now) {
--- a/src/control_plane/stage_orders.cpp
+++ b/src/control_plane/stage_orders.cpp
@@ -12,9 +12,9 @@
 
 using namespace http;
 
-// Short: an order that is held up must not arrive after the lease that it was given under.
+// Short, so that a delayed order does not arrive after the lease under which it was sent has expired.
 constexpr milliseconds kOrderTimeout{400};
-// A report shows the backend as it stood some hundred ms ago.
+// A report shows the state of the backend some hundred milliseconds ago.
 constexpr milliseconds kVerificationDelay{400};
 
 bhttp::request<bhttp::string_body> MakeOrderRequest(const StageOrder& order, const StageOrderIssuer& issuer,
@@ -32,7 +32,7 @@
   return request;
 }
 
-// On a connection that is open.
+// Uses an open connection.
 Awaitable<std::optional<StageReport>> FetchReport(beast::tcp_stream& stream, const StageOrder& order) {
   bhttp::request<bhttp::empty_body> request(bhttp::verb::get, "/-/report", 11);
   request.set(bhttp::field::host, order.address);
@@ -50,7 +50,7 @@
   const auto endpoint = node::ParseEndpoint(order.address);
   if (!endpoint) co_return false;
   if (co_await Connect(stream, *endpoint, steady_clock::now() + kOrderTimeout)) co_return false;
-  // What a cut holds up is dropped with the connection.
+  // Discard data that a network partition delays when the connection closes.
   error_code ignored;
   stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
   co_return true;
@@ -60,7 +60,7 @@
   return report.prefill == (goal == StageGoal::kPrefill);
 }
 
-// Whether an order that got no answer was accepted: its backend counts it, or is at it.
+// Finds out whether an order without an answer was accepted: the backend counts it, or is executing it.
 Awaitable<StageOrderResult> VerifyOrder(asio::io_context& io, const StageOrder& order,
                                         std::uint64_t sequence_before) {
   asio::steady_timer pause(io, kVerificationDelay);
@@ -70,7 +70,7 @@
   const auto report = co_await FetchReport(stream, order);
   if (!report) co_return StageOrderResult::kUnknown;
   const bool accepted = report->sequence > sequence_before || report->busy || HasReached(*report, order.goal);
-  co_return accepted ? StageOrderResult::kAccepted : StageOrderResult::kRefused;
+  co_return accepted ? StageOrderResult::kAccepted : StageOrderResult::kRejected;
 }
 
 }  // namespace
@@ -89,12 +89,12 @@
 
 Awaitable<StageOrderResult> SendStageOrder(asio::io_context& io, StageOrder order, StageOrderIssuer issuer) {
   beast::tcp_stream stream(io);
-  if (!co_await OpenConnection(stream, order)) co_return StageOrderResult::kRefused;
+  if (!co_await OpenConnection(stream, order)) co_return StageOrderResult::kRejected;
   const auto before = co_await FetchReport(stream, order);
-  if (!before || before->busy) co_return StageOrderResult::kRefused;
+  if (!before || before->busy) co_return StageOrderResult::kRejected;
   if (HasReached(*before, order.goal)) co_return StageOrderResult::kAccepted;
-  // This process may have stood still since it planned the order, and another may lead by now.
-  if (!issuer.may_send()) co_return StageOrderResult::kRefused;
+  // This process may have been suspended since it planned the order, and another member may lead by now.
+  if (!issuer.may_send()) co_return StageOrderResult::kRejected;
   const auto request = MakeOrderRequest(order, issuer, before->sequence);
   const auto [write_error, written] = co_await bhttp::async_write(stream, request, kTuple);
   if (!write_error) {
@@ -102,7 +102,7 @@
     bhttp::response<bhttp::string_body> response;
     const auto [read_error, read] = co_await bhttp::async_read(stream, buffer, response, kTuple);
     if (!read_error)
-      co_return response.result_int() / 100 == 2 ? StageOrderResult::kAccepted : StageOrderResult::kRefused;
+      co_return response.result_int() / 100 == 2 ? StageOrderResult::kAccepted : StageOrderResult::kRejected;
   }
   stream.close();
   co_return co_await VerifyOrder(io, order, before->sequence);
--- a/src/control_plane/stage_orders.h
+++ b/src/control_plane/stage_orders.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Gives stage orders to backends (POST /-/order).
+// Sends stage orders to backends (POST /-/order).
 #ifndef KESTRELLINE_CONTROL_PLANE_STAGE_ORDERS_H_
 #define KESTRELLINE_CONTROL_PLANE_STAGE_ORDERS_H_
 
@@ -15,28 +15,29 @@
 namespace kestrelline::control_plane {
 
 enum class StageOrderResult {
-  kAccepted,  // it is being done, or holds already
-  kRefused,   // it was not given, or the backend said no
-  kUnknown,   // no answer, nor a report: it may have been accepted
+  kAccepted,  // being executed, or the backend already serves the stage
+  kRejected,  // it was not sent, or the backend rejected it
+  kUnknown,   // neither an answer nor a report: it may have been accepted
 };
 
-// Who gives an order, and whether it still may. The fence is the leader's epoch.
+// The sender of an order. The fence is the leader's epoch.
 struct StageOrderIssuer {
   std::string holder;
   std::uint64_t fence = 0;
-  std::function<bool()> may_send;  // asked right before the order leaves
+  std::function<bool()> may_send;  // checked right before the order is sent
 };
 
-// What a backend reports of itself (GET /-/report), as far as orders go by it.
+// The part of a backend's report (GET /-/report) that orders depend on.
 struct StageReport {
-  std::uint64_t sequence = 0;  // orders accepted
-  bool busy = false;           // one is under way
+  std::uint64_t sequence = 0;  // number of orders accepted
+  bool busy = false;           // an order is being executed
   bool prefill = false;
 };
+// Empty if `body` is not a valid report.
 std::optional<StageReport> ParseStageReport(const std::string& body);
 
-// Asks the backend for its report first, so that the order names the sequence that it builds on; and again
-// where the order got no answer.
+// Fetches the backend's report first, so that the order names the sequence number it is based on, and fetches
+// it again if the order got no answer.
 http::Awaitable<StageOrderResult> SendStageOrder(http::asio::io_context& io, StageOrder order,
                                                  StageOrderIssuer issuer);
 
--- a/src/control_plane/stage_planner.cpp
+++ b/src/control_plane/stage_planner.cpp
@@ -18,30 +18,30 @@
 }  // namespace
 
 std::size_t StagePlanner::WantedPrefill(const Service& service, const wire::Demand& demand) const {
-  const auto all = static_cast<double>(service.prefill.size() + service.decode.size() +
-                                       service.moving_to_prefill + service.moving_to_decode);
-  const double min_prefill = std::max(1.0, std::ceil(all * options_.min_stage_share));
+  const auto total = static_cast<double>(service.prefill.size() + service.decode.size() +
+                                         service.moving_to_prefill + service.moving_to_decode);
+  const double min_prefill = std::max(1.0, std::ceil(total * options_.min_stage_share));
   const wire::Instance& sample = *service.prefill.front();
   double prefill = demand.reading_ms_per_s / kMsPerS / options_.target_prefill_utilization;
   const double decode =
       demand.generating_ms_per_s / kMsPerS / std::max(1u, sample.slots) / options_.target_decode_utilization;
-  if (prefill + decode < all * options_.idle_utilization)
-    return static_cast<std::size_t>(all * options_.idle_prefill_share);
-  // What neither needs is shared out as they need.
-  prefill *= all / (prefill + decode);
+  if (prefill + decode < total * options_.idle_utilization)
+    return static_cast<std::size_t>(total * options_.idle_prefill_share);
+  // Spare capacity is divided in proportion to the need.
+  prefill *= total / (prefill + decode);
   return static_cast<std::size_t>(
-      std::lround(std::clamp(prefill, min_prefill, std::max(min_prefill, all - min_prefill))));
+      std::lround(std::clamp(prefill, min_prefill, std::max(min_prefill, total - min_prefill))));
 }
 
-// From the zone that has the most of the one stage, and the fewest of the other.
+// Chooses from the zone with the largest surplus of the `from` stage over the `to` stage.
 const wire::Instance* StagePlanner::ChooseInstance(const std::vector<const wire::Instance*>& from,
                                                    const std::vector<const wire::Instance*>& to) const {
   const wire::Instance* best = nullptr;
   int best_surplus = 0;
   for (const wire::Instance* instance : from) {
-    const std::size_t here = CountInZone(from, instance->zone);
-    if (here <= 1) continue;  // never the last of its stage in a zone
-    const int surplus = static_cast<int>(here) - static_cast<int>(CountInZone(to, instance->zone));
+    const std::size_t zone_count = CountInZone(from, instance->zone);
+    if (zone_count <= 1) continue;  // never the last one of its stage in a zone
+    const int surplus = static_cast<int>(zone_count) - static_cast<int>(CountInZone(to, instance->zone));
     if (best != nullptr && surplus <= best_surplus) continue;
     best = instance;
     best_surplus = surplus;
@@ -73,16 +73,19 @@
     const auto demand =
         std::find_if(demands.begin(), demands.end(),
                      [&service_name](const wire::Demand& entry) { return entry.service == service_name; });
-    const std::size_t wanted = WantedPrefill(service, demand == demands.end() ? wire::Demand{} : *demand);
-    const std::size_t have = service.prefill.size() + service.moving_to_prefill;
-    if (wanted == have) continue;
-    const StageGoal goal = wanted > have ? StageGoal::kPrefill : StageGoal::kDecode;
-    const auto last = last_moves_.find(name);
-    if (last != last_moves_.end()) {
-      const bool opposite = last->second.goal != goal;
-      // Back again only where it is worth more than one move.
-      if (opposite && std::max(wanted, have) - std::min(wanted, have) < 2) continue;
-      if (now - last->second.started_at <
+    const std::size_t wanted_prefill =
+        WantedPrefill(service, demand == demands.end() ? wire::Demand{} : *demand);
+    const std::size_t current_prefill = service.prefill.size() + service.moving_to_prefill;
+    if (wanted_prefill == current_prefill) continue;
+    const StageGoal goal = wanted_prefill > current_prefill ? StageGoal::kPrefill : StageGoal::kDecode;
+    const auto last_move = last_moves_.find(name);
+    if (last_move != last_moves_.end()) {
+      const bool opposite = last_move->second.goal != goal;
+      // Reverse direction only if more than one move is needed.
+      if (opposite &&
+          std::max(wanted_prefill, current_prefill) - std::min(wanted_prefill, current_prefill) < 2)
+        continue;
+      if (now - last_move->second.started_at <
           (opposite ? options_.reverse_move_interval : options_.min_move_interval))
         continue;
     }
--- a/src/control_plane/store.cpp
+++ b/src/control_plane/store.cpp
@@ -33,7 +33,7 @@
 constexpr const char* kFileName = "/control.db";
 
 constexpr const char* kSchema =
-    "PRAGMA locking_mode=EXCLUSIVE;"  // no index in memory that processes share
+    "PRAGMA locking_mode=EXCLUSIVE;"  // avoids the WAL index in shared memory
     "PRAGMA journal_mode=WAL;"
     "PRAGMA synchronous=FULL;"
     "PRAGMA cache_size=-256;"
@@ -78,7 +78,7 @@
   return result;
 }
 
-// A disk that is full or in trouble is not damage: what is on it must stay.
+// A full or failing disk does not count as damage: its contents must be kept.
 bool IsDamage(int error) { return error == SQLITE_CORRUPT || error == SQLITE_NOTADB; }
 
 }  // namespace
@@ -130,16 +130,15 @@
 
 PersistentState Store::Load() {
   const auto promised = ReadNumber("SELECT epoch FROM promise WHERE id=1");
-  PersistentState nothing;
-  nothing.ever_written =
-      promised.has_value() || ReadNumber("SELECT files FROM damage WHERE id=1").has_value();
+  PersistentState empty;
+  empty.ever_written = promised.has_value() || ReadNumber("SELECT files FROM damage WHERE id=1").has_value();
   const Statement body = Prepare(database_, "SELECT digest, body FROM record WHERE id=1");
-  if (!promised || !body || sqlite3_step(body.get()) != SQLITE_ROW) return nothing;
+  if (!promised || !body || sqlite3_step(body.get()) != SQLITE_ROW) return empty;
   const std::string_view bytes(static_cast<const char*>(sqlite3_column_blob(body.get(), 1)),
                                static_cast<std::size_t>(sqlite3_column_bytes(body.get(), 1)));
-  if (sqlite3_column_int64(body.get(), 0) != DigestOf(bytes)) return nothing;
+  if (sqlite3_column_int64(body.get(), 0) != DigestOf(bytes)) return empty;
   auto record = wire::DecodeRecord(bytes);
-  if (!record) return nothing;
+  if (!record) return empty;
   PersistentState stored;
   stored.ever_written = true;
   stored.promised = static_cast<std::uint64_t>(*promised);
--- a/src/control_plane/store.h
+++ b/src/control_plane/store.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The control state on disk (SQLite), and the thread that writes it.
+// Persistent storage of the control state in SQLite, and the thread that writes it.
 #ifndef KESTRELLINE_CONTROL_PLANE_STORE_H_
 #define KESTRELLINE_CONTROL_PLANE_STORE_H_
 
@@ -25,20 +25,20 @@
 const std::error_category& StoreCategory();
 std::error_code make_error_code(StoreError error);
 
-// One file in `directory`. Every write is synced before it returns. Not thread-safe.
+// A database file in one directory. Writes are synced before they return. Not thread-safe.
 class Store {
  public:
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
 
-  // Opens or makes the file. One that is damaged is replaced by an empty one, on which Load tells that
-  // something was stored before.
+  // Opens the file or creates it. A damaged file is replaced by an empty one, for which Load reports
+  // `ever_written`. Returns null and sets `error` on failure.
   static std::unique_ptr<Store> Open(const std::string& directory, std::error_code& error);
 
-  // What was last written; nothing where its digest does not match.
+  // The state last written; an empty state if its digest does not match.
   PersistentState Load();
-  // All in one transaction; a null record stays as it was.
+  // Writes everything in one transaction. With a null `record` the stored one stays.
   std::error_code Write(std::uint64_t promised, std::uint64_t disk, const wire::Record* record);
 
  private:
@@ -50,12 +50,13 @@
   sqlite3* database_;
 };
 
-// Writes in order on a thread of its own, so that a slow or hung disk holds nobody else up.
+// Performs writes in order on its own thread, so that a slow or hung disk does not block the event loop.
 class StoreThread {
  public:
-  static constexpr std::size_t kMaxQueued = 64;  // more fail at once
+  static constexpr std::size_t kMaxQueued = 64;  // further writes fail immediately
 
-  // `done` is called on the thread, with the ticket of each write.
+  // Called with the ticket of each write on the writer thread, or within Write if the queue is full. `store`
+  // may be null; then every write fails.
   using WriteCallback = std::function<void(std::uint64_t ticket, bool written)>;
   StoreThread(std::unique_ptr<Store> store, WriteCallback done);
   ~StoreThread();
