--- a/tests/control_plane/leave_test.cpp
+++ b/tests/control_plane/leave_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// When a member that is asked to leave may stop: not while a record that it has acknowledged counts on it.
+// When a leaving member may stop: not while a record that it has acknowledged may depend on its copy.
 #include <gtest/gtest.h>
 
 #include "control_sim/driven_replica.h"
@@ -8,15 +8,15 @@
 namespace kestrelline::control_plane {
 namespace {
 
-constexpr Duration kSoon{100};  // far less than a leaving member waits for anything
+constexpr Duration kShortTime{100};  // far below every timeout of a leaving member
 
-wire::RecordPtr WithoutSelf(wire::Position position) {
+wire::RecordPtr RecordWithoutSelf(wire::Position position) {
   wire::Record record = *RecordAt(position, 1);
   record.members = {kSecond, kThird, "10.0.0.4"};
   return std::make_shared<const wire::Record>(std::move(record));
 }
 
-wire::Heartbeat CommittedAt(wire::Position position) {
+wire::Heartbeat HeartbeatWithCommitted(wire::Position position) {
   wire::Heartbeat beat;
   beat.epoch = position.epoch;
   beat.held = position;
@@ -25,53 +25,53 @@
   return beat;
 }
 
-// A member that waited for a seat: it knows a committed record in which it has none.
-DrivenReplica Newcomer() {
+// A member that waits for a seat: it knows a committed record that does not include it.
+DrivenReplica WaitingMember() {
   PersistentState stored;
   stored.ever_written = true;
   stored.promised = 1;
-  stored.record = WithoutSelf({1, 5});
+  stored.record = RecordWithoutSelf({1, 5});
   DrivenReplica member(std::move(stored));
-  member.Receive(kSecond, CommittedAt({1, 5}));
+  member.Receive(kSecond, HeartbeatWithCommitted({1, 5}));
   return member;
 }
 
-TEST(Leave, ANewcomerWithoutASeatMayStopAtOnce) {
-  DrivenReplica member = Newcomer();
+TEST(Leave, AMemberWithoutASeatMayStopAtOnce) {
+  DrivenReplica member = WaitingMember();
   member.replica().Leave(member.now);
   EXPECT_TRUE(member.replica().CanStop(member.now));
 }
 
-// Its copy may be one of those that an acknowledgement to the operator rests on: the leader commits with it
-// before it can tell so.
-TEST(Leave, ANewcomerThatAcknowledgedARecordWithASeatForItStays) {
-  DrivenReplica member = Newcomer();
+// Guards against losing an acknowledged change: the leader may have counted this copy for a commit that the
+// member has not heard of yet.
+TEST(Leave, AMemberThatAcknowledgedARecordGivingItASeatStays) {
+  DrivenReplica member = WaitingMember();
   member.Receive(kSecond, wire::Append{1, RecordAt({1, 6}, 2)});
   const auto* reply = member.Sent<wire::HeartbeatReply>(kSecond);
   ASSERT_NE(reply, nullptr);
   ASSERT_EQ(reply->stored, (wire::Position{1, 6}));
   member.replica().Leave(member.now);
-  EXPECT_FALSE(member.replica().CanStop(member.now + kSoon));
+  EXPECT_FALSE(member.replica().CanStop(member.now + kShortTime));
 }
 
-// The rule that was there before: a record without it frees a member only once it is committed.
+// A record without the member releases it only once that record is committed.
 TEST(Leave, AMemberStaysUntilARecordWithoutItIsCommitted) {
   PersistentState stored;
   stored.ever_written = true;
   stored.promised = 1;
   stored.record = RecordAt({1, 5}, 1);
   DrivenReplica member(std::move(stored));
-  member.Receive(kSecond, CommittedAt({1, 5}));
+  member.Receive(kSecond, HeartbeatWithCommitted({1, 5}));
   member.replica().Leave(member.now);
-  member.Receive(kSecond, wire::Append{1, WithoutSelf({1, 6})});
-  EXPECT_FALSE(member.replica().CanStop(member.now + kSoon));
-  member.Receive(kSecond, CommittedAt({1, 6}));
-  EXPECT_TRUE(member.replica().CanStop(member.now + kSoon));
+  member.Receive(kSecond, wire::Append{1, RecordWithoutSelf({1, 6})});
+  EXPECT_FALSE(member.replica().CanStop(member.now + kShortTime));
+  member.Receive(kSecond, HeartbeatWithCommitted({1, 6}));
+  EXPECT_TRUE(member.replica().CanStop(member.now + kShortTime));
 }
 
-// A leader of three whose newest record is committed by its own copy and the second member's; the third is
-// slow to store it.
-DrivenReplica LeaderWithASlowThird() {
+// A leader of three members whose newest record is committed by its own copy and that of the second member;
+// the third is slow to store it.
+DrivenReplica LeaderWithSlowThirdMember() {
   PersistentState stored;
   stored.ever_written = true;
   stored.promised = 1;
@@ -81,8 +81,8 @@
   return leader;
 }
 
-// Answers heartbeats, and stores nothing.
-void StayInContact(DrivenReplica& leader, const std::string& member) {
+// Answers heartbeats without storing anything.
+void AnswerHeartbeat(DrivenReplica& leader, const std::string& member) {
   wire::HeartbeatReply reply;
   reply.epoch = leader.replica().epoch();
   reply.promised = reply.epoch;
@@ -90,37 +90,37 @@
   leader.Receive(member, reply);
 }
 
-// Long enough after Leave for anything but the end of the whole patience.
-Time RunPastResignPatience(DrivenReplica& leader) {
+// Runs past resign_timeout, but not to leave_timeout.
+Time RunPastResignTimeout(DrivenReplica& leader) {
   const Time until = leader.now + 2 * ReplicaOptions().resign_timeout;
   while (leader.now < until) {
-    leader.now += kSoon;
-    StayInContact(leader, kThird);
+    leader.now += kShortTime;
+    AnswerHeartbeat(leader, kThird);
     leader.Tick();
   }
   return leader.now;
 }
 
 TEST(Leave, ALeaderDoesNotWaitForASlowMemberIfAnotherHoldsACopy) {
-  DrivenReplica leader = LeaderWithASlowThird();
-  leader.now += 4 * ReplicaOptions().hello_interval;  // it would have heard of those that wait by now
-  StayInContact(leader, kThird);
+  DrivenReplica leader = LeaderWithSlowThirdMember();
+  leader.now += 4 * ReplicaOptions().hello_interval;  // long enough to have heard of waiting members
+  AnswerHeartbeat(leader, kThird);
   leader.Tick();
   ASSERT_TRUE(leader.replica().Leads(leader.now));
   leader.replica().Leave(leader.now);
-  EXPECT_TRUE(leader.replica().CanStop(RunPastResignPatience(leader)));
+  EXPECT_TRUE(leader.replica().CanStop(RunPastResignTimeout(leader)));
 }
 
 TEST(Leave, ALeaderWithTheOnlyCopyStaysUntilAnotherMemberHasStoredIt) {
-  DrivenReplica leader = LeaderWithASlowThird();
+  DrivenReplica leader = LeaderWithSlowThirdMember();
   leader.now += 4 * ReplicaOptions().hello_interval;
-  StayInContact(leader, kThird);
+  AnswerHeartbeat(leader, kThird);
   leader.Tick();
   ASSERT_TRUE(leader.replica().Leads(leader.now));
   constexpr std::uint64_t kNewDisk = 77;
-  leader.Receive(kSecond, wire::LearnRequest{kNewDisk, false});  // its disk is gone, and the copy with it
+  leader.Receive(kSecond, wire::LearnRequest{kNewDisk, false});  // its disk and its copy are lost
   leader.replica().Leave(leader.now);
-  EXPECT_FALSE(leader.replica().CanStop(RunPastResignPatience(leader)));
+  EXPECT_FALSE(leader.replica().CanStop(RunPastResignTimeout(leader)));
   leader.Answer(kThird, leader.replica().epoch());
   EXPECT_TRUE(leader.replica().CanStop(leader.now));
 }
--- a/tests/control_plane/member_directory_test.cpp
+++ b/tests/control_plane/member_directory_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The rotation of nodes to ask, the expiry of a reported leader, and the parsing of reports.
 #include "control_plane/member_directory.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +23,7 @@
   EXPECT_EQ(asked, (std::set<std::string>{"m1", "m2", "s1", "s2"}));
 }
 
-TEST(MemberDirectory, ALeaderCountsForAWhile) {
+TEST(MemberDirectory, ALeaderExpires) {
   MemberDirectory directory({"s1"});
   EXPECT_FALSE(directory.Leader(milliseconds(0)));
   directory.Update(milliseconds(100), {{"m1"}, "m1"});
@@ -29,8 +31,8 @@
   EXPECT_FALSE(directory.Leader(milliseconds(101) + MemberDirectory::kLeaderTtl));
 }
 
-// Another gateway that has just started knows nothing: what is known here stays.
-TEST(MemberDirectory, WhoKnowsNothingTeachesNothing) {
+// An empty report, as from a gateway that has just started, must not clear the known members.
+TEST(MemberDirectory, AnEmptyReportChangesNothing) {
   MemberDirectory directory({"s1"});
   directory.Update(milliseconds(0), {{"m1"}, "m1"});
   directory.Update(milliseconds(1), {{}, ""});
@@ -39,7 +41,7 @@
   EXPECT_EQ(MemberDirectory({}).NextNode(), "");
 }
 
-TEST(MemberDirectory, ReportsAreReadAsMembersWriteThem) {
+TEST(MemberDirectory, ParsesTheReportsOfMembers) {
   const auto report = ParseMembersReport(R"({"members":["a","b"],"next_members":[],"leader":"b","epoch":3})");
   ASSERT_TRUE(report);
   EXPECT_EQ(report->members, (std::vector<std::string>{"a", "b"}));
--- a/tests/control_plane/planning_test.cpp
+++ b/tests/control_plane/planning_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the leader works out for the data plane: the sum of loads, and moves between stages.
+// What the leader computes for the data plane: the sums of the reported loads, and moves between stages.
 #include <gtest/gtest.h>
 
 #include "control_plane/stage_planner.h"
@@ -28,8 +28,9 @@
   }
   return instances;
 }
-// The reading of so many backends at full pace, and streams for so many that are as busy as they should be.
-std::vector<wire::Demand> Asked(double prefill, double decode) {
+// The demand that keeps `prefill` backends reading all the time, and `decode` backends at their target
+// utilization.
+std::vector<wire::Demand> MakeDemand(double prefill, double decode) {
   const StagePlannerOptions options;
   return {{"llm", static_cast<std::uint32_t>(prefill * 1000),
            static_cast<std::uint32_t>(decode * options.target_decode_utilization * kSlots * 1000)}};
@@ -39,13 +40,13 @@
   for (const wire::Instance& instance : instances) count += prefill ? instance.prefill : instance.decode;
   return count;
 }
-// Plans and carries out, until nothing more is planned.
-std::size_t Settle(StagePlanner& planner, std::vector<wire::Instance>& instances,
-                   const std::vector<wire::Demand>& asked, milliseconds& now) {
+// Plans and executes moves for 60 rounds. Returns the number of orders.
+std::size_t RunPlanner(StagePlanner& planner, std::vector<wire::Instance>& instances,
+                       const std::vector<wire::Demand>& demands, milliseconds& now) {
   std::size_t orders = 0;
   for (int round = 0; round < 60; ++round) {
     now += milliseconds(1000);
-    for (const StageOrder& order : planner.Plan(now, instances, asked)) {
+    for (const StageOrder& order : planner.Plan(now, instances, demands)) {
       ++orders;
       for (wire::Instance& instance : instances) {
         if (instance.id != order.instance) continue;
@@ -53,36 +54,36 @@
         instance.decode = !instance.prefill;
       }
     }
-    std::vector<wire::Instance> shown = instances;
-    planner.MarkMoving(now, shown);
+    std::vector<wire::Instance> listed = instances;
+    planner.MarkMoving(now, listed);
   }
   return orders;
 }
 
-TEST(StagePlanner, PrefillGrowsWhereMoreIsToBeRead) {
+TEST(StagePlanner, PrefillGrowsWithPromptLoad) {
   StagePlanner planner;
   auto instances = Backends(7, 11);
   milliseconds now{0};
-  Settle(planner, instances, Asked(6.5, 5), now);
+  RunPlanner(planner, instances, MakeDemand(6.5, 5), now);
   EXPECT_GE(Count(instances, true), 11u);
   EXPECT_GE(Count(instances, false), 5u);
 }
 
-TEST(StagePlanner, DecodeGrowsWhereAnswersAreLong) {
+TEST(StagePlanner, DecodeGrowsWithAnswerLength) {
   StagePlanner planner;
   auto instances = Backends(12, 6);
   milliseconds now{0};
-  Settle(planner, instances, Asked(1.5, 12), now);
+  RunPlanner(planner, instances, MakeDemand(1.5, 12), now);
   EXPECT_GE(Count(instances, false), 12u);
   EXPECT_GE(Count(instances, true), 4u);
 }
 
-TEST(StagePlanner, NeitherStageFallsUnderItsLeastShareNorOutOfAZone) {
+TEST(StagePlanner, EachStageKeepsItsMinimumShareAndABackendInEachZone) {
   for (const bool reading : {true, false}) {
     StagePlanner planner;
     auto instances = Backends(9, 9);
     milliseconds now{0};
-    Settle(planner, instances, reading ? Asked(100, 0) : Asked(0, 100), now);
+    RunPlanner(planner, instances, reading ? MakeDemand(100, 0) : MakeDemand(0, 100), now);
     EXPECT_GE(Count(instances, !reading), 5u);
     for (const char zone : {'a', 'b', 'c'}) {
       std::size_t here = 0;
@@ -94,43 +95,43 @@
   }
 }
 
-TEST(StagePlanner, ASteadyDemandMovesNothingBackAndForth) {
+TEST(StagePlanner, SteadyDemandCausesNoOscillation) {
   StagePlanner planner;
   auto instances = Backends(9, 9);
   milliseconds now{0};
-  Settle(planner, instances, Asked(4, 5), now);
+  RunPlanner(planner, instances, MakeDemand(4, 5), now);
   std::size_t moves = 0;
-  for (int i = 0; i < 20; ++i) moves += Settle(planner, instances, Asked(i % 2 ? 4.0 : 4.3, 5), now);
+  for (int i = 0; i < 20; ++i) moves += RunPlanner(planner, instances, MakeDemand(i % 2 ? 4.0 : 4.3, 5), now);
   EXPECT_LE(moves, 1u);
 }
 
-TEST(StagePlanner, FewMovesAreUnderWayAtOnceAndOneThatDoesNotShowIsTriedAgain) {
+TEST(StagePlanner, ConcurrentMovesAreLimitedAndTimedOutMovesAreRetried) {
   StagePlanner planner;
   const auto instances = Backends(5, 13);
   milliseconds now{0};
   std::size_t orders = 0;
   for (; now < milliseconds(5000); now += milliseconds(500))
-    orders += planner.Plan(now, instances, Asked(8, 2)).size();
+    orders += planner.Plan(now, instances, MakeDemand(8, 2)).size();
   EXPECT_EQ(orders, StagePlannerOptions{}.max_concurrent_moves);
-  auto shown = instances;
-  planner.MarkMoving(now, shown);
-  EXPECT_EQ(Count(shown, true) + Count(shown, false), 15u);
+  auto listed = instances;
+  planner.MarkMoving(now, listed);
+  EXPECT_EQ(Count(listed, true) + Count(listed, false), 15u);
   now += milliseconds(10000);
-  shown = instances;
-  planner.MarkMoving(now, shown);
-  EXPECT_EQ(Count(shown, true) + Count(shown, false), 18u);
-  EXPECT_FALSE(planner.Plan(now, instances, Asked(8, 2)).empty());
+  listed = instances;
+  planner.MarkMoving(now, listed);
+  EXPECT_EQ(Count(listed, true) + Count(listed, false), 18u);
+  EXPECT_FALSE(planner.Plan(now, instances, MakeDemand(8, 2)).empty());
 }
 
-TEST(StagePlanner, BackendsThatLeaveAndServicesWithoutStagesAreLeftAlone) {
+TEST(StagePlanner, DrainingBackendsAndServicesWithoutStagesAreNotMoved) {
   StagePlanner planner;
   auto instances = Backends(5, 13);
   for (wire::Instance& instance : instances) instance.draining = instance.decode;
-  EXPECT_TRUE(planner.Plan(milliseconds(1), instances, Asked(8, 2)).empty());
-  EXPECT_TRUE(planner.Plan(milliseconds(1), Backends(0, 13), Asked(8, 2)).empty());
+  EXPECT_TRUE(planner.Plan(milliseconds(1), instances, MakeDemand(8, 2)).empty());
+  EXPECT_TRUE(planner.Plan(milliseconds(1), Backends(0, 13), MakeDemand(8, 2)).empty());
 }
 
-TEST(LoadBoard, AddsUpProxiesAndMembersAndForgetsTheSilent) {
+TEST(LoadBoard, SumsReportsOfProxiesAndMembersAndDropsStaleOnes) {
   distribution::LoadBoard board;
   board.ReportFromProxy(milliseconds(0), "p1", {{{1, 10, 2}}, {{"s", 5, 6}}, 1});
   board.ReportFromProxy(milliseconds(0), "p2", {{{1, 5, 1}, {2, 7, 1}}, {{"s", 1, 2}}, 3});
--- a/tests/control_plane/replica_test.cpp
+++ b/tests/control_plane/replica_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The replicated control state in virtual time: each loss that it is built for, then random schedules of
-// them. The seed is printed with what fails; KESTRELLINE_SEED plays that one alone, KESTRELLINE_SEEDS sets
-// how many are played.
+// The replicated control state in virtual time: each failure that it must survive, then random schedules of
+// failures. A failing test prints its seed; KESTRELLINE_SEED runs only that seed, KESTRELLINE_SEEDS sets how
+// many seeds run.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -30,7 +30,7 @@
   EXPECT_EQ(world.broken(), "");
 }
 
-TEST(Replica, OfTwoChangesOnOneVersionExactlyOneIsTaken) {
+TEST(Replica, OnlyOneOfTwoChangesToTheSameVersionIsCommitted) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
   ASSERT_EQ(Decide(world, 1, 0, "base"), Outcome::kCommitted);
@@ -40,7 +40,7 @@
   EXPECT_EQ(world.broken(), "");
 }
 
-TEST(Replica, TheSameOrderAgainIsTakenAlsoAfterALaterOne) {
+TEST(Replica, AResentChangeIsAcknowledgedEvenAfterALaterOne) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
   ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
@@ -49,7 +49,7 @@
   EXPECT_EQ(world.replica(world.Leader()).committed()->configuration, "two");
 }
 
-TEST(Replica, AVersionThatIsNotAboveTheCurrentOneIsRefused) {
+TEST(Replica, AVersionThatIsNotAboveTheCurrentOneIsRejected) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
   ASSERT_EQ(Decide(world, 5, 0, "five"), Outcome::kCommitted);
@@ -57,10 +57,10 @@
   EXPECT_EQ(Decide(world, 4, 5, "four"), Outcome::kOldVersion);
 }
 
-// Each loss right after an acknowledgement, then the read.
+// One failure right after a change was acknowledged; the change must still be there afterwards.
 class AfterAnAcknowledgement : public ::testing::TestWithParam<const char*> {};
 
-TEST_P(AfterAnAcknowledgement, WhatWasAcknowledgedIsThere) {
+TEST_P(AfterAnAcknowledgement, TheChangeSurvives) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     WorldOptions options;
     options.seed = seed;
@@ -69,20 +69,20 @@
     ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
     ASSERT_EQ(Decide(world, 2, 1, "two"), Outcome::kCommitted);
     const std::string leader = world.Leader();
-    const std::string how = GetParam();
-    if (how == "leader loses power") world.Kill(leader, false);
-    if (how == "leader loses its disk") world.Wipe(leader);
-    if (how == "leader is cut off") world.CutOff(leader);
-    if (how == "all lose power" || how == "leader loses its disk, all power") {
+    const std::string failure = GetParam();
+    if (failure == "leader loses power") world.Kill(leader, false);
+    if (failure == "leader loses its disk") world.Wipe(leader);
+    if (failure == "leader is cut off") world.CutOff(leader);
+    if (failure == "all lose power" || failure == "leader loses its disk, all power") {
       for (const std::string& name : world.names()) world.Kill(name, false);
-      if (how != "all lose power") world.Wipe(leader);
+      if (failure != "all lose power") world.Wipe(leader);
     }
     world.Run(Duration(900));
     for (const std::string& name : world.names()) {
       if (!world.Running(name)) world.Start(name);
     }
-    ASSERT_TRUE(world.RunUntilLed(Duration(4000))) << how << ", seed " << seed;
-    EXPECT_EQ(world.replica(world.Leader()).committed()->configuration, "two") << how;
+    ASSERT_TRUE(world.RunUntilLed(Duration(4000))) << failure << ", seed " << seed;
+    EXPECT_EQ(world.replica(world.Leader()).committed()->configuration, "two") << failure;
     EXPECT_EQ(Decide(world, 2, 1, "two"), Outcome::kCommitted);
     EXPECT_EQ(Decide(world, 3, 2, "three"), Outcome::kCommitted);
     EXPECT_EQ(world.broken(), "");
@@ -93,7 +93,7 @@
                          ::testing::Values("leader loses power", "leader loses its disk", "leader is cut off",
                                            "all lose power", "leader loses its disk, all power"));
 
-TEST(Replica, AfterAllRestartNobodyWaitsForALeaseThatAllForgot) {
+TEST(Replica, AFullRestartDoesNotWaitForLeasesThatAllForgot) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
   ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
@@ -103,8 +103,9 @@
   EXPECT_EQ(world.broken(), "");
 }
 
-TEST(Replica, OneThatRestartsDoesNotHelpToDeposeALeaderItSupported) {
-  // The third is cut off from the leader, so that only the restarted one could make its quorum.
+TEST(Replica, ARestartedMemberDoesNotVoteAgainstALeaseThatItGranted) {
+  // The third member is cut off from the leader, so that it could win an election only with the restarted
+  // one.
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     WorldOptions options;
     options.seed = seed;
@@ -123,7 +124,7 @@
   }
 }
 
-TEST(Replica, AFullDiskHoldsNobodyUp) {
+TEST(Replica, AFullDiskDoesNotBlockCommits) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
   ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
@@ -132,7 +133,7 @@
   EXPECT_EQ(world.broken(), "");
 }
 
-TEST(Replica, ASlowDiskOfOneHoldsNobodyUp) {
+TEST(Replica, OneSlowDiskDoesNotBlockCommits) {
   for (const bool leaders : {true, false}) {
     World world({});
     ASSERT_TRUE(world.RunUntilLed());
@@ -144,7 +145,8 @@
 }
 
 TEST(Replica, ACopyCountsOnlyOnceItIsOnDisk) {
-  // The leader's disk is slow: another's copy and its own unwritten one are no quorum.
+  // The leader's disk is slow: the copy of one follower and the leader's unwritten one must not count as a
+  // quorum.
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
   ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
@@ -159,9 +161,9 @@
   EXPECT_EQ(world.last_outcome(), Outcome::kCommitted);
 }
 
-TEST(Replica, ACopyOnALostDiskCountsNoMore) {
+TEST(Replica, ACopyOnALostDiskIsNotCounted) {
   // Found by models/epochs.pml: the first copy of a change is lost with its disk, its holder learns from
-  // others that have none, and the next copy would have made two of one.
+  // members without a copy, and then the second copy was counted as two.
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     WorldOptions options;
     options.seed = seed;
@@ -180,7 +182,7 @@
     world.Start(others[0]);
     world.Run(Duration(1000));
     if (world.last_outcome() == Outcome::kCommitted) {
-      // Two disks hold it: any one of them may be lost.
+      // Two disks hold the change, so losing either one is safe.
       world.Wipe(leader);
       world.HealAll();
       ASSERT_TRUE(world.RunUntilLed()) << "seed " << seed;
@@ -190,48 +192,49 @@
   }
 }
 
-TEST(Replica, WhoeverTeachesPromisesALaterEpoch) {
-  wire::Record held;
-  held.position = {4, 1};
-  held.members = {World::NameOf(0), World::NameOf(1), World::NameOf(2)};
-  const auto record = std::make_shared<const wire::Record>(held);
+TEST(Replica, AnsweringALearnerPromisesALaterEpoch) {
+  wire::Record stored;
+  stored.position = {4, 1};
+  stored.members = {World::NameOf(0), World::NameOf(1), World::NameOf(2)};
+  const auto record = std::make_shared<const wire::Record>(stored);
   ReplicaOptions options;
   options.self = World::NameOf(0);
-  Replica teacher(options, {4, 0, true, record}, Time(1000));
-  teacher.Receive(Time(1100), World::NameOf(1), wire::LearnRequest{77});
-  const auto effects = teacher.TakeEffects();
+  Replica voter(options, {4, 0, true, record}, Time(1000));
+  voter.Receive(Time(1100), World::NameOf(1), wire::LearnRequest{77});
+  const auto effects = voter.TakeEffects();
   ASSERT_EQ(effects.size(), 1u);
   const Persist& persist = std::get<Persist>(effects[0]);
   EXPECT_EQ(persist.promised, 5u);
-  teacher.Persisted(Time(1110), persist.ticket, true);
-  const auto replies = teacher.TakeEffects();
+  voter.Persisted(Time(1110), persist.ticket, true);
+  const auto replies = voter.TakeEffects();
   ASSERT_EQ(replies.size(), 1u);
   const auto& reply = std::get<wire::LearnReply>(std::get<Send>(replies[0]).body);
   EXPECT_EQ(reply.promised, 5u);
   EXPECT_EQ(reply.record, record);
-  // Asked again by the same, it promises nothing more.
-  teacher.Receive(Time(1200), World::NameOf(1), wire::LearnRequest{77});
-  EXPECT_TRUE(std::holds_alternative<Send>(teacher.TakeEffects().at(0)));
-  // The epoch before it commits nothing here any more.
-  teacher.Receive(Time(1300), World::NameOf(2), wire::Append{4, record});
-  for (const Effect& effect : teacher.TakeEffects()) EXPECT_FALSE(std::holds_alternative<Persist>(effect));
+  // A repeated request of the same learner raises no further promise.
+  voter.Receive(Time(1200), World::NameOf(1), wire::LearnRequest{77});
+  EXPECT_TRUE(std::holds_alternative<Send>(voter.TakeEffects().at(0)));
+  // Records of the earlier epoch are not stored any more.
+  voter.Receive(Time(1300), World::NameOf(2), wire::Append{4, record});
+  for (const Effect& effect : voter.TakeEffects()) EXPECT_FALSE(std::holds_alternative<Persist>(effect));
 }
 
-TEST(Replica, ARecordOfAnEarlierEpochThanWasPromisedIsNotStored) {
-  wire::Record held;
-  held.position = {4, 1};
-  held.members = {World::NameOf(0), World::NameOf(1), World::NameOf(2)};
+TEST(Replica, ARecordBelowThePromisedEpochIsNotStored) {
+  wire::Record stored;
+  stored.position = {4, 1};
+  stored.members = {World::NameOf(0), World::NameOf(1), World::NameOf(2)};
   ReplicaOptions options;
   options.self = World::NameOf(0);
-  Replica receiver(options, {9, 0, true, std::make_shared<const wire::Record>(held)}, Time(1000));
-  wire::Record late = held;
-  late.position = {5, 2};
-  receiver.Receive(Time(1100), World::NameOf(1), wire::Append{5, std::make_shared<const wire::Record>(late)});
+  Replica receiver(options, {9, 0, true, std::make_shared<const wire::Record>(stored)}, Time(1000));
+  wire::Record outdated = stored;
+  outdated.position = {5, 2};
+  receiver.Receive(Time(1100), World::NameOf(1),
+                   wire::Append{5, std::make_shared<const wire::Record>(outdated)});
   for (const Effect& effect : receiver.TakeEffects()) EXPECT_FALSE(std::holds_alternative<Persist>(effect));
 }
 
-TEST(Replica, AnExchangeNeedsAQuorumOfTheOldMembersToo) {
-  // The leader and a newcomer are cut off from the other two, at each moment of the exchange.
+TEST(Replica, AMembershipChangeNeedsAQuorumOfTheOldMembersToo) {
+  // The leader and a new member are cut off from the other two, at each step of the membership change.
   for (int moment = 0; moment < 60; ++moment) {
     WorldOptions options;
     options.seed = 7 + static_cast<std::uint64_t>(moment % 3);
@@ -241,18 +244,18 @@
     ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
     const std::string leader = world.Leader();
     const std::vector<std::string> others = world.Except(leader);
-    const std::string fresh = world.AddMachine();
-    world.Start(fresh);
+    const std::string replacement = world.AddMachine();
+    world.Start(replacement);
     world.Run(Duration(1000));
-    const auto part = [&](const std::string& other) {
-      for (const std::string& side : {leader, fresh}) {
+    const auto cut_off = [&](const std::string& other) {
+      for (const std::string& side : {leader, replacement}) {
         world.Cut(side, other);
         world.Cut(other, side);
       }
     };
-    part(others[0]);
+    cut_off(others[0]);
     world.Run(Duration(1200) + World::kStep * moment);
-    part(others[1]);
+    cut_off(others[1]);
     world.Run(Duration(6000));
     ASSERT_EQ(world.broken(), "") << "moment " << moment;
     world.HealAll();
@@ -262,13 +265,13 @@
   }
 }
 
-TEST(Replica, OneWithAnEmptyDiskDoesNotAcknowledgeBeforeItHasLearned) {
+TEST(Replica, AMemberWithAnEmptyDiskDoesNotAcknowledgeBeforeItHasLearned) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
   ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
   const std::string leader = world.Leader();
   const std::vector<std::string> others = world.Except(leader);
-  // Only the leader is there to learn from: that is no quorum of others.
+  // Only the leader can be learned from, which is not a quorum of the others.
   world.Kill(others[0], false);
   world.Wipe(others[1]);
   world.Start(others[1]);
@@ -282,27 +285,27 @@
   EXPECT_EQ(world.broken(), "");
 }
 
-TEST(Replica, AReplacementTakesTheSeatOfOneThatIsGone) {
+TEST(Replica, AReplacementTakesTheSeatOfALostMember) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     WorldOptions options;
     options.seed = seed;
     World world(options);
     ASSERT_TRUE(world.RunUntilLed());
     ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
-    const std::string gone = world.names()[seed % 3];
-    world.Wipe(gone);
-    const std::string fresh = world.AddMachine();
-    world.Start(fresh);
+    const std::string lost_member = world.names()[seed % 3];
+    world.Wipe(lost_member);
+    const std::string replacement = world.AddMachine();
+    world.Start(replacement);
     ASSERT_TRUE(world.RunUntil(
         [&] {
           const std::string leader = world.Leader();
           if (leader.empty()) return false;
           const auto& record = *world.replica(leader).committed();
-          return record.next_members.empty() && !Electors(record).contains(gone) &&
-                 Electors(record).contains(fresh);
+          return record.next_members.empty() && !Electors(record).contains(lost_member) &&
+                 Electors(record).contains(replacement);
         },
         Duration(4000)));
-    // One more may be lost now.
+    // Now another member may be lost.
     const std::string second = world.names()[(seed + 1) % 3];
     world.Wipe(second);
     ASSERT_TRUE(world.RunUntilLed());
@@ -312,7 +315,7 @@
   }
 }
 
-TEST(Replica, NobodyIsStruckOffWithoutASuccessor) {
+TEST(Replica, AMemberIsNotRemovedWithoutASuccessor) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
   const std::string follower = world.Leader() == world.names()[0] ? world.names()[1] : world.names()[0];
@@ -322,7 +325,7 @@
   EXPECT_TRUE(Electors(*world.replica(world.Leader()).committed()).contains(follower));
 }
 
-TEST(Replica, FiveGrowFromThreeAndBearTheLossOfTwoDisks) {
+TEST(Replica, AnElectorateOfThreeGrowsToFiveAndSurvivesTheLossOfTwoDisks) {
   WorldOptions options;
   options.members = 5;
   options.max_lost_members = 2;
@@ -346,7 +349,7 @@
   EXPECT_EQ(world.broken(), "");
 }
 
-TEST(Replica, AQuorumIsAMajorityAndOneMoreThanMayBeLost) {
+TEST(Replica, AQuorumIsAMajorityAndMoreThanMayBeLost) {
   EXPECT_EQ(QuorumSize(3, 1), 2u);
   EXPECT_EQ(QuorumSize(5, 2), 3u);
   EXPECT_EQ(QuorumSize(3, 2), 3u);
@@ -354,7 +357,7 @@
   EXPECT_EQ(QuorumSize(1, 1), 1u);
 }
 
-TEST(Replica, OneThatResignsIsFollowedAtOnce) {
+TEST(Replica, AResigningLeaderIsReplacedAtOnce) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
   const std::string leader = world.Leader();
@@ -363,7 +366,7 @@
       world.RunUntil([&] { return !world.Leader().empty() && world.Leader() != leader; }, Duration(600)));
 }
 
-TEST(Replica, MoreOrdersThanItHoldsAreRefusedNotLost) {
+TEST(Replica, ExcessProposalsAreRejectedAndNotLost) {
   World world({});
   ASSERT_TRUE(world.RunUntilLed());
   world.HealAll();
@@ -378,8 +381,8 @@
 
 // --- random schedules ---
 
-// One at a time is lost, as the deployment promises; sometimes all lose power at once.
-void PlaySchedule(std::uint64_t seed) {
+// One member fails at a time, which is what a deployment guarantees; sometimes all lose power at once.
+void RunSchedule(std::uint64_t seed) {
   WorldOptions options;
   options.seed = seed;
   options.loss = seed % 4 == 0 ? 0.05 : 0;
@@ -393,7 +396,7 @@
     const std::string victim = world.names()[world.random()() % world.names().size()];
     const std::string target = world.random()() % 2 == 0 && !world.Leader().empty() ? world.Leader() : victim;
     const std::uint64_t kind = world.random()() % 9;
-    // An order is on its way as it happens.
+    // A proposal is in flight when the failure happens.
     if (world.random()() % 2 == 0)
       world.Order(version + 1, version, body = "during " + std::to_string(round));
     world.Run(Duration(static_cast<std::int64_t>(world.random()() % 3) * 10));
@@ -423,7 +426,7 @@
       world.SetSync(name, Duration(5));
       if (!world.Running(name)) world.Start(name);
     }
-    // All that counts is back within the time that the deployment allows it.
+    // The system recovers within the time that the deployment allows.
     ASSERT_TRUE(world.RunUntilLed(Duration(6000))) << "seed " << seed << " round " << round;
     world.Run(Duration(1500));
     ASSERT_TRUE(world.RunUntilLed(Duration(6000))) << "seed " << seed << " round " << round;
@@ -436,29 +439,29 @@
   }
 }
 
-// A member is cut off, another machine takes its seat, and whoever leads is lost somewhere in between; then
-// the one that was cut off is back, believing what it believed.
-void PlayReplacement(std::uint64_t seed) {
+// A member is cut off, a new machine takes its seat, and the leader fails at some point in between. Then the
+// member that was cut off returns with its outdated state.
+void RunReplacement(std::uint64_t seed) {
   WorldOptions options;
   options.seed = seed;
   World world(options);
   ASSERT_TRUE(world.RunUntilLed()) << "seed " << seed;
   ASSERT_EQ(Decide(world, 1, 0, "one"), Outcome::kCommitted);
   const std::string leader = world.Leader();
-  std::string away = world.names()[world.random()() % 3];
-  world.CutOff(away);
-  const std::string fresh = world.AddMachine();
-  world.Start(fresh);
-  world.Cut(away, fresh);
-  world.Cut(fresh, away);
+  std::string cut_off_member = world.names()[world.random()() % 3];
+  world.CutOff(cut_off_member);
+  const std::string replacement = world.AddMachine();
+  world.Start(replacement);
+  world.Cut(cut_off_member, replacement);
+  world.Cut(replacement, cut_off_member);
   world.Run(Duration(static_cast<std::int64_t>(1200 + world.random()() % 1500)));
-  // One message of the exchange reaches nobody else.
+  // The leader fails, so that a step of the membership change may have reached no other member.
   const std::string lost = world.Leader();
   if (!lost.empty()) {
     world.Kill(lost, world.random()() % 2 == 0);
     world.Run(Duration(static_cast<std::int64_t>(world.random()() % 1500)));
     world.HealAll();
-    if (world.random()() % 2 == 0) world.CutOff(fresh);
+    if (world.random()() % 2 == 0) world.CutOff(replacement);
     world.Run(Duration(static_cast<std::int64_t>(world.random()() % 2500)));
     world.Order(2, 1, "between");
     world.Run(Duration(300));
@@ -473,21 +476,21 @@
   ASSERT_EQ(world.broken(), "");
 }
 
-// Plays the seed that the environment names, or as many as it says, or `all`.
-template <typename Play>
-void PlaySeeds(Play play, std::uint64_t all) {
-  if (const char* one = std::getenv("KESTRELLINE_SEED")) return play(std::strtoull(one, nullptr, 10));
+// Runs the seed or the number of seeds set in the environment, else the seeds 1 to `all`.
+template <typename Body>
+void RunSeeds(Body body, std::uint64_t all) {
+  if (const char* one = std::getenv("KESTRELLINE_SEED")) return body(std::strtoull(one, nullptr, 10));
   const char* many = std::getenv("KESTRELLINE_SEEDS");
   const std::uint64_t seeds = many ? std::strtoull(many, nullptr, 10) : all;
-  for (std::uint64_t seed = 1; seed <= seeds && !::testing::Test::HasFailure(); ++seed) play(seed);
+  for (std::uint64_t seed = 1; seed <= seeds && !::testing::Test::HasFailure(); ++seed) body(seed);
 }
 
-TEST(Replica, RandomSchedulesKeepEveryPromise) {
-  PlaySeeds(PlaySchedule, ::kestrelline::testing::OrFewer<std::uint64_t>(300, 30));
+TEST(Replica, RandomSchedulesLoseNoAcknowledgedChange) {
+  RunSeeds(RunSchedule, ::kestrelline::testing::OrFewer<std::uint64_t>(300, 30));
 }
 
-TEST(Replica, ReplacementsInTroubleKeepEveryPromise) {
-  PlaySeeds(PlayReplacement, ::kestrelline::testing::OrFewer<std::uint64_t>(400, 40));
+TEST(Replica, ReplacementsDuringFailuresLoseNoAcknowledgedChange) {
+  RunSeeds(RunReplacement, ::kestrelline::testing::OrFewer<std::uint64_t>(400, 40));
 }
 
 }  // namespace
--- a/tests/control_plane/store_test.cpp
+++ b/tests/control_plane/store_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The state on disk: reading back what was written, damaged and missing files, and the writer thread.
 #include "control_plane/store.h"
 
 #include <gtest/gtest.h>
@@ -37,13 +39,13 @@
   const std::filesystem::path directory_;
 };
 
-TEST_F(StoreTest, AnEmptyOneHoldsNothing) {
+TEST_F(StoreTest, ANewStoreIsEmpty) {
   const PersistentState stored = Open()->Load();
   EXPECT_EQ(stored.promised, 0u);
   EXPECT_EQ(stored.record, nullptr);
 }
 
-TEST_F(StoreTest, WhatWasWrittenIsThereAfterItIsOpenedAgain) {
+TEST_F(StoreTest, StateSurvivesReopening) {
   {
     auto store = Open();
     const auto record = RecordOf(1, std::string(200000, 'x'));
@@ -56,12 +58,12 @@
   EXPECT_EQ(stored.record->configuration.size(), 200000u);
 }
 
-TEST_F(StoreTest, APromiseWithoutARecordCountsAsNothing) {
+TEST_F(StoreTest, APromiseWithoutARecordCountsAsEmpty) {
   ASSERT_FALSE(Open()->Write(3, 0, nullptr));
   EXPECT_EQ(Open()->Load().promised, 0u);
 }
 
-TEST_F(StoreTest, AFileThatIsNoDatabaseCountsAsAnEmptyDisk) {
+TEST_F(StoreTest, AFileThatIsNotADatabaseIsReplacedByAnEmptyStore) {
   std::ofstream(directory_ / "control.db") << std::string(8192, 'z');
   auto store = Open();
   ASSERT_TRUE(store);
@@ -70,13 +72,13 @@
   EXPECT_FALSE(store->Write(1, 0, &record));
 }
 
-TEST_F(StoreTest, AFolderThatIsNotThereIsAnErrorAndNothingIsMade) {
+TEST_F(StoreTest, AMissingDirectoryIsAnErrorAndIsNotCreated) {
   std::error_code error;
   EXPECT_EQ(Store::Open((directory_ / "nowhere").string(), error), nullptr);
   EXPECT_EQ(error, StoreError::kCannotOpen);
 }
 
-TEST_F(StoreTest, TheThreadWritesInOrderAndTells) {
+TEST_F(StoreTest, TheThreadWritesInOrderAndReportsEachWrite) {
   std::promise<void> done;
   std::vector<std::uint64_t> tickets;
   {
@@ -95,10 +97,10 @@
 }
 
 TEST_F(StoreTest, WithoutAStoreEveryWriteFails) {
-  std::promise<bool> told;
-  StoreThread thread(nullptr, [&](std::uint64_t, bool written) { told.set_value(written); });
+  std::promise<bool> reported;
+  StoreThread thread(nullptr, [&](std::uint64_t, bool written) { reported.set_value(written); });
   thread.Write({1, 1, 0, nullptr});
-  EXPECT_FALSE(told.get_future().get());
+  EXPECT_FALSE(reported.get_future().get());
 }
 
 }  // namespace
