--- a/models/epochs.pml
+++ b/models/epochs.pml
@@ -1,57 +1,57 @@
 /* SPDX-License-Identifier: Apache-2.0
  *
- * The fleet's replicated record (src/control_plane/replica.h): epochs that a quorum promises, copies that count once they are on
- * disk, disks that are lost. Three members; 0 and 1 stand for epochs and lead, all three vote and hold copies. Steps of one member
- * happen in any order and as late as they like, which stands for messages that are lost or delayed; a leader of an earlier epoch goes
- * on for as long as it likes. One disk at a time may be lost, twice in all. Values are numbers that each order raises by one.
- * Checked with SPIN: see check.sh.
+ * The replicated record of the control plane (src/control_plane/replica.h): epochs promised by a quorum, copies that count once they
+ * are on disk, and lost disks. There are three members; 0 and 1 stand for election and lead, all three vote and hold copies. The steps
+ * of a member happen in any order and with any delay, which models lost and delayed messages; a leader of an earlier epoch may
+ * continue indefinitely. One disk at a time may be lost, MOST_WIPES times in total. Values are numbers that each proposal increases by
+ * one. Checked with SPIN, see check.sh.
  *
- * A MUTATION takes one rule away; each must be found by the property named with it:
+ * A MUTATION removes one rule; the property named next to it must detect it:
  *
- *   1  who lost its disk promises and acknowledges at once                nothing_lost
- *   2  one copy is enough for an acknowledgement                          nothing_lost
- *   3  a candidate goes by its own copy alone                             nothing_lost
- *   4  records of an epoch before the promised one are stored             nothing_lost
- *   5  who lost its disk learns from one other                            nothing_lost
- *   6  a promise binds nobody                                             one_value
- *   7  copies of disks that were lost go on counting                      nothing_lost
- *   8  replies that were on their way from a disk that was lost count     nothing_lost (with LATE_REPLIES)
+ *   1  a member that lost its disk promises and acknowledges at once      nothing_lost
+ *   2  one copy is enough to acknowledge a change                         nothing_lost
+ *   3  a candidate considers only its own copy                            nothing_lost
+ *   4  records of an epoch below the promised one are stored              nothing_lost
+ *   5  a member that lost its disk learns from a single member            nothing_lost
+ *   6  promises are not binding                                           one_value
+ *   7  copies on lost disks continue to count                             nothing_lost
+ *   8  replies in transit from a lost disk count                          nothing_lost (with LATE_REPLIES)
  */
 #ifndef MUTATION
 #define MUTATION 0
 #endif
 
-#define MOST_EPOCH 3
-#define MOST_VALUE 2
+#define MAX_EPOCH 3
+#define MAX_VALUE 2
 #ifndef MOST_WIPES
 #define MOST_WIPES 2
 #endif
 
 byte promised[3], copy_epoch[3], copy_value[3];
 bool voter[3];
-byte epoch[3];      /* that a member stands for or leads; 0: neither */
+byte epoch[3];      /* in which a member is candidate or leader; 0: neither */
 bool leads[3];
-byte votes[3], stored[3]; /* bits of members */
+byte votes[3], stored[3]; /* bit sets of members */
 byte best_epoch[2], best_value[2];
 byte value[2];      /* proposed by a leader */
-byte on_way[2];     /* bits of members whose reply to that leader is on its way */
-byte of_lost[2];    /* bits of members whose reply on its way is from a disk that the leader knows to be lost */
+byte reply_in_transit[2];     /* bit set of members whose reply to that leader is in transit */
+byte reply_from_lost_disk[2];    /* bit set of members whose reply in transit comes from a disk that the leader knows to be lost */
 bool committed[3];  /* the proposed value is acknowledged */
-byte acknowledged;  /* the newest value that was, and the epoch in which */
+byte acknowledged;  /* the newest acknowledged value, and its epoch */
 byte ack_epoch;
-byte taken[MOST_VALUE + 1]; /* the value that was acknowledged with that number, plus one */
+byte acknowledged_value[MAX_VALUE + 1]; /* the value acknowledged with that number, plus one; 0: none */
 byte wipes;
-bool lost, doubled;
+bool lost, conflict;
 
-#define BITS_TWO(bits) ((bits) == 3 || (bits) >= 5)
+#define IS_MAJORITY(bits) ((bits) == 3 || (bits) >= 5)
 #if MUTATION == 2
-#define ENOUGH(bits) ((bits) > 0)
+#define IS_ENOUGH(bits) ((bits) > 0)
 #else
-#define ENOUGH(bits) BITS_TWO(bits)
+#define IS_ENOUGH(bits) IS_MAJORITY(bits)
 #endif
-#define ALL_VOTE (voter[0] && voter[1] && voter[2])
+#define ALL_CAN_VOTE (voter[0] && voter[1] && voter[2])
 
-inline Better(c, v) {
+inline AdoptNewerCopy(c, v) {
   if
   :: MUTATION != 3 && copy_epoch[v] * 32 + copy_value[v] > best_epoch[c] * 32 + best_value[c] ->
      best_epoch[c] = copy_epoch[v]; best_value[c] = copy_value[v]
@@ -59,88 +59,95 @@
   fi
 }
 
-#define STANDS(c) \
-  atomic { voter[c] && promised[c] < MOST_EPOCH -> promised[c] = promised[c] + 1; epoch[c] = promised[c]; leads[c] = false; \
+#define STARTS_ELECTION(c) \
+  atomic { voter[c] && promised[c] < MAX_EPOCH -> promised[c] = promised[c] + 1; epoch[c] = promised[c]; leads[c] = false; \
            committed[c] = false; votes[c] = 1 << c; stored[c] = 0; best_epoch[c] = copy_epoch[c]; best_value[c] = copy_value[c] }
-#define VOTES(v, c) \
+#define GRANTS_VOTE(v, c) \
   atomic { epoch[c] > 0 && !leads[c] && voter[v] && (promised[v] < epoch[c] || MUTATION == 6) && (votes[c] & (1 << v)) == 0 -> \
-           if :: promised[v] < epoch[c] -> promised[v] = epoch[c]; FORGETS(v) :: else -> skip fi; \
-           votes[c] = votes[c] | (1 << v); Better(c, v) }
-#define LEADS(c) \
-  atomic { epoch[c] > 0 && !leads[c] && BITS_TWO(votes[c]) -> leads[c] = true; value[c] = best_value[c]; stored[c] = 0; on_way[c] = 0; of_lost[c] = 0 }
-#define STORES(v, c) \
+           if :: promised[v] < epoch[c] -> promised[v] = epoch[c]; RESETS_ROLE(v) :: else -> skip fi; \
+           votes[c] = votes[c] | (1 << v); AdoptNewerCopy(c, v) }
+#define BECOMES_LEADER(c) \
+  atomic { epoch[c] > 0 && !leads[c] && IS_MAJORITY(votes[c]) -> leads[c] = true; value[c] = best_value[c]; stored[c] = 0; \
+      reply_in_transit[c] = 0; reply_from_lost_disk[c] = 0 }
+#define STORES_RECORD(v, c) \
   atomic { leads[c] && voter[v] && (promised[v] <= epoch[c] || MUTATION == 4) && (stored[c] & (1 << v)) == 0 -> \
-           if :: promised[v] < epoch[c] -> promised[v] = epoch[c]; FORGETS(v) :: else -> skip fi; \
+           if :: promised[v] < epoch[c] -> promised[v] = epoch[c]; RESETS_ROLE(v) :: else -> skip fi; \
            copy_epoch[v] = epoch[c]; copy_value[v] = value[c]; \
-           REPLIES(v, c); \
-           if :: !committed[c] && ENOUGH(stored[c]) -> COMMIT(c) :: else -> skip fi }
-/* A reply is there at once, or, with LATE_REPLIES, on its way for as long as it likes. */
+           SENDS_REPLY(v, c); \
+           if :: !committed[c] && IS_ENOUGH(stored[c]) -> COMMIT(c) :: else -> skip fi }
+/* A reply arrives at once or, with LATE_REPLIES, after any delay. */
 #ifdef LATE_REPLIES
-#define REPLIES(v, c) \
+#define SENDS_REPLY(v, c) \
   if :: v == c -> stored[c] = stored[c] | (1 << v) \
-     :: else -> on_way[c] = on_way[c] | (1 << v); of_lost[c] = of_lost[c] & (7 - (1 << v)) fi
+     :: else -> reply_in_transit[c] = reply_in_transit[c] | (1 << v); \
+         reply_from_lost_disk[c] = reply_from_lost_disk[c] & (7 - (1 << v)) fi
 #else
-#define REPLIES(v, c) stored[c] = stored[c] | (1 << v)
+#define SENDS_REPLY(v, c) stored[c] = stored[c] | (1 << v)
 #endif
-/* The reply comes; one from a disk that is known to be lost does not count. */
-#define ACKS(v, c) \
-  atomic { leads[c] && (on_way[c] & (1 << v)) != 0 -> on_way[c] = on_way[c] & (7 - (1 << v)); \
-           if :: (of_lost[c] & (1 << v)) == 0 || MUTATION == 8 -> stored[c] = stored[c] | (1 << v) :: else -> skip fi; \
-           if :: !committed[c] && ENOUGH(stored[c]) -> COMMIT(c) :: else -> skip fi }
-/* With the copy that makes it enough; a leader that hears of it later acknowledges no more than this. One of an earlier epoch may
- * still acknowledge what later ones went on from. */
+/* A reply arrives; it does not count if it comes from a disk that is known to be lost. */
+#define RECEIVES_REPLY(v, c) \
+  atomic { leads[c] && (reply_in_transit[c] & (1 << v)) != 0 -> reply_in_transit[c] = reply_in_transit[c] & (7 - (1 << v)); \
+           if :: (reply_from_lost_disk[c] & (1 << v)) == 0 || MUTATION == 8 -> stored[c] = stored[c] | (1 << v) :: else -> skip fi; \
+           if :: !committed[c] && IS_ENOUGH(stored[c]) -> COMMIT(c) :: else -> skip fi }
+/* Commits as soon as the copy that completes the quorum is stored; a leader that learns of it later acknowledges the same value. A
+ * leader of an earlier epoch may still acknowledge a value that later leaders have built on. */
 #define COMMIT(c) \
   committed[c] = true; \
   if :: value[c] / 8 < acknowledged / 8 && epoch[c] >= ack_epoch -> lost = true :: else -> skip fi; \
-  if :: taken[value[c] / 8] == 0 -> taken[value[c] / 8] = value[c] + 1 \
-     :: taken[value[c] / 8] != 0 && taken[value[c] / 8] != value[c] + 1 -> doubled = true \
+  if :: acknowledged_value[value[c] / 8] == 0 -> acknowledged_value[value[c] / 8] = value[c] + 1 \
+     :: acknowledged_value[value[c] / 8] != 0 && acknowledged_value[value[c] / 8] != value[c] + 1 -> conflict = true \
      :: else -> skip fi; \
   if :: value[c] / 8 > acknowledged / 8 -> acknowledged = value[c]; ack_epoch = epoch[c] :: else -> skip fi
-#define ORDERS(c) \
-  atomic { leads[c] && committed[c] && value[c] / 8 < MOST_VALUE -> \
-           value[c] = (value[c] / 8 + 1) * 8 + epoch[c]; committed[c] = false; stored[c] = 0; on_way[c] = 0; of_lost[c] = 0 }
-#define FORGETS(c) \
-  if :: c < 2 -> epoch[c] = 0; leads[c] = false; committed[c] = false; votes[c] = 0; stored[c] = 0; on_way[c] = 0; of_lost[c] = 0 :: c >= 2 -> skip fi
-/* The disk goes; leaders that counted the copy have counted it. */
-#define WIPED(v) \
-  atomic { ALL_VOTE && wipes < MOST_WIPES -> wipes = wipes + 1; promised[v] = 0; copy_epoch[v] = 0; copy_value[v] = 0; \
-           voter[v] = (MUTATION == 1); FORGETS(v) }
-#define RESTARTS(c) atomic { epoch[c] > 0 -> FORGETS(c) }
+#define PROPOSES(c) \
+  atomic { leads[c] && committed[c] && value[c] / 8 < MAX_VALUE -> \
+           value[c] = (value[c] / 8 + 1) * 8 + epoch[c]; committed[c] = false; stored[c] = 0; reply_in_transit[c] = 0; \
+               reply_from_lost_disk[c] = 0 }
+#define RESETS_ROLE(c) \
+  if :: c < 2 -> epoch[c] = 0; leads[c] = false; committed[c] = false; votes[c] = 0; stored[c] = 0; reply_in_transit[c] = 0; \
+      reply_from_lost_disk[c] = 0 :: c >= 2 -> skip fi
+/* A disk is lost; leaders that counted its copy keep counting it. */
+#define LOSES_DISK(v) \
+  atomic { ALL_CAN_VOTE && wipes < MOST_WIPES -> wipes = wipes + 1; promised[v] = 0; copy_epoch[v] = 0; copy_value[v] = 0; \
+           voter[v] = (MUTATION == 1); RESETS_ROLE(v) }
+#define RESTARTS(c) atomic { epoch[c] > 0 -> RESETS_ROLE(c) }
 
 inline LearnFrom(v, u) {
   if :: promised[u] > promised[v] -> promised[v] = promised[u] :: else -> skip fi;
   if
-  :: copy_epoch[u] * 32 + copy_value[u] > copy_epoch[v] * 32 + copy_value[v] -> copy_epoch[v] = copy_epoch[u]; copy_value[v] = copy_value[u]
+  :: copy_epoch[u] * 32 + copy_value[u] > copy_epoch[v] * 32 + copy_value[v] -> copy_epoch[v] = copy_epoch[u];
+      copy_value[v] = copy_value[u]
   :: else -> skip
   fi
 }
-/* Whoever teaches lets nobody count the lost copy from then on: a leader forgets it, others promise a later epoch. */
-inline Teach(u, v) {
+/* A member that answers a learner makes sure that the lost copy is not counted any more: a leader discards it, another member promises
+ * a later epoch. */
+inline AnswerLearner(u, v) {
   if
   :: MUTATION == 7 -> skip
-  :: MUTATION != 7 && u < 2 && leads[u] -> stored[u] = stored[u] & (7 - (1 << v)); of_lost[u] = of_lost[u] | (on_way[u] & (1 << v))
-  :: else -> promised[u] = promised[u] + 1; FORGETS(u)
+  :: MUTATION != 7 && u < 2 && leads[u] -> stored[u] = stored[u] & (7 - (1 << v));
+      reply_from_lost_disk[u] = reply_from_lost_disk[u] | (reply_in_transit[u] & (1 << v))
+  :: else -> promised[u] = promised[u] + 1; RESETS_ROLE(u)
   fi
 }
-#define LEARNS(v, a, b) \
-  atomic { !voter[v] && voter[a] && (voter[b] || MUTATION == 5) -> Teach(a, v); LearnFrom(v, a); \
-           if :: MUTATION != 5 -> Teach(b, v); LearnFrom(v, b) :: else -> skip fi; voter[v] = true }
+#define LEARNS_STATE(v, a, b) \
+  atomic { !voter[v] && voter[a] && (voter[b] || MUTATION == 5) -> AnswerLearner(a, v); LearnFrom(v, a); \
+           if :: MUTATION != 5 -> AnswerLearner(b, v); LearnFrom(v, b) :: else -> skip fi; voter[v] = true }
 
 init {
   voter[0] = true; voter[1] = true; voter[2] = true;
   do
-  :: STANDS(0) :: STANDS(1)
-  :: VOTES(0, 1) :: VOTES(1, 0) :: VOTES(2, 0) :: VOTES(2, 1)
-  :: LEADS(0) :: LEADS(1)
-  :: STORES(0, 0) :: STORES(1, 0) :: STORES(2, 0) :: STORES(0, 1) :: STORES(1, 1) :: STORES(2, 1)
-  :: ACKS(1, 0) :: ACKS(2, 0) :: ACKS(0, 1) :: ACKS(2, 1)
-  :: ORDERS(0) :: ORDERS(1)
-  :: WIPED(0) :: WIPED(1) :: WIPED(2)
-  :: LEARNS(0, 1, 2) :: LEARNS(1, 0, 2) :: LEARNS(2, 0, 1)
+  :: STARTS_ELECTION(0) :: STARTS_ELECTION(1)
+  :: GRANTS_VOTE(0, 1) :: GRANTS_VOTE(1, 0) :: GRANTS_VOTE(2, 0) :: GRANTS_VOTE(2, 1)
+  :: BECOMES_LEADER(0) :: BECOMES_LEADER(1)
+  :: STORES_RECORD(0, 0) :: STORES_RECORD(1, 0) :: STORES_RECORD(2, 0) :: STORES_RECORD(0, 1) :: STORES_RECORD(1, 1) :: STORES_RECORD(2, 1)
+  :: RECEIVES_REPLY(1, 0) :: RECEIVES_REPLY(2, 0) :: RECEIVES_REPLY(0, 1) :: RECEIVES_REPLY(2, 1)
+  :: PROPOSES(0) :: PROPOSES(1)
+  :: LOSES_DISK(0) :: LOSES_DISK(1) :: LOSES_DISK(2)
+  :: LEARNS_STATE(0, 1, 2) :: LEARNS_STATE(1, 0, 2) :: LEARNS_STATE(2, 0, 1)
   :: RESTARTS(0) :: RESTARTS(1)
   od
 }
 
 ltl nothing_lost { [] !lost }
-/* Of two orders on one version one is acknowledged at most. */
-ltl one_value { [] !doubled }
+/* At most one of two changes to the same version is acknowledged. */
+ltl one_value { [] !conflict }
--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -306,12 +306,12 @@
       mesh_.Send(send->to, mesh_.Encode(send->body));
     } else if (auto* persist = std::get_if<Persist>(&effect)) {
       store_->Write(std::move(*persist));
-    } else if (const auto* decided = std::get_if<ProposalResult>(&effect)) {
-      const auto found = pending_proposals_.find(decided->proposal_id);
+    } else if (const auto* result = std::get_if<ProposalResult>(&effect)) {
+      const auto found = pending_proposals_.find(result->proposal_id);
       if (found == pending_proposals_.end()) continue;
       const auto callback = std::move(found->second);
       pending_proposals_.erase(found);
-      callback(decided->outcome);
+      callback(result->outcome);
     }
   }
   LogRoleChange();
--- a/tests/router_fleet/control_drain_test.cpp
+++ b/tests/router_fleet/control_drain_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A process of the control plane that is stopped answers each request that it has read before it ends.
+// A control plane process that is stopped must answer every request that it has read before it exits.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -17,7 +17,7 @@
 
 constexpr const char* kGetStatus = "GET /-/status HTTP/1.1\r\nHost: x\r\n\r\n";
 constexpr const char* kGetConfiguration = "GET /-/config HTTP/1.1\r\nHost: x\r\n\r\n";
-constexpr const char* kBrokenCheck = "invariant violated name=answered_before_exit";
+constexpr const char* kViolationLine = "invariant violated name=answered_before_exit";
 
 Fleet::Options ControlOnly() {
   Fleet::Options options;
@@ -30,9 +30,9 @@
   return fleet.Log().find(text) != std::string::npos;
 }
 
-// Leaves one member with an empty disk and nobody to learn from: it knows no leader and has no vote, so that
-// it may stop at once.
-void LeaveOneThatKnowsNobody(Fleet& fleet) {
+// Leaves one member running, with an empty disk and nobody to learn from: it knows no leader and has no vote,
+// so that it may stop at once.
+void IsolateFirstCore(Fleet& fleet) {
   for (int i = 0; i < 3; ++i) fleet.core(i).End(SIGKILL);
   fleet.LoseDisk(0);
   fleet.StartCore(0);
@@ -43,11 +43,11 @@
   }));
 }
 
-TEST(ControlDrain, ARequestThatWaitsForALeaderIsAnsweredBeforeTheProcessEnds) {
+TEST(ControlDrain, ARequestWaitingForALeaderIsAnsweredBeforeExit) {
   Fleet fleet(ControlOnly());
-  LeaveOneThatKnowsNobody(fleet);
+  IsolateFirstCore(fleet);
   KeptConnection client(fleet.CoreIp(0), Fleet::kControl);
-  // Sent in one piece: the answer to the first shows that the second has arrived.
+  // Sent in one segment, so that the answer to the first request shows that the second has arrived.
   ASSERT_TRUE(client.Send(std::string(kGetStatus) + kGetConfiguration));
   ASSERT_EQ(client.ReadAnswer().status, 200);
   fleet.core(0).Signal(SIGTERM);
@@ -58,10 +58,10 @@
   EXPECT_TRUE(answer.Has("Connection: close")) << answer.text;
   EXPECT_TRUE(client.EndsInOrder());
   EXPECT_EQ(fleet.core(0).End(SIGCONT), 0);
-  EXPECT_FALSE(LogHas(fleet, kBrokenCheck));
+  EXPECT_FALSE(LogHas(fleet, kViolationLine));
 }
 
-TEST(ControlDrain, ALongAnswerToASlowReaderIsSentWhole) {
+TEST(ControlDrain, ALongAnswerToASlowReaderIsSentCompletely) {
   constexpr std::size_t kPadding = 4 * 1024 * 1024;
   constexpr int kSmallBuffer = 4096;
   Fleet fleet(ControlOnly());
@@ -73,19 +73,19 @@
   ASSERT_TRUE(client.Send(kGetConfiguration));
   ASSERT_TRUE(client.ReadHead());
   fleet.core(leader).Signal(SIGTERM);
-  // Reads on only once the member has handed on what it led.
+  // Continues reading only after the member has handed over its leadership.
   ASSERT_TRUE(Eventually([&] { return fleet.core(leader).Ended() || LogHas(fleet, "draining"); }));
   const Answer answer = client.ReadAnswer();
   EXPECT_EQ(answer.status, 200);
   EXPECT_TRUE(answer.ended_well) << answer.text.size() << " bytes";
   EXPECT_TRUE(Eventually([&] { return fleet.core(leader).Ended(); }));
-  EXPECT_FALSE(LogHas(fleet, kBrokenCheck));
+  EXPECT_FALSE(LogHas(fleet, kViolationLine));
 }
 
-TEST(ControlDrain, ARequestThatIsHalfReadWhenDrainingBeginsIsRefusedWithRetryAfter) {
+TEST(ControlDrain, APartlyReadRequestIsRefusedWithRetryAfterWhenDrainingBegins) {
   constexpr std::size_t kHalf = 10;
   Fleet fleet(ControlOnly());
-  LeaveOneThatKnowsNobody(fleet);
+  IsolateFirstCore(fleet);
   KeptConnection client(fleet.CoreIp(0), Fleet::kControl);
   const std::string second = kGetConfiguration;
   ASSERT_TRUE(client.Send(kGetStatus + second.substr(0, kHalf)));
@@ -99,10 +99,10 @@
   EXPECT_TRUE(answer.Has("Connection: close")) << answer.text;
   EXPECT_TRUE(client.EndsInOrder());
   EXPECT_EQ(fleet.core(0).End(SIGCONT), 0);
-  EXPECT_FALSE(LogHas(fleet, kBrokenCheck));
+  EXPECT_FALSE(LogHas(fleet, kViolationLine));
 }
 
-TEST(ControlDrain, AChangeThatWaitsForCopiesIsAnsweredWhenItsLeaderStops) {
+TEST(ControlDrain, AnUncommittedChangeIsAnsweredWhenItsLeaderStops) {
   Fleet fleet(ControlOnly());
   ASSERT_EQ(fleet.Put(fleet.Configuration(1), 0), 200);
   int leader = -1;
@@ -122,33 +122,33 @@
   EXPECT_EQ(answer.status, 503);
   EXPECT_TRUE(answer.ended_well);
   EXPECT_EQ(fleet.core(leader).End(SIGCONT), 0);
-  EXPECT_FALSE(LogHas(fleet, kBrokenCheck));
+  EXPECT_FALSE(LogHas(fleet, kViolationLine));
 }
 
-TEST(ControlDrain, AMemberThatLeavesAnnouncesTheEndOfKeptConnections) {
+TEST(ControlDrain, ALeavingMemberAnnouncesTheCloseOfKeepAliveConnections) {
   Fleet fleet(ControlOnly());
   ASSERT_EQ(fleet.Put(fleet.Configuration(1), 0), 200);
-  // Alone it has no leader to tell it that it may stop: it stays for a while.
+  // Without the others there is no leader that lets it stop, so it stays for a while.
   fleet.core(1).End(SIGKILL);
   fleet.core(2).End(SIGKILL);
-  KeptConnection asked_again(fleet.CoreIp(0), Fleet::kControl);
+  KeptConnection active(fleet.CoreIp(0), Fleet::kControl);
   KeptConnection idle(fleet.CoreIp(0), Fleet::kControl);
-  ASSERT_TRUE(asked_again.Send(kGetStatus));
-  EXPECT_FALSE(asked_again.ReadAnswer().Has("Connection: close"));
+  ASSERT_TRUE(active.Send(kGetStatus));
+  EXPECT_FALSE(active.ReadAnswer().Has("Connection: close"));
   ASSERT_TRUE(idle.Send(kGetStatus));
   EXPECT_FALSE(idle.ReadAnswer().Has("Connection: close"));
   fleet.core(0).Signal(SIGTERM);
   ASSERT_TRUE(Eventually([&] { return LogHas(fleet, "leaving"); }));
-  ASSERT_TRUE(asked_again.Send(kGetStatus));
-  const Answer answer = asked_again.ReadAnswer();
+  ASSERT_TRUE(active.Send(kGetStatus));
+  const Answer answer = active.ReadAnswer();
   EXPECT_EQ(answer.status, 200);
   EXPECT_TRUE(answer.Has("Connection: close")) << answer.text;
-  EXPECT_TRUE(asked_again.EndsInOrder());
+  EXPECT_TRUE(active.EndsInOrder());
   EXPECT_TRUE(idle.EndsInOrder());
   EXPECT_EQ(fleet.core(0).End(SIGCONT), 0);
 }
 
-TEST(ControlDrain, TheAnswerToARequestThatIsTooLongIsNotDestroyedByAReset) {
+TEST(ControlDrain, TheAnswerToATooLongRequestIsNotLostToAReset) {
   Fleet fleet(ControlOnly());
   ASSERT_EQ(fleet.Put(fleet.Configuration(1), 0), 200);
   const std::string body(http::ApiServer::kLongestBody + 1024 * 1024, ' ');
@@ -161,19 +161,19 @@
   EXPECT_TRUE(client.EndsInOrder());
 }
 
-TEST(ControlDrain, AMemberThatWaitsForALeaderToLeaveEndsBeforeItsGraceIsOver) {
+TEST(ControlDrain, AMemberThatCannotLeaveForLackOfALeaderExitsWithinItsGracePeriod) {
   constexpr int kGraceSeconds = 2;
   LoneCore core(kGraceSeconds, 2);
   ASSERT_TRUE(Eventually([&] {
     const Answer status = core.Status();
     return status.Has("\"role\":\"follower\"") || status.Has("\"role\":\"candidate\"");
   }));
-  const auto told = Clock::now();
+  const auto signalled_at = Clock::now();
   EXPECT_EQ(core.process().End(SIGTERM), 0);
-  EXPECT_LT(Clock::now() - told, std::chrono::seconds(kGraceSeconds));
+  EXPECT_LT(Clock::now() - signalled_at, std::chrono::seconds(kGraceSeconds));
 }
 
-TEST(ControlDrain, TheCheckCountsAnAnswerThatTheEndOfTheProcessCuts) {
+TEST(ControlDrain, TheInvariantCountsAnAnswerThatTheExitTruncates) {
   constexpr std::size_t kPadding = 4 * 1024 * 1024;
   constexpr int kSmallBuffer = 4096;
   constexpr int kGraceSeconds = 2;
@@ -183,23 +183,23 @@
   KeptConnection operator_client(core.Ip(), Fleet::kControl);
   ASSERT_TRUE(operator_client.Send("PUT /-/config HTTP/1.1\r\nHost: x\r\nIf-Match: 0\r\nContent-Length: " +
                                    std::to_string(body.size()) + "\r\n\r\n" + body));
-  const Answer taken = operator_client.ReadAnswer();
-  ASSERT_EQ(taken.status, 200) << taken.text;
-  KeptConnection never_reads(core.Ip(), Fleet::kControl, kSmallBuffer);
-  ASSERT_TRUE(never_reads.Send(kGetConfiguration));
-  ASSERT_TRUE(never_reads.ReadHead());
+  const Answer put_answer = operator_client.ReadAnswer();
+  ASSERT_EQ(put_answer.status, 200) << put_answer.text;
+  KeptConnection stalled_client(core.Ip(), Fleet::kControl, kSmallBuffer);
+  ASSERT_TRUE(stalled_client.Send(kGetConfiguration));
+  ASSERT_TRUE(stalled_client.ReadHead());
   EXPECT_EQ(core.process().End(SIGTERM), 0);
-  EXPECT_NE(core.Log().find(std::string(kBrokenCheck) + " count=1"), std::string::npos) << core.Log();
+  EXPECT_NE(core.Log().find(std::string(kViolationLine) + " count=1"), std::string::npos) << core.Log();
 }
 
-// A server within this process, whose handler fails.
+// The server runs in the test process; its handler fails.
 TEST(ControlDrain, ARequestWhoseHandlerThrowsIsAnswered) {
   http::asio::io_context io;
-  const auto fails = [](const http::ApiRequest&) -> http::Awaitable<http::ApiResponse> {
+  const auto failing_handler = [](const http::ApiRequest&) -> http::Awaitable<http::ApiResponse> {
     throw std::runtime_error("out of something");
     co_return http::ApiResponse();
   };
-  http::ApiServer server(io, fails);
+  http::ApiServer server(io, failing_handler);
   const std::string ip =
       "127." + std::to_string(20 + getpid() % 200) + "." + std::to_string(getpid() / 200 % 250) + ".230";
   ASSERT_FALSE(server.Listen({ip, Fleet::kControl}));
--- a/tests/router_fleet/edge_members_test.cpp
+++ b/tests/router_fleet/edge_members_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Members of the control plane on machines that carry traffic too, gateways, and the operator's patches.
+// Control plane members on machines that also run proxies, gateways, and configuration patches.
 #include <future>
 
 #include "router_fleet/fleet_fixture.h"
@@ -8,7 +8,7 @@
 namespace kestrelline::router_fleet {
 namespace {
 
-// All members run beside proxies, as where a deployment has no machines for control alone.
+// All members run beside proxies, as in a deployment without machines dedicated to control.
 Fleet::Options OnEdges(int members, int edges, int tolerated) {
   Fleet::Options options;
   options.cores = members;
@@ -19,13 +19,13 @@
   return options;
 }
 
-// Clients that go on asking until they are told to end; counts answers that are no success.
-class Burst {
+// Clients that send requests until End and count failed answers.
+class LoadClients {
  public:
-  explicit Burst(const Fleet& fleet, int clients, int edges) {
+  explicit LoadClients(const Fleet& fleet, int clients, int edges) {
     for (int i = 0; i < clients; ++i) {
       threads_.emplace_back([this, &fleet, i, edges] {
-        for (int n = 0; !over_; ++n) {
+        for (int n = 0; !stopped_; ++n) {
           const std::string id = "b" + std::to_string(i) + "-" + std::to_string(n);
           const int status = fleet.Send((i + n) % edges, "/safe/x", id).status;
           ++(status == 200 ? served_ : failed_);
@@ -33,9 +33,9 @@
       });
     }
   }
-  ~Burst() { End(); }
+  ~LoadClients() { End(); }
   void End() {
-    over_ = true;
+    stopped_ = true;
     for (std::thread& thread : threads_) thread.join();
     threads_.clear();
   }
@@ -44,7 +44,7 @@
 
  private:
   std::vector<std::thread> threads_;
-  std::atomic<bool> over_ = false;
+  std::atomic<bool> stopped_ = false;
   std::atomic<int> served_ = 0;
   std::atomic<int> failed_ = 0;
 };
@@ -64,8 +64,8 @@
   EXPECT_EQ(fleet.Put(fleet.Configuration(2), 1), 200);
 }
 
-// Six machines with a disk, of which two may be lost: five vote, the sixth waits for a seat.
-TEST(EdgeMembers, FiveOfSixVoteAndAHalfThatIsGoneLeavesAQuorum) {
+// Six machines with a disk, two of which may be lost: five vote, the sixth waits for a seat.
+TEST(EdgeMembers, FiveOfSixVoteAndTheLossOfAZoneLeavesAQuorum) {
   Fleet fleet(OnEdges(6, 6, 2));
   ASSERT_TRUE(fleet.Begin());
   const auto members = [&] {
@@ -78,23 +78,23 @@
   };
   ASSERT_TRUE(Eventually([&] { return members() == 5; }));
   ASSERT_EQ(fleet.Put(fleet.Configuration(2), 1), 200);
-  // Both machines of a zone at once, one of them the leader's.
+  // Both machines of a zone fail at once, one of them the leader's.
   const int leader = fleet.Leader();
   ASSERT_GE(leader, 0);
   const int other = (leader + 1) % 6;
-  for (const int gone : {leader, other}) {
-    fleet.core(gone).End(SIGKILL);
-    fleet.edge(gone).End(SIGKILL);
+  for (const int lost : {leader, other}) {
+    fleet.core(lost).End(SIGKILL);
+    fleet.edge(lost).End(SIGKILL);
   }
   ASSERT_TRUE(Eventually([&] { return fleet.Leader() >= 0; }));
   EXPECT_EQ(fleet.Put(fleet.Configuration(3), 2), 200);
   EXPECT_EQ(fleet.GetConfiguration(), fleet.Configuration(3));
 }
 
-TEST(EdgeMembers, TheLeaderEndsByKillAndByTermUnderABurst) {
+TEST(EdgeMembers, TheLeaderIsKilledAndTerminatedUnderLoad) {
   Fleet fleet(OnEdges(3, 3, 1));
   ASSERT_TRUE(fleet.Begin());
-  Burst burst(fleet, 6, 3);
+  LoadClients load(fleet, 6, 3);
   int version = 1;
   for (const int signal : {SIGHUP, SIGTERM, SIGKILL}) {
     ASSERT_TRUE(Eventually([&] { return fleet.Leader() >= 0; }));
@@ -108,38 +108,39 @@
     ASSERT_EQ(fleet.Put(fleet.Configuration(version + 1), version), 200) << signal;
     ++version;
   }
-  burst.End();
-  EXPECT_GT(burst.served(), 0);
-  EXPECT_EQ(burst.failed(), 0);  // proxies go on whatever becomes of members
+  load.End();
+  EXPECT_GT(load.served(), 0);
+  EXPECT_EQ(load.failed(), 0);  // proxies do not depend on the members' state
 }
 
-// A frozen leader's machine: another leads, and what the first had promised holds when it thaws.
-TEST(EdgeMembers, AFrozenLeaderIsFollowedAndDoesNotLeadWhenItThaws) {
+// The leader's machine is suspended and another member leads. When the first one resumes, it must not decide
+// anything as leader.
+TEST(EdgeMembers, ASuspendedLeaderIsReplacedAndDoesNotLeadWhenItResumes) {
   Fleet fleet(OnEdges(3, 3, 1));
   ASSERT_TRUE(fleet.Begin());
   ASSERT_TRUE(Eventually([&] { return fleet.Leader() >= 0; }));
-  const int frozen = fleet.Leader();
-  fleet.core(frozen).Signal(SIGSTOP);
-  fleet.edge(frozen).Signal(SIGSTOP);
-  const auto others_take = [&] {
+  const int suspended = fleet.Leader();
+  fleet.core(suspended).Signal(SIGSTOP);
+  fleet.edge(suspended).Signal(SIGSTOP);
+  const auto others_accept = [&] {
     for (int i = 0; i < 3; ++i) {
-      if (i != frozen && fleet.PutAt(i, fleet.Configuration(2), 1).status == 200) return true;
+      if (i != suspended && fleet.PutAt(i, fleet.Configuration(2), 1).status == 200) return true;
     }
     return false;
   };
-  EXPECT_TRUE(Eventually(others_take));
-  fleet.core(frozen).Signal(SIGCONT);
-  fleet.edge(frozen).Signal(SIGCONT);
+  EXPECT_TRUE(Eventually(others_accept));
+  fleet.core(suspended).Signal(SIGCONT);
+  fleet.edge(suspended).Signal(SIGCONT);
   EXPECT_EQ(fleet.Put(fleet.Configuration(2, 99), 1), 412);
   EXPECT_TRUE(Eventually([&] {
-    return Ask(fleet.CoreIp(frozen), Fleet::kControl,
+    return Ask(fleet.CoreIp(suspended), Fleet::kControl,
                "GET /-/status HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         .Has("\"version\":2");
   }));
 }
 
-// Machine after machine, both processes of each.
-TEST(EdgeMembers, AllMachinesAreStoppedAndStartedInTurn) {
+// A rolling restart: one machine after the other, both processes of each.
+TEST(EdgeMembers, ARollingRestartKeepsTheConfiguration) {
   Fleet fleet(OnEdges(3, 3, 1));
   ASSERT_TRUE(fleet.Begin());
   int version = 1;
@@ -168,7 +169,7 @@
   return false;
 }
 
-// A machine is gone for good; an empty one at another address takes its seat.
+// A machine is lost for good; an empty one at another address takes its seat.
 TEST(EdgeMembers, AReplacementAtAnotherAddressTakesTheSeat) {
   Fleet fleet(OnEdges(3, 3, 1));
   ASSERT_TRUE(fleet.Begin());
@@ -179,14 +180,14 @@
   EXPECT_EQ(fleet.Put(fleet.Configuration(2), 1), 200);
 }
 
-// Its disk does not count: it gets no seat, though one is vacant.
-TEST(EdgeMembers, ADiskThatDoesNotCountGetsNoSeat) {
+// A member started with counts_for_quorum = false gets no seat, even if one is vacant.
+TEST(EdgeMembers, AMemberThatDoesNotCountForTheQuorumGetsNoSeat) {
   Fleet fleet(OnEdges(3, 3, 1));
   ASSERT_TRUE(fleet.Begin());
   fleet.StartCore(3, /*bootstrap=*/false, /*counts=*/false);
   fleet.core(1).End(SIGKILL);
   EXPECT_EQ(fleet.Put(fleet.Configuration(2), 1), 200);
-  fleet.StartCore(4);  // one that counts takes the seat instead
+  fleet.StartCore(4);  // counts for the quorum and takes the seat
   EXPECT_TRUE(Eventually([&] { return IsMember(fleet, 4); }));
   EXPECT_FALSE(IsMember(fleet, 3));
   EXPECT_EQ(fleet.Put(fleet.Configuration(3), 2), 200);
@@ -201,7 +202,7 @@
   return options;
 }
 
-TEST(Gateway, SendsCallersOnToTheLeader) {
+TEST(Gateway, RedirectsCallersToTheLeader) {
   Fleet fleet(WithGateways(1));
   ASSERT_TRUE(fleet.Begin());
   std::string location;
@@ -225,27 +226,28 @@
   EXPECT_EQ(fleet.gateway(0).End(SIGTERM), 0);
 }
 
-// A machine is stopped as a whole: its proxy drains for up to grace_s, and asks its way to the members
-// meanwhile. The gateway beside it ended at once, turned callers away and was started again in the middle of
-// the drain.
-TEST(Gateway, SendsCallersOnUntilTheGraceOfItsMachineIsNearlyOver) {
+// When a machine is stopped, its proxy drains for up to grace_s and needs the gateway to find the members
+// during that time. Guards against a gateway that exits at once, so that callers are refused and the gateway
+// is started again in the middle of the drain.
+TEST(Gateway, RedirectsCallersUntilTheGracePeriodIsNearlyOver) {
   Fleet fleet(WithGateways(1));
   ASSERT_TRUE(fleet.Begin());
-  const auto sends_on = [&] {
+  const auto redirects = [&] {
     return Ask(fleet.GatewayIp(0), Fleet::kControl,
                "GET /-/config HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                .status == 307;
   };
-  ASSERT_TRUE(Eventually(sends_on));
+  ASSERT_TRUE(Eventually(redirects));
   fleet.gateway(0).Signal(SIGTERM);
-  const auto late = Clock::now() + milliseconds(5000);  // of a grace of 6 s
-  while (Clock::now() < late) ASSERT_TRUE(sends_on());
+  const auto end = Clock::now() + milliseconds(5000);  // of a grace period of 6 s
+  while (Clock::now() < end) ASSERT_TRUE(redirects());
   EXPECT_TRUE(Eventually([&] { return fleet.gateway(0).Ended(); }, milliseconds(1000)));
   EXPECT_EQ(fleet.gateway(0).status(), 0);
 }
 
-// After a kill of all, seeds may name gateways alone, which know nobody: the members tell them who they are.
-TEST(Gateway, AFleetWhoseSeedsAreGatewaysThatStartAnewFindsItsMembers) {
+// After all processes were killed, the seeds may name only gateways, which know no member: the members have
+// to announce themselves to the gateways.
+TEST(Gateway, AFleetWhoseSeedsAreRestartedGatewaysFindsItsMembers) {
   Fleet fleet(WithGateways(2));
   ASSERT_TRUE(fleet.Begin());
   ASSERT_EQ(fleet.Put(fleet.Configuration(2), 1), 200);
@@ -261,8 +263,8 @@
   EXPECT_EQ(fleet.Send(0, "/app/x", "r1").status, 200);
 }
 
-// Members that were started with other seeds know gateways that made themselves known before.
-TEST(Gateway, GatewaysThatStartAnewAreToldByMembersThatKnewThem) {
+// Members that were started with other seeds remember the gateways that announced themselves.
+TEST(Gateway, RestartedGatewaysLearnTheMembersFromMembersThatKnewThem) {
   Fleet fleet(WithGateways(2));
   ASSERT_TRUE(fleet.Begin());
   const auto knows_members = [&](int gateway) {
@@ -279,7 +281,7 @@
   EXPECT_TRUE(Eventually([&] { return fleet.Ready(0); }));
 }
 
-// A member that lost its disk, and is told of gateways alone.
+// A member that lost its disk and whose seeds are only gateways.
 TEST(Gateway, AMemberWithAnEmptyDiskFindsTheOthersThroughIt) {
   Fleet fleet(WithGateways(2));
   ASSERT_TRUE(fleet.Begin());
@@ -297,25 +299,25 @@
 
 // --- patches ---
 
-TEST(PatchOrder, AltersNamedItemsOnTheTermsOfPut) {
+TEST(PatchOrder, ChangesNamedItemsUnderTheRulesOfPut) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(fleet.Begin());
   const std::string patch = RoutePatch(2, "more");
   EXPECT_EQ(fleet.Patch(patch, 1), 200);
   EXPECT_TRUE(Eventually([&] { return fleet.Send(0, "/more/x", "r1").status == 200; }));
   EXPECT_EQ(fleet.Send(0, "/safe/x", "r2").status, 200);
-  EXPECT_EQ(fleet.Patch(patch, 1), 200);                   // sent again: taken once
-  EXPECT_EQ(fleet.Patch(RoutePatch(3, "other"), 1), 412);  // builds on another version
+  EXPECT_EQ(fleet.Patch(patch, 1), 200);                   // sent again: applied once
+  EXPECT_EQ(fleet.Patch(RoutePatch(3, "other"), 1), 412);  // based on another version
   EXPECT_EQ(fleet.Patch(RoutePatch(2, "other"), 2), 400);  // its version is not above the current one
   EXPECT_EQ(fleet.Patch(R"({"version":3,"upsert":{"routes":[{}]}})", 2), 400);
   EXPECT_EQ(fleet.Patch(R"({"version":3,"remove":{"services":["app"]}})", 2), 400);
   EXPECT_EQ(fleet.Patch(R"({"version":3,"remove":{"routes":["more"]}})", 2), 200);
-  EXPECT_EQ(fleet.Patch(patch, 1), 200);  // taken once, so never refused
+  EXPECT_EQ(fleet.Patch(patch, 1), 200);  // applied before, so never rejected
   EXPECT_TRUE(Eventually([&] { return fleet.Send(0, "/more/x", "r3").status == 404; }));
   EXPECT_EQ(fleet.GetConfiguration().find("\"more\""), std::string::npos);
 }
 
-TEST(PatchOrder, OfTwoThatCrossOneWinsAndNeitherIsHalfInForce) {
+TEST(PatchOrder, OfTwoConcurrentPatchesOneIsAppliedAndTheOtherNotAtAll) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(fleet.Begin());
   for (int version = 1; version < 6; ++version) {
@@ -333,7 +335,7 @@
   }
 }
 
-TEST(PatchOrder, ToAFollowerThatLosesTheLeaderIsDecidedByTheNext) {
+TEST(PatchOrder, APatchSentToAFollowerIsDecidedByTheNextLeader) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(fleet.Begin());
   ASSERT_TRUE(Eventually([&] { return fleet.Leader() >= 0; }));
@@ -350,7 +352,7 @@
   EXPECT_NE(fleet.GetConfiguration().find("/more/"), std::string::npos);
 }
 
-TEST(PatchOrder, AStreamGoesOnWhoseRouteIsRemoved) {
+TEST(PatchOrder, AStreamContinuesAfterItsRouteIsRemoved) {
   Fleet::Options options = Fleet::Split(1, 1);
   options.events = 40;
   options.between = milliseconds(25);
--- a/tests/router_fleet/lone_core.h
+++ b/tests/router_fleet/lone_core.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One process of the control plane with settings of its own; other members that it names never run.
+// A single control plane process with its own settings. The other members named in them never run.
 #ifndef KESTRELLINE_TESTS_ROUTER_FLEET_LONE_CORE_H_
 #define KESTRELLINE_TESTS_ROUTER_FLEET_LONE_CORE_H_
 
@@ -12,7 +12,7 @@
 
 class LoneCore {
  public:
-  // `absent`: further founders, none of which answers.
+  // `absent`: number of further founders that never answer.
   LoneCore(int grace_s, int absent) {
     network_ =
         "127." + std::to_string(20 + getpid() % 200) + "." + std::to_string(getpid() / 200 % 250) + ".";
--- a/tests/router_fleet/processes_test.cpp
+++ b/tests/router_fleet/processes_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The fleet's processes on the days that hurt: leaders killed, disks lost, all ended at once, proxies
+// The processes of a fleet under failures: leaders killed, disks lost, all processes killed at once, proxies
 // stopped.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
@@ -14,23 +14,23 @@
 namespace kestrelline::router_fleet {
 namespace {
 
-TEST(FleetProcesses, AConfigurationIsTakenAtAnyMemberAndReadBackAsItWas) {
+TEST(FleetProcesses, AConfigurationIsAcceptedAtAnyMemberAndReadBackUnchanged) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   EXPECT_EQ(fleet.GetConfiguration(), fleet.Configuration(1));
   int redirected = 0;
   for (int i = 0; i < 3; ++i) redirected += fleet.PutAt(i, fleet.Configuration(1), 0).status == 307;
   EXPECT_EQ(redirected, 2);
-  EXPECT_EQ(fleet.Put(fleet.Configuration(1), 0), 200);  // the same order again
+  EXPECT_EQ(fleet.Put(fleet.Configuration(1), 0), 200);  // the same change again
   EXPECT_EQ(fleet.Put(fleet.Configuration(1, 77), 0), 412);
   EXPECT_EQ(fleet.Put(fleet.Configuration(1, 77), 1), 400);  // its version is not above the current one
   EXPECT_EQ(fleet.Put("{\"version\":2", 1), 400);
   EXPECT_EQ(fleet.Put(fleet.Configuration(2), 1), 200);
-  EXPECT_EQ(fleet.Put(fleet.Configuration(1), 0), 200);  // taken once, so never refused
+  EXPECT_EQ(fleet.Put(fleet.Configuration(1), 0), 200);  // committed before, so never rejected
   EXPECT_EQ(fleet.GetConfiguration(), fleet.Configuration(2));
 }
 
-TEST(FleetProcesses, ALeaderThatIsKilledIsFollowedAndNothingAcknowledgedIsLost) {
+TEST(FleetProcesses, AKilledLeaderIsReplacedAndNothingAcknowledgedIsLost) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   ASSERT_EQ(fleet.Put(fleet.Configuration(2), 1), 200);
@@ -50,7 +50,7 @@
   }));
 }
 
-TEST(FleetProcesses, ADiskIsLostAndEverybodyEndsRightAfterAnAcknowledgement) {
+TEST(FleetProcesses, AnAcknowledgedChangeSurvivesALostDiskAndAFullRestart) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   ASSERT_EQ(fleet.Put(fleet.Configuration(2), 1), 200);
@@ -62,7 +62,7 @@
   EXPECT_EQ(fleet.Put(fleet.Configuration(3), 2), 200);
 }
 
-TEST(FleetProcesses, AProxyThatStartsAnewIsReadyOnlyWithTheNewestConfiguration) {
+TEST(FleetProcesses, ARestartedProxyIsReadyOnlyWithTheNewestConfiguration) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   fleet.edge(1).End(SIGKILL);
@@ -75,18 +75,18 @@
   EXPECT_EQ(fleet.Send(1, "/app/x", "r2").status, 200);
 }
 
-TEST(FleetProcesses, ProxiesServeOnWithoutTheControlPlane) {
+TEST(FleetProcesses, ProxiesContinueToServeWithoutTheControlPlane) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   for (int i = 0; i < 3; ++i) fleet.core(i).End(SIGKILL);
   EXPECT_EQ(fleet.Send(0, "/app/x", "r1").status, 200);
   EXPECT_TRUE(fleet.Ready(0));
-  // They read the platform's list themselves.
+  // The proxies read the platform's instance list themselves.
   const int calls = fleet.platform().calls();
   EXPECT_TRUE(Eventually([&] { return fleet.platform().calls() > calls; }));
 }
 
-TEST(FleetProcesses, ABackendThatDrainsGetsNothingNew) {
+TEST(FleetProcesses, ADrainingBackendGetsNoNewRequests) {
   Fleet fleet(Fleet::Plain(2));
   ASSERT_TRUE(fleet.Begin());
   fleet.SetDraining("a0");
@@ -101,7 +101,7 @@
   }));
 }
 
-TEST(FleetProcesses, AProxyThatIsStoppedFinishesWhatItHasRead) {
+TEST(FleetProcesses, AStoppedProxyFinishesTheRequestsThatItHasRead) {
   Fleet::Options options = Fleet::Split(1, 1);
   options.events = 200;
   options.between = milliseconds(5);
@@ -112,13 +112,13 @@
   ASSERT_TRUE(Eventually([&] { return fleet.Runs("r1") == 1; }));
   fleet.edge(0).Signal(SIGTERM);
   EXPECT_TRUE(Eventually([&] { return !fleet.Ready(0); }));
-  EXPECT_EQ(fleet.Send(0, "/app/x", "r2").status, 200);  // what still comes is served
+  EXPECT_EQ(fleet.Send(0, "/app/x", "r2").status, 200);  // requests that still arrive are served
   client.join();
   EXPECT_TRUE(answer.ended_well);
   EXPECT_TRUE(Eventually([&] { return fleet.edge(0).Ended(); }));
 }
 
-TEST(FleetProcesses, ProxiesWithoutRoomAtAMemberAreToldByOtherProxies) {
+TEST(FleetProcesses, ProxiesWithoutASubscriptionSlotAtAMemberAreServedByOtherProxies) {
   Fleet::Options options;
   options.edges = 7;
   options.most_subscribers = 1;
@@ -133,13 +133,13 @@
     return count;
   };
   EXPECT_TRUE(Eventually([&] { return in_force() == 7; }));
-  // All of them count as proxies, however far from a member.
+  // All of them are counted, including those that subscribe through other proxies.
   EXPECT_TRUE(Eventually([&] {
     return Ask(fleet.CoreIp(0), Fleet::kControl,
                "GET /-/status HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         .Has("\"proxies\":7");
   }));
-  // Whoever passed on is gone: the others find another way.
+  // The relaying proxies fail; the others find another source.
   fleet.edge(0).End(SIGKILL);
   fleet.edge(1).End(SIGKILL);
   fleet.edge(2).End(SIGKILL);
@@ -152,22 +152,22 @@
   }
 }
 
-// What a command of the program prints, and its exit status.
-struct Said {
+// The output of a command of the program, and its exit status.
+struct CommandResult {
   std::string text;
   int status = -1;
 };
-Said RunCommand(const std::string& arguments) {
-  Said said;
+CommandResult RunCommand(const std::string& arguments) {
+  CommandResult result;
   FILE* pipe = popen((std::string(FLEET_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
   std::array<char, 512> piece{};
-  while (std::fgets(piece.data(), piece.size(), pipe) != nullptr) said.text += piece.data();
+  while (std::fgets(piece.data(), piece.size(), pipe) != nullptr) result.text += piece.data();
   const int status = pclose(pipe);
-  said.status = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  return said;
+  result.status = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+  return result;
 }
 
-TEST(FleetProcesses, CommandsAskAnyMember) {
+TEST(FleetProcesses, CommandsWorkAtAnyMember) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(fleet.Begin());
   ASSERT_EQ(fleet.Put(fleet.Configuration(4), 1), 200);
@@ -185,14 +185,14 @@
   EXPECT_EQ(RunCommand("members " + fleet.Ip(249) + ":1").status, 1);
 }
 
-// The value of a metric's line; 0 if it isn't there.
+// The value of a metric, 0 if it is absent.
 std::uint64_t Metric(const Answer& answer, const std::string& line) {
   const std::size_t at = answer.text.find(line + " ");
   return at == std::string::npos ? 0 : std::stoull(answer.text.substr(at + line.size() + 1));
 }
 
-// What proxies and members receive is counted by kind; the list of backends that does not change is told by
-// its age alone.
+// Messages received by proxies and members are counted by kind. While the instance list does not change,
+// members get only its age.
 TEST(FleetProcesses, ControlTrafficIsCountedByKind) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(fleet.Begin());
@@ -207,7 +207,7 @@
     return Metric(proxy, bytes + "{kind=\"publication\"}") > 0 &&
            Metric(proxy, messages + "{kind=\"load_summary\"}") > 2;
   }));
-  // By all members together: on a busy machine the leader may change.
+  // Sum of all members, since the leader may change on a busy machine.
   const auto received = [&](const std::string& kind) {
     std::uint64_t sum = 0;
     for (int core = 0; core < 3; ++core)
@@ -219,7 +219,7 @@
   })) << fleet.Log();
 }
 
-TEST(FleetProcesses, AMemberThatIsAskedToLeaveEndsAndTheOthersGoOn) {
+TEST(FleetProcesses, AMemberAskedToLeaveExitsAndTheOthersContinue) {
   Fleet fleet(Fleet::Plain(1));
   ASSERT_TRUE(fleet.Begin());
   const int leader = fleet.Leader();
@@ -229,7 +229,7 @@
   EXPECT_EQ(fleet.Put(fleet.Configuration(2), 1), 200);
 }
 
-TEST(FleetProcesses, SighupEndsNobody) {
+TEST(FleetProcesses, SighupDoesNotEndProcesses) {
   Fleet fleet({});
   ASSERT_TRUE(fleet.Begin());
   for (int i = 0; i < 3; ++i) fleet.core(i).Signal(SIGHUP);
@@ -238,8 +238,8 @@
   EXPECT_EQ(fleet.Put(fleet.Configuration(2), 1), 200);
 }
 
-// The fence is the epoch under which the order's holder led. A machine that is busy may have had more than
-// one leader by the first order, so that the epoch is taken from the leaders' log.
+// The fence of an order is the epoch in which its holder led. On a busy machine there may have been more than
+// one leader before the first order, so the epoch is taken from the leaders' log.
 TEST(FleetProcesses, TheLeaderMovesStagesByFencedOrders) {
   Fleet fleet(Fleet::Split(1, 5));
   ASSERT_TRUE(fleet.Begin());
