--- a/src/control_plane/orders.cpp
+++ b/src/control_plane/orders.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Evaluation of proposed configuration changes against the replicated record.
 #include <algorithm>
 #include <utility>
 
@@ -7,25 +9,25 @@
 
 namespace kestrelline::control_plane {
 
-std::optional<Outcome> Judge(const wire::Record& current, const Change& change) {
-  const wire::AcceptedChange same{change.version, change.digest};
+std::optional<Outcome> EvaluateChange(const wire::Record& current, const Change& change) {
+  const wire::AcceptedChange entry{change.version, change.digest};
   const auto& history = current.history;
-  const bool known = std::find(history.rbegin(), history.rend(), same) != history.rend();
-  if (known && Enforced(Safeguard::kRecogniseOrders)) return Outcome::kTaken;
-  // Versions of changes that were taken rise: one below the oldest that is remembered may be a forgotten one.
-  const bool forgotten = history.size() >= kMostHistory && change.version < history.front().version;
-  if (forgotten) return Outcome::kForgotten;
-  if (change.only_if_known || change.builds_on != current.version) return Outcome::kConflict;
+  const bool known = std::find(history.rbegin(), history.rend(), entry) != history.rend();
+  if (known && Enforced(Safeguard::kRecogniseOrders)) return Outcome::kCommitted;
+  // Committed versions increase: one below the oldest in the history may have been committed and dropped.
+  const bool below_history = history.size() >= kMaxHistory && change.version < history.front().version;
+  if (below_history) return Outcome::kHistoryExpired;
+  if (change.only_if_accepted_before || change.base_version != current.version) return Outcome::kConflict;
   if (change.version <= current.version) return Outcome::kOldVersion;
   return std::nullopt;
 }
 
-wire::Record Apply(const wire::Record& current, Change change) {
+wire::Record ApplyChange(const wire::Record& current, Change change) {
   wire::Record next = current;
   next.version = change.version;
   next.configuration = std::move(change.configuration);
   next.history.push_back({change.version, change.digest});
-  if (next.history.size() > kMostHistory) next.history.erase(next.history.begin());
+  if (next.history.size() > kMaxHistory) next.history.erase(next.history.begin());
   return next;
 }
 
--- a/src/control_sim/world_traffic.cpp
+++ b/src/control_sim/world_traffic.cpp
@@ -9,15 +9,15 @@
 namespace kestrelline::control_sim {
 namespace {
 
-constexpr Span kPublishEvery{300};
-constexpr Span kBetweenChanges{500};
-constexpr Span kOperatorPatience{1000};
-constexpr Span kOperatorPause{150};
-constexpr Span kOperatorDelay{6};
+constexpr Duration kPublishEvery{300};
+constexpr Duration kBetweenChanges{500};
+constexpr Duration kOperatorPatience{1000};
+constexpr Duration kOperatorPause{150};
+constexpr Duration kOperatorDelay{6};
 constexpr int kMostRedirects = 2;
-constexpr Span kReadEvery{200};
-constexpr Span kStageOrderEvery{400};
-constexpr Span kStageOrderMargin{600};  // beyond the lease of the orders before
+constexpr Duration kReadEvery{200};
+constexpr Duration kStageOrderEvery{400};
+constexpr Duration kStageOrderMargin{600};  // beyond the lease of the orders before
 
 }  // namespace
 
@@ -36,9 +36,9 @@
   Pump(name);
 }
 
-void World::TakeDecision(const std::string& name, const control_plane::Decided& decided) {
+void World::TakeDecision(const std::string& name, const control_plane::ProposalResult& decided) {
   const auto found = std::find_if(pending_.begin(), pending_.end(), [&](const auto& entry) {
-    return entry.second.at == name && entry.second.number == decided.order &&
+    return entry.second.at == name && entry.second.number == decided.proposal_id &&
            entry.second.life == machines_[name].life;
   });
   if (found == pending_.end()) return;
@@ -88,7 +88,7 @@
     if (Chance(options_.lost_answers)) return;
     At(now_ + Delay(kOperatorDelay), [this, progress, sends, outcome] {
       const bool clear =
-          outcome == Outcome::kTaken || outcome == Outcome::kConflict || outcome == Outcome::kOldVersion;
+          outcome == Outcome::kCommitted || outcome == Outcome::kConflict || outcome == Outcome::kOldVersion;
       // A call that was given up has no connection left to answer on.
       if (sends != progress->sends || progress->verdict) return;
       if (!clear) return At(now_ + kOperatorPause, [this, progress, sends] { AskAgain(progress, sends); });
@@ -101,7 +101,7 @@
     OnMachine(member, life, [this, progress, member, redirects, answered, sends] {
       Machine& machine = machines_[member];
       if (Leads(machine)) return ProposeAt(member, progress->order, answered);
-      const std::string leader = machine.replica->LiveLeader(LocalTime(machine));
+      const std::string leader = machine.replica->LeaderWithinLease(LocalTime(machine));
       const bool go_on = !leader.empty() && leader != member && redirects < kMostRedirects;
       if (!go_on || sends != progress->sends) return answered(Outcome::kNotLeader);
       SendOrder(progress, leader, redirects + 1);
@@ -151,7 +151,7 @@
       return std::shared_ptr<const std::string>(record, &record->configuration);
     };
   }
-  if (const auto certain = machine.replica->certain_at(local)) published.age = local - *certain;
+  if (const auto certain = machine.replica->committed_confirmed_at(local)) published.age = local - *certain;
   published.control_peers = machine.replica->KnownNodes();
   for (auto& [proxy, subscriber] : machine.subscribers) SendPublication(name, proxy, subscriber, published);
 }
@@ -258,7 +258,8 @@
     return;
   }
   if (!machine.leading_since) machine.leading_since = local;
-  const Span wait = Enforced(Safeguard::kFenceAfterLease) ? Audit::kOrderLease + kStageOrderMargin : Span(0);
+  const Duration wait =
+      Enforced(Safeguard::kFenceAfterLease) ? Audit::kOrderLease + kStageOrderMargin : Duration(0);
   if (local - *machine.leading_since < wait || local < machine.next_stage_order) return;
   machine.next_stage_order = local + kStageOrderEvery;
   audit_.Ordered(now_, name, machine.replica->epoch());
--- a/tests/control_plane/member_directory_test.cpp
+++ b/tests/control_plane/member_directory_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// The rotation of nodes to ask, the expiry of a reported leader, and the parsing of reports.
 #include "control_plane/member_directory.h"
 
 #include <gtest/gtest.h>
@@ -13,33 +15,33 @@
 TEST(MemberDirectory, AsksSeedsThenMembersInTurn) {
   MemberDirectory directory({"s1", "s2"});
   EXPECT_TRUE(directory.members().empty());
-  EXPECT_EQ(directory.NextToAsk(), "s1");
-  EXPECT_EQ(directory.NextToAsk(), "s2");
-  directory.Take(milliseconds(0), {{"m1", "m2", "s1"}, "m2"});
+  EXPECT_EQ(directory.NextNode(), "s1");
+  EXPECT_EQ(directory.NextNode(), "s2");
+  directory.Update(milliseconds(0), {{"m1", "m2", "s1"}, "m2"});
   std::set<std::string> asked;
-  for (std::size_t i = 0; i < directory.size(); ++i) asked.insert(directory.NextToAsk());
+  for (std::size_t i = 0; i < directory.size(); ++i) asked.insert(directory.NextNode());
   EXPECT_EQ(asked, (std::set<std::string>{"m1", "m2", "s1", "s2"}));
 }
 
-TEST(MemberDirectory, ALeaderCountsForAWhile) {
+TEST(MemberDirectory, ALeaderExpires) {
   MemberDirectory directory({"s1"});
   EXPECT_FALSE(directory.Leader(milliseconds(0)));
-  directory.Take(milliseconds(100), {{"m1"}, "m1"});
-  EXPECT_EQ(directory.Leader(milliseconds(100) + MemberDirectory::kLeaderKnownFor), "m1");
-  EXPECT_FALSE(directory.Leader(milliseconds(101) + MemberDirectory::kLeaderKnownFor));
+  directory.Update(milliseconds(100), {{"m1"}, "m1"});
+  EXPECT_EQ(directory.Leader(milliseconds(100) + MemberDirectory::kLeaderTtl), "m1");
+  EXPECT_FALSE(directory.Leader(milliseconds(101) + MemberDirectory::kLeaderTtl));
 }
 
-// Another gateway that has just started knows nothing: what is known here stays.
-TEST(MemberDirectory, WhoKnowsNothingTeachesNothing) {
+// An empty report, as from a gateway that has just started, must not clear the known members.
+TEST(MemberDirectory, AnEmptyReportChangesNothing) {
   MemberDirectory directory({"s1"});
-  directory.Take(milliseconds(0), {{"m1"}, "m1"});
-  directory.Take(milliseconds(1), {{}, ""});
+  directory.Update(milliseconds(0), {{"m1"}, "m1"});
+  directory.Update(milliseconds(1), {{}, ""});
   EXPECT_EQ(directory.Leader(milliseconds(1)), "m1");
   EXPECT_EQ(directory.members(), std::vector<std::string>{"m1"});
-  EXPECT_EQ(MemberDirectory({}).NextToAsk(), "");
+  EXPECT_EQ(MemberDirectory({}).NextNode(), "");
 }
 
-TEST(MemberDirectory, ReportsAreReadAsMembersWriteThem) {
+TEST(MemberDirectory, ParsesTheReportsOfMembers) {
   const auto report = ParseMembersReport(R"({"members":["a","b"],"next_members":[],"leader":"b","epoch":3})");
   ASSERT_TRUE(report);
   EXPECT_EQ(report->members, (std::vector<std::string>{"a", "b"}));
