--- a/src/configuration/configuration.h
+++ b/src/configuration/configuration.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The operator's configuration as typed values: routes, services, limits. Immutable once parsed. No I/O.
+// The operator's configuration as typed values: routes, services and limits. Immutable once parsed. Performs
+// no I/O.
 #ifndef KESTRELLINE_CONFIGURATION_CONFIGURATION_H_
 #define KESTRELLINE_CONFIGURATION_CONFIGURATION_H_
 
@@ -16,7 +17,7 @@
 
 using Milliseconds = std::chrono::milliseconds;
 
-// What may be done twice with a request of the route.
+// Determines whether a request of the route may be retried; see Route::Idempotent.
 enum class RouteType { kSafe, kUnsafe, kStreaming };
 
 struct WeightedService {
@@ -38,11 +39,11 @@
   bool resumable = false;
   Milliseconds gap_aim{0};
 
-  // Whether a try may run more than once.
+  // Whether an attempt may run more than once.
   bool Idempotent() const { return type == RouteType::kSafe || (type == RouteType::kStreaming && resumable); }
 };
 
-// The engine of a model service; absent elsewhere.
+// Properties of the inference engine behind a model service. Other services have none.
 struct Engine {
   int slots = 1;
   std::int64_t kv_cache_tokens = 0;
@@ -55,11 +56,11 @@
 struct Service {
   std::string name;
   std::string health_path;
-  int max_connections = 0;  // a backend's, from all proxies together; 0: not limited
+  int max_connections = 0;  // per backend, summed over all proxies; 0 means unlimited
   std::optional<Engine> engine;
 };
 
-// What clients may send and how long they may take.
+// Size limits and timeouts for client requests.
 struct Limits {
   std::size_t max_header_bytes = 16384;
   std::size_t max_body_bytes = 4194304;
@@ -73,17 +74,18 @@
   std::vector<Service> services;
   Limits limits;
 
+  // Returns null if there is no service of that name.
   const Service* FindService(std::string_view name) const;
 };
 using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
-// Either a configuration or what is wrong with the text, for the operator to read.
+// Either a configuration or a message that tells the operator why the text was rejected.
 struct ParseResult {
   ConfigurationPtr configuration;
   std::string error;
 };
 
-// Reads and checks a whole configuration.
+// Parses and validates a complete configuration in JSON.
 ParseResult Parse(std::string_view text);
 
 }  // namespace kestrelline::configuration
--- a/src/configuration/lower_case.h
+++ b/src/configuration/lower_case.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Hosts are compared in lower case. No I/O.
+// ASCII lower-casing. Host names are compared in lower case.
 #ifndef KESTRELLINE_CONFIGURATION_LOWER_CASE_H_
 #define KESTRELLINE_CONFIGURATION_LOWER_CASE_H_
 
--- a/src/configuration/patch.cpp
+++ b/src/configuration/patch.cpp
@@ -16,6 +16,7 @@
 
 using Names = std::set<std::string, std::less<>>;
 
+// The location of a list item in error messages: "list[index]".
 std::string ItemOf(const std::string& list, std::size_t index) {
   std::string text = list;
   text += '[';
@@ -24,24 +25,24 @@
   return text;
 }
 
-// The name of an item of a list; `where` is the list, for messages.
+// Returns the name of a list item. `where` is the location of the list, for error messages.
 std::string NameOf(const json_t* item, const std::string& where, std::size_t index) {
   const json_t* name = json_object_get(item, "name");
   if (json_is_string(name)) return json_string_value(name);
-  throw Invalid(ItemOf(where, index) + " has no name");
+  throw ValidationError(ItemOf(where, index) + " has no name");
 }
 
-// Calls `visit(key, list)` for each list of the section `key`, which may be absent.
+// Calls `visit(key, location, list)` for each list in `section`, which may be absent.
 template <typename Visit>
 void ForEachList(const json_t* root, const char* section, Visit visit) {
   json_t* lists = json_object_get(root, section);
   if (lists == nullptr || json_is_null(lists)) return;
-  if (!json_is_object(lists)) throw Invalid(std::string(section) + " is no object");
+  if (!json_is_object(lists)) throw ValidationError(std::string(section) + " is no object");
   const char* key = nullptr;
   json_t* list = nullptr;
   json_object_foreach(lists, key, list) {
     const std::string where = std::string(section) + "." + key;
-    if (!json_is_array(list)) throw Invalid(where + " is no list");
+    if (!json_is_array(list)) throw ValidationError(where + " is no list");
     visit(key, where, list);
   }
 }
@@ -51,7 +52,7 @@
   std::size_t index = 0;
   const json_t* name = nullptr;
   json_array_foreach(list, index, name) {
-    if (!json_is_string(name)) throw Invalid(ItemOf(where, index) + " is no name");
+    if (!json_is_string(name)) throw ValidationError(ItemOf(where, index) + " is no name");
     names.insert(json_string_value(name));
   }
   return names;
@@ -64,24 +65,24 @@
   json_array_foreach(list, index, item) {
     const std::string name = NameOf(item, where, index);
     if (names.insert(name).second) continue;
-    throw Invalid(std::string(where).append(" names an item twice: ").append(name));
+    throw ValidationError(std::string(where).append(" names an item twice: ").append(name));
   }
   return names;
 }
 
 void CheckForm(const json_t* root) {
-  if (!json_is_object(root)) throw Invalid("the patch is no object");
+  if (!json_is_object(root)) throw ValidationError("the patch is no object");
   const char* key = nullptr;
   const json_t* value = nullptr;
   json_object_foreach(const_cast<json_t*>(root), key, value) {
     const std::string_view name = key;
     if (name != "version" && name != "upsert" && name != "remove") {
-      throw Invalid("a patch has no " + std::string(name));
+      throw ValidationError("a patch has no " + std::string(name));
     }
   }
   const json_t* version = json_object_get(root, "version");
   if (!json_is_integer(version) || json_integer_value(version) < 1) {
-    throw Invalid("version is no whole number above 0");
+    throw ValidationError("version is no whole number above 0");
   }
   ForEachList(root, "remove",
               [](const char*, const std::string& where, json_t* list) { NamesToRemove(list, where); });
@@ -89,14 +90,14 @@
               [](const char*, const std::string& where, json_t* list) { NamesOfItems(list, where); });
 }
 
-// The list of that key; an empty one is made where there is none.
+// Returns the list under `key`, adding an empty one if there is none.
 json_t* ListOf(json_t* configuration, const char* key) {
   json_t* list = json_object_get(configuration, key);
   if (list == nullptr) {
     json_object_set_new(configuration, key, json_array());
     list = json_object_get(configuration, key);
   }
-  if (!json_is_array(list)) throw Invalid(std::string("the configuration's ") + key + " are no list");
+  if (!json_is_array(list)) throw ValidationError(std::string("the configuration's ") + key + " are no list");
   return list;
 }
 
@@ -111,7 +112,7 @@
   }
 }
 
-// Items that are there keep their place; new ones follow.
+// Replaced items keep their position; new items are appended.
 void Upsert(json_t* list, json_t* items, const std::string& where) {
   std::map<std::string, std::size_t, std::less<>> places;
   for (std::size_t index = 0; index < json_array_size(list); ++index) {
@@ -137,7 +138,7 @@
   return text ? text.get() : std::string();
 }
 
-// Replaces the items of the same name, adds the others.
+// Replaces items with the same name and appends the others.
 template <typename Item>
 void UpsertTyped(std::vector<Item>& items, std::vector<Item> changed) {
   std::map<std::string, std::size_t, std::less<>> places;
@@ -169,7 +170,7 @@
   });
 }
 
-// Items by name; nothing where one has no name or shares it.
+// Indexes items by name. Returns nullopt if an item has no name or the name is not unique.
 std::optional<std::map<std::string, json_t*>> ItemsByName(const json_t* list) {
   std::map<std::string, json_t*> items;
   std::size_t index = 0;
@@ -181,29 +182,30 @@
   return items;
 }
 
-// Adds to `upsert` and `remove` what leads from the one list to the other; false if that can't be told.
+// Adds the changes that turn list `from` into list `to` to `upsert` and `remove`. Returns false if items
+// cannot be told apart by name.
 bool DiffList(const char* key, const json_t* from, const json_t* to, json_t* upsert, json_t* remove) {
   const auto before = ItemsByName(from);
   const auto after = ItemsByName(to);
   if (!before || !after) return false;
   json_t* changed = json_array();
-  json_t* gone = json_array();
+  json_t* removed = json_array();
   for (const auto& [name, item] : *after) {
     const auto old = before->find(name);
     if (old == before->end() || !json_equal(old->second, item)) json_array_append(changed, item);
   }
   for (const auto& [name, item] : *before) {
-    if (!after->contains(name)) json_array_append_new(gone, json_string(name.c_str()));
+    if (!after->contains(name)) json_array_append_new(removed, json_string(name.c_str()));
   }
   json_object_set_new(upsert, key, changed);
-  json_object_set_new(remove, key, gone);
+  json_object_set_new(remove, key, removed);
   return true;
 }
 
 constexpr const char* kRoutes = "routes";
 constexpr const char* kServices = "services";
 
-// Whether all but the version and the lists of named items is the same.
+// Whether the documents are equal apart from the version and the lists of named items.
 bool RestIsEqual(json_t* from, json_t* to) {
   const json::Owned first(json_copy(from));
   const json::Owned second(json_copy(to));
@@ -221,7 +223,7 @@
   if (!root) return {std::nullopt, "line " + std::to_string(error.line) + ": " + error.text};
   try {
     CheckForm(root.get());
-  } catch (const Invalid& invalid) {
+  } catch (const ValidationError& invalid) {
     return {std::nullopt, invalid.what()};
   }
   const auto version = static_cast<std::uint64_t>(json_integer_value(json_object_get(root.get(), "version")));
@@ -238,7 +240,7 @@
     ForEachList(root_.get(), "upsert", [&](const char* key, const std::string& where, json_t* list) {
       Upsert(ListOf(next.get(), key), list, where);
     });
-  } catch (const Invalid& invalid) {
+  } catch (const ValidationError& invalid) {
     return {"", invalid.what()};
   }
   json_object_set_new(next.get(), "version", json_integer(static_cast<json_int_t>(version_)));
@@ -254,8 +256,8 @@
   try {
     ApplyTyped(root_.get(), kServices, next->services, ReadService);
     ApplyTyped(root_.get(), kRoutes, next->routes, ReadRoute);
-    CheckWhole(*next);
-  } catch (const Invalid& invalid) {
+    CheckConsistency(*next);
+  } catch (const ValidationError& invalid) {
     return {nullptr, invalid.what()};
   }
   return {std::move(next), ""};
--- a/src/configuration/patch.h
+++ b/src/configuration/patch.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A change of named items of the configuration: items to add or to replace, and names to remove. Applied to
-// the text of a configuration it gives the text of the next one, checked as a whole. No I/O.
+// An incremental change to the configuration: named items to add or replace, and names of items to remove.
+// Applying it to the text of a configuration yields the text of the next one, which is validated as a whole.
+// Performs no I/O.
 #ifndef KESTRELLINE_CONFIGURATION_PATCH_H_
 #define KESTRELLINE_CONFIGURATION_PATCH_H_
 
@@ -16,7 +17,7 @@
 
 namespace kestrelline::configuration {
 
-// Either the next configuration or what is wrong, for the operator to read.
+// Either the text of the next configuration or a message that tells the operator what is wrong.
 struct PatchedText {
   std::string text;
   std::string error;
@@ -25,14 +26,14 @@
 class Patch {
  public:
   struct Result;
-  // Reads and checks the form of a patch; what it makes of a configuration is checked by ApplyTo.
+  // Parses a patch and validates its structure. ApplyTo validates the resulting configuration.
   static Result Parse(std::string_view text);
 
   std::uint64_t version() const { return version_; }
-  // Removes first, then adds: an item that is named in both is replaced. A name to remove that is not there
-  // changes nothing.
+  // Removals are applied before additions, so an item named in both is replaced. Removing a name that does
+  // not exist has no effect.
   PatchedText ApplyTo(std::string_view configuration) const;
-  // The same of a configuration that is read already; its text is not made.
+  // The same for a parsed configuration, without producing its text.
   ParseResult ApplyTo(const Configuration& configuration) const;
 
  private:
@@ -42,14 +43,14 @@
   std::uint64_t version_;
 };
 
-// Either a patch or what is wrong with the text.
+// Either a patch or a message that says why the text was rejected.
 struct Patch::Result {
   std::optional<Patch> patch;
   std::string error;
 };
 
-// The patch that makes `to` of `from`, but for the order of items. Nothing where more than named items
-// differs or their names don't tell them apart.
+// Returns the text of the patch that turns `from` into `to`, ignoring the order of items. Returns nullopt if
+// anything but the version and the named items differs, or if names are missing or not unique.
 std::optional<std::string> PatchBetween(std::string_view from, std::string_view to);
 
 }  // namespace kestrelline::configuration
--- a/src/configuration/read_items.h
+++ b/src/configuration/read_items.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Items of a configuration read from JSON, and the checks of a whole one. For this library's own files.
+// Reads configuration items from JSON and validates complete configurations. Internal to this library.
 #ifndef KESTRELLINE_CONFIGURATION_READ_ITEMS_H_
 #define KESTRELLINE_CONFIGURATION_READ_ITEMS_H_
 
@@ -13,16 +13,17 @@
 
 namespace kestrelline::configuration {
 
-// What is wrong with a configuration or a patch; never leaves this library.
-struct Invalid : std::runtime_error {
+// Describes why a configuration or a patch is invalid. Never propagates out of this library.
+struct ValidationError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// `where` is the item's place, for messages.
+// `where` is the location of the item in the document, for error messages. Both throw ValidationError.
 Route ReadRoute(const json_t* item, const std::string& where);
 Service ReadService(const json_t* item, const std::string& where);
-// What holds between items: services are known, no two routes stand at the same place.
-void CheckWhole(const Configuration& configuration);
+// Checks constraints across items: routes refer to known services, and no two routes share a host and a path
+// prefix. Throws ValidationError.
+void CheckConsistency(const Configuration& configuration);
 
 }  // namespace kestrelline::configuration
 
--- a/src/configuration/route_table.cpp
+++ b/src/configuration/route_table.cpp
@@ -22,23 +22,24 @@
 }
 
 const Route* RouteTable::Find(std::string_view host, std::string_view target) const {
-  const auto found = by_host_.find(HostName(host));
-  if (found == by_host_.end()) return nullptr;
+  const auto host_routes = by_host_.find(HostName(host));
+  if (host_routes == by_host_.end()) return nullptr;
   const std::string_view path = target.substr(0, target.find('?'));
-  for (const Route* route : found->second) {
+  for (const Route* route : host_routes->second) {
     if (path.starts_with(route->path_prefix)) return route;
   }
   return nullptr;
 }
 
-const WeightedService& RouteTable::Choose(const Route& route, double draw) {
-  std::uint64_t sum = 0;
-  for (const WeightedService& service : route.services) sum += service.weight;
-  double place = draw * static_cast<double>(sum);
+const WeightedService& RouteTable::Choose(const Route& route, double random_unit) {
+  std::uint64_t total_weight = 0;
+  for (const WeightedService& service : route.services) total_weight += service.weight;
+  double remaining = random_unit * static_cast<double>(total_weight);
   for (const WeightedService& service : route.services) {
-    place -= static_cast<double>(service.weight);
-    if (place < 0 && service.weight > 0) return service;
+    remaining -= static_cast<double>(service.weight);
+    if (remaining < 0 && service.weight > 0) return service;
   }
+  // Rounding may leave a remainder: fall back to the last service with a weight.
   return *std::find_if(route.services.rbegin(), route.services.rend(),
                        [](const WeightedService& service) { return service.weight > 0; });
 }
--- a/src/configuration/route_table.h
+++ b/src/configuration/route_table.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Looks a request's route up by host and path. Immutable; keeps its configuration alive. No I/O.
+// Looks up the route of a request by host and path. Immutable; keeps its configuration alive. Performs no
+// I/O.
 #ifndef KESTRELLINE_CONFIGURATION_ROUTE_TABLE_H_
 #define KESTRELLINE_CONFIGURATION_ROUTE_TABLE_H_
 
@@ -18,12 +19,12 @@
  public:
   explicit RouteTable(ConfigurationPtr configuration);
 
-  // The route with the longest prefix of `target` (query not counted) at `host` (a port is not counted, nor
-  // case); null if there is none.
+  // Returns the route of `host` with the longest path prefix that matches `target`, or null if there is none.
+  // Ignores the query of the target, and the port and case of the host.
   const Route* Find(std::string_view host, std::string_view target) const;
 
-  // The service of `route` for a request whose place in the split is `draw` (0 <= draw < 1).
-  static const WeightedService& Choose(const Route& route, double draw);
+  // Selects a service of `route` by weight. `random_unit` is a uniform random number from 0 up to 1.
+  static const WeightedService& Choose(const Route& route, double random_unit);
 
   const Configuration& configuration() const { return *configuration_; }
 
@@ -34,7 +35,7 @@
   };
 
   ConfigurationPtr configuration_;
-  // Of each host, the longest prefixes first.
+  // Routes of each host, longest path prefix first.
   std::unordered_map<std::string, std::vector<const Route*>, TextHash, std::equal_to<>> by_host_;
 };
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
--- a/src/discovery/list_reader.cpp
+++ b/src/discovery/list_reader.cpp
@@ -11,8 +11,8 @@
 
 using namespace http;
 
-constexpr milliseconds kConnectPatience{500};
-constexpr milliseconds kAnswerPatience{1000};
+constexpr milliseconds kConnectTimeout{500};
+constexpr milliseconds kResponseTimeout{1000};
 
 }  // namespace
 
@@ -22,7 +22,7 @@
 Awaitable<bool> ListReader::Connect() {
   buffer_.clear();
   stream_ = std::make_unique<beast::tcp_stream>(io_);
-  co_return !co_await http::Connect(*stream_, platform_, steady_clock::now() + kConnectPatience);
+  co_return !co_await http::Connect(*stream_, platform_, steady_clock::now() + kConnectTimeout);
 }
 
 Awaitable<std::optional<std::string>> ListReader::Get(std::string target) {
@@ -32,10 +32,10 @@
   }
   bhttp::request<bhttp::empty_body> request(bhttp::verb::get, target, 11);
   request.set(bhttp::field::host, platform_.ip + ":" + std::to_string(platform_.port));
-  stream_->expires_after(kAnswerPatience);
+  stream_->expires_after(kResponseTimeout);
   const auto [write_error, written] = co_await bhttp::async_write(*stream_, request, kTuple);
   bhttp::response_parser<bhttp::string_body> parser;
-  parser.body_limit(kLongestPage);
+  parser.body_limit(kMaxPageBytes);
   if (!write_error) {
     const auto [read_error, read] = co_await bhttp::async_read(*stream_, buffer_, parser, kTuple);
     if (!read_error) {
@@ -51,12 +51,13 @@
 Awaitable<std::optional<std::vector<wire::Instance>>> ListReader::Read() {
   std::vector<wire::Instance> instances;
   std::string token;
-  for (int page_number = 0; page_number < kMostPages; ++page_number) {
+  for (int page_number = 0; page_number < kMaxPages; ++page_number) {
     std::string target = "/instances";
     if (!token.empty()) target += "?page_token=" + token;
-    const bool kept = stream_ != nullptr;
+    const bool reused = stream_ != nullptr;
     auto body = co_await Get(target);
-    if (!body && kept && !stream_) body = co_await Get(target);  // the platform had closed the connection
+    // A reused connection may have been closed by the platform in the meantime: try once more on a new one.
+    if (!body && reused && !stream_) body = co_await Get(target);
     if (!body) co_return std::nullopt;
     auto page = ParsePage(*body);
     if (!page) co_return std::nullopt;
--- a/src/discovery/list_reader.h
+++ b/src/discovery/list_reader.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Reads the platform's whole list of backends, page by page, on a connection that is kept.
+// Reads the complete backend list of the platform, page by page, over a persistent connection.
 #ifndef KESTRELLINE_DISCOVERY_LIST_READER_H_
 #define KESTRELLINE_DISCOVERY_LIST_READER_H_
 
@@ -17,16 +17,17 @@
 
 class ListReader {
  public:
-  static constexpr int kMostPages = 200;
-  static constexpr std::size_t kLongestPage = 4 * 1024 * 1024;
+  static constexpr int kMaxPages = 200;
+  static constexpr std::size_t kMaxPageBytes = 4 * 1024 * 1024;
 
   ListReader(http::asio::io_context& io, node::Endpoint platform);
 
-  // Nothing if the platform did not answer in time, or refused.
+  // Returns nullopt if the platform does not answer in time, refuses, or sends an invalid or too long list.
   http::Awaitable<std::optional<std::vector<wire::Instance>>> Read();
 
  private:
   http::Awaitable<bool> Connect();
+  // Returns the body of a 200 response; nullopt otherwise. Keeps stream_ open if it can be reused.
   http::Awaitable<std::optional<std::string>> Get(std::string target);
 
   http::asio::io_context& io_;
--- a/src/discovery/page.cpp
+++ b/src/discovery/page.cpp
@@ -6,12 +6,14 @@
 namespace kestrelline::discovery {
 namespace {
 
+// Empty if the value is missing or not a string.
 std::string Text(const json_t* object, const char* key) {
   const json_t* value = json_object_get(object, key);
   return json_is_string(value) ? std::string(json_string_value(value), json_string_length(value))
                                : std::string();
 }
 
+// 0 if the value is missing, not a number or negative.
 std::uint32_t Number(const json_t* object, const char* key) {
   const json_t* value = json_object_get(object, key);
   return json_is_number(value) && json_number_value(value) > 0
--- a/src/discovery/page.h
+++ b/src/discovery/page.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A page of the platform's list of backends. No I/O.
+// Parses a page of the backend list of the platform. Performs no I/O.
 #ifndef KESTRELLINE_DISCOVERY_PAGE_H_
 #define KESTRELLINE_DISCOVERY_PAGE_H_
 
@@ -18,7 +18,7 @@
   std::string next_token;  // empty on the last page
 };
 
-// Nothing if the text is no page; entries that lack an id, a service or an address are left out.
+// Returns nullopt if the text is not a page. Skips entries that lack an id, a service or an address.
 std::optional<Page> ParsePage(std::string_view text);
 
 }  // namespace kestrelline::discovery
--- a/src/distribution/configuration_history.cpp
+++ b/src/distribution/configuration_history.cpp
@@ -13,7 +13,7 @@
 }
 
 std::optional<std::vector<std::string>> ConfigurationHistory::Since(std::uint64_t version,
-                                                                    std::size_t most_bytes) const {
+                                                                    std::size_t max_bytes) const {
   const auto first = std::find_if(steps_.begin(), steps_.end(),
                                   [version](const Step& step) { return step.from == version; });
   if (first == steps_.end()) return std::nullopt;
@@ -21,7 +21,7 @@
   std::size_t bytes = 0;
   for (auto step = first; step != steps_.end(); ++step) {
     bytes += step->patch.size();
-    if (bytes > most_bytes) return std::nullopt;
+    if (bytes > max_bytes) return std::nullopt;
     patches.push_back(step->patch);
   }
   return patches;
--- a/src/distribution/configuration_history.h
+++ b/src/distribution/configuration_history.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The changes of the configuration of late, so that a receiver that has one of its versions is told only what
-// changed since. No I/O, no clock.
+// Keeps the most recent configuration patches, so that a receiver with a recent version is sent only the
+// changes since then. Performs no I/O and reads no clock.
 #ifndef KESTRELLINE_DISTRIBUTION_CONFIGURATION_HISTORY_H_
 #define KESTRELLINE_DISTRIBUTION_CONFIGURATION_HISTORY_H_
 
@@ -18,14 +18,14 @@
  public:
   static constexpr std::size_t kMostSteps = 32;
 
-  // The newest version is `to`, and `patch` leads to it from `from`. A step that does not follow the last one
-  // begins the history anew.
+  // Records `patch`, which turns version `from` into the newest version `to`. Discards the history if `from`
+  // is not the version that was newest before.
   void Add(std::uint64_t from, std::uint64_t to, std::string patch);
-  // Nothing leads to the newest version.
+  // Discards the history, for a new version that no patch leads to.
   void Clear() { steps_.clear(); }
-  // The patches that lead from that version to the newest one, in order; nothing if it is not here or they
-  // come to more than `most_bytes`.
-  std::optional<std::vector<std::string>> Since(std::uint64_t version, std::size_t most_bytes) const;
+  // Returns the patches that lead from `version` to the newest version, in order. Returns nullopt if
+  // `version` is not in the history or the patches exceed `max_bytes` in total.
+  std::optional<std::vector<std::string>> Since(std::uint64_t version, std::size_t max_bytes) const;
 
  private:
   struct Step {
@@ -33,7 +33,7 @@
     std::uint64_t to = 0;
     std::string patch;
   };
-  std::deque<Step> steps_;  // each begins where the one before it ends
+  std::deque<Step> steps_;  // contiguous: each `from` equals the preceding `to`
 };
 
 }  // namespace kestrelline::distribution
--- a/src/distribution/list_history.cpp
+++ b/src/distribution/list_history.cpp
@@ -12,16 +12,16 @@
 void ListHistory::Add(wire::InstanceListPtr list) {
   if (!lists_.empty() && list->revision <= lists_.back()->revision) lists_.clear();
   lists_.push_back(std::move(list));
-  if (lists_.size() > kMost) lists_.pop_front();
+  if (lists_.size() > kMaxLists) lists_.pop_front();
 }
 
 std::optional<wire::ListChanges> ListHistory::Since(std::uint64_t revision) const {
   const auto same_revision = [revision](const auto& list) { return list->revision == revision; };
-  const auto found = std::find_if(lists_.begin(), lists_.end(), same_revision);
-  if (found == lists_.end()) return std::nullopt;
+  const auto base = std::find_if(lists_.begin(), lists_.end(), same_revision);
+  if (base == lists_.end()) return std::nullopt;
   const wire::InstanceList& newest = *lists_.back();
   std::unordered_map<std::string_view, const wire::Instance*> before;
-  for (const wire::Instance& instance : (*found)->instances) before[instance.id] = &instance;
+  for (const wire::Instance& instance : (*base)->instances) before[instance.id] = &instance;
   wire::ListChanges changes;
   changes.base = revision;
   changes.revision = newest.revision;
@@ -43,9 +43,9 @@
   list.revision = changes.revision;
   for (const wire::Instance& instance : base.instances) {
     if (removed.contains(instance.id)) continue;
-    const auto now = changed.find(instance.id);
-    list.instances.push_back(now == changed.end() ? instance : *now->second);
-    if (now != changed.end()) changed.erase(now);
+    const auto update = changed.find(instance.id);
+    list.instances.push_back(update == changed.end() ? instance : *update->second);
+    if (update != changed.end()) changed.erase(update);
   }
   for (const wire::Instance& instance : changes.changed) {
     if (changed.contains(instance.id)) list.instances.push_back(instance);
--- a/src/distribution/list_history.h
+++ b/src/distribution/list_history.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The lists of backends of late, so that a receiver that has one of them is told only what changed since; and
-// how it comes to the new list from that. No I/O, no clock.
+// Keeps the most recent backend lists, so that a receiver that has one of them is sent only the changes since
+// then, and applies such changes on the receiving side. Performs no I/O and reads no clock.
 #ifndef KESTRELLINE_DISTRIBUTION_LIST_HISTORY_H_
 #define KESTRELLINE_DISTRIBUTION_LIST_HISTORY_H_
 
@@ -16,21 +16,22 @@
 
 class ListHistory {
  public:
-  static constexpr std::size_t kMost = 16;  // lists; unchanged backends are not shared among them
+  // Number of lists kept. Each holds a full copy: unchanged backends are not shared between lists.
+  static constexpr std::size_t kMaxLists = 16;
 
-  // The newest list. One whose revision is not newer than the last one's begins the history anew.
+  // Records the newest list. Discards the history if its revision is not higher than the last one.
   void Add(wire::InstanceListPtr list);
-  // Null before the first.
+  // Null if no list has been added.
   wire::InstanceListPtr newest() const { return lists_.empty() ? nullptr : lists_.back(); }
-  // From the list of that revision to the newest one; nothing if that list is not here, or the changes are no
-  // shorter than the list.
+  // Returns the changes from the list of that revision to the newest one. Returns nullopt if that list is not
+  // in the history, or if the changes have at least as many entries as the newest list.
   std::optional<wire::ListChanges> Since(std::uint64_t revision) const;
 
  private:
-  std::deque<wire::InstanceListPtr> lists_;  // revisions rise
+  std::deque<wire::InstanceListPtr> lists_;  // in ascending order of revision
 };
 
-// `changes.base` must be the revision of `base`.
+// Applies `changes` to `base`. `changes.base` must be the revision of `base`.
 wire::InstanceListPtr Apply(const wire::InstanceList& base, const wire::ListChanges& changes);
 
 }  // namespace kestrelline::distribution
--- a/src/distribution/load_board.cpp
+++ b/src/distribution/load_board.cpp
@@ -5,31 +5,31 @@
 
 namespace kestrelline::distribution {
 
-LoadBoard::Report* LoadBoard::EntryOf(Reports& reports, const std::string& from) {
-  if (!reports.contains(from) && reports.size() >= kMostReporters) return nullptr;
+LoadBoard::Report* LoadBoard::FindOrAdd(Reports& reports, const std::string& from) {
+  if (!reports.contains(from) && reports.size() >= kMaxReporters) return nullptr;
   return &reports[from];
 }
 
 void LoadBoard::ReportFromProxy(Time now, const std::string& proxy, wire::LoadReport report) {
-  if (Report* entry = EntryOf(proxies_, proxy)) *entry = {now, std::move(report), {}};
+  if (Report* entry = FindOrAdd(proxies_, proxy)) *entry = {now, std::move(report), {}};
 }
 
 void LoadBoard::ReportFromMember(Time now, const std::string& member, wire::LoadReport report) {
-  if (Report* entry = EntryOf(members_, member)) *entry = {now, std::move(report), {}};
+  if (Report* entry = FindOrAdd(members_, member)) *entry = {now, std::move(report), {}};
 }
 
 void LoadBoard::ChangesFromMember(Time now, const std::string& member, const wire::LoadChanges& changes) {
-  Report* entry = EntryOf(members_, member);
+  Report* entry = FindOrAdd(members_, member);
   if (entry == nullptr) return;
-  for (const wire::BackendLoad& load : changes.loads) entry->told[load.backend] = {now, load};
-  std::erase_if(entry->told, [now](const auto& told) {
-    return told.second.load.idle() || now - told.second.at > kForgetLoadAfter;
+  for (const wire::BackendLoad& load : changes.loads) entry->incremental[load.backend] = {now, load};
+  std::erase_if(entry->incremental, [now](const auto& item) {
+    return item.second.load.idle() || now - item.second.at > kForgetLoadAfter;
   });
   entry->at = now;
   entry->report.proxies = changes.proxies;
   if (!changes.demands.empty()) entry->report.demands = changes.demands;
   entry->report.loads.clear();
-  for (const auto& [backend, told] : entry->told) entry->report.loads.push_back(told.load);
+  for (const auto& [backend, timed] : entry->incremental) entry->report.loads.push_back(timed.load);
 }
 
 void LoadBoard::Forget(Time now) {
--- a/src/distribution/load_board.h
+++ b/src/distribution/load_board.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Adds up the work that proxies have sent to backends, so that each proxy can go by what all of them sent. No
-// I/O, no clock.
+// Aggregates the backend load that proxies report, so that each proxy can balance by the work that all
+// proxies have sent. Performs no I/O and reads no clock.
 #ifndef KESTRELLINE_DISTRIBUTION_LOAD_BOARD_H_
 #define KESTRELLINE_DISTRIBUTION_LOAD_BOARD_H_
 
@@ -17,37 +17,41 @@
 class LoadBoard {
  public:
   using Time = std::chrono::milliseconds;
-  static constexpr Time kForgetAfter{1500};  // of a reporter that is silent
-  // A load that a member told by changes and has not told again: the word of its end was lost.
+  static constexpr Time kForgetAfter{1500};  // timeout of a reporter that sends nothing
+  // Timeout of a single load that a member reported incrementally and has not repeated since: the message
+  // that ended it was lost.
   static constexpr Time kForgetLoadAfter{10000};
-  static constexpr std::size_t kMostReporters = 1024;
+  static constexpr std::size_t kMaxReporters = 1024;
 
   void ReportFromProxy(Time now, const std::string& proxy, wire::LoadReport report);
   void ReportFromMember(Time now, const std::string& member, wire::LoadReport report);
-  // What changed since that member's last report or changes.
+  // Applies changes since the last report or the last changes of that member.
   void ChangesFromMember(Time now, const std::string& member, const wire::LoadChanges& changes);
+  // Drops the reporters that have timed out.
   void Forget(Time now);
 
   std::uint32_t ProxiesHere() const;
-  // Of the proxies that report here.
+  // Sum over the proxies that report to this process.
   wire::LoadReport Here() const { return Sum({&proxies_}); }
-  // Of all proxies.
+  // Sum over all proxies, including those that report to other members.
   wire::LoadReport Everywhere() const { return Sum({&proxies_, &members_}); }
 
  private:
-  // A load that came by changes, and when.
-  struct ToldLoad {
+  // A load that was reported incrementally, with the time of receipt.
+  struct TimedLoad {
     Time at{0};
     wire::BackendLoad load;
   };
   struct Report {
     Time at{0};
     wire::LoadReport report;
-    std::map<std::uint64_t, ToldLoad> told;  // of a member that tells changes: the loads of `report`
+    // Loads by backend, from which `report.loads` is rebuilt. Used only for members that report
+    // incrementally.
+    std::map<std::uint64_t, TimedLoad> incremental;
   };
   using Reports = std::map<std::string, Report>;
-  // Null if there is no room for another reporter.
-  static Report* EntryOf(Reports& reports, const std::string& from);
+  // Finds or creates the entry of a reporter. Null if there are kMaxReporters others already.
+  static Report* FindOrAdd(Reports& reports, const std::string& from);
   static wire::LoadReport Sum(const std::vector<const Reports*>& sources);
 
   Reports proxies_;
--- a/src/distribution/load_feed.cpp
+++ b/src/distribution/load_feed.cpp
@@ -7,22 +7,23 @@
 namespace kestrelline::distribution {
 namespace {
 
-// What one more running request costs those beside it, about: one token of each.
+// Approximate cost of one more running request to those beside it: one token of each.
 constexpr double kRunningMs = 40;
+// Factor on the weight of backends near the receivers.
 constexpr double kNearWeight = 4;
-// Changes of reading time up to this are not worth telling.
-constexpr double kLeastReadingMs = 3;
+// Changes of reading time up to this are not sent.
+constexpr double kMinReadingMs = 3;
 
 double Difference(std::uint32_t one, std::uint32_t other) {
   return std::abs(static_cast<double>(one) - static_cast<double>(other));
 }
 
-// 0: not worth telling.
-double WeightOf(const wire::BackendLoad& told, const wire::BackendLoad& now) {
-  const double reading = Difference(told.reading_ms, now.reading_ms);
-  const double running = Difference(told.running, now.running);
-  const bool small = reading <= kLeastReadingMs && running == 0;
-  if (small && told.idle() == now.idle()) return 0;
+// The urgency of an update; 0 if it is too small to be sent.
+double WeightOf(const wire::BackendLoad& sent, const wire::BackendLoad& now) {
+  const double reading = Difference(sent.reading_ms, now.reading_ms);
+  const double running = Difference(sent.running, now.running);
+  const bool small = reading <= kMinReadingMs && running == 0;
+  if (small && sent.idle() == now.idle()) return 0;
   return 1 + reading + kRunningMs * running;
 }
 
@@ -44,31 +45,32 @@
 std::vector<LoadFeed::Change> LoadFeed::Changes(const std::vector<wire::BackendLoad>& loads,
                                                 const BackendSet& near) const {
   std::vector<Change> changes;
-  const auto add = [&](const wire::BackendLoad& told, const wire::BackendLoad& now) {
-    const double weight = WeightOf(told, now);
+  const auto add = [&](const wire::BackendLoad& sent, const wire::BackendLoad& now) {
+    const double weight = WeightOf(sent, now);
     if (weight > 0) changes.push_back({near.contains(now.backend) ? kNearWeight * weight : weight, now});
   };
-  const LoadMirror::Loads& all_told = told_.loads();
-  auto told = all_told.begin();
+  // Both sequences are in order of backends. A backend that is missing in `loads` has become idle.
+  const LoadMirror::Loads& all_sent = sent_.loads();
+  auto sent = all_sent.begin();
   for (const wire::BackendLoad& load : loads) {
-    for (; told != all_told.end() && told->first < load.backend; ++told)
-      add(told->second, {told->first, 0, 0});
-    const bool known = told != all_told.end() && told->first == load.backend;
-    add(known ? told->second : wire::BackendLoad{load.backend, 0, 0}, load);
-    if (known) ++told;
+    for (; sent != all_sent.end() && sent->first < load.backend; ++sent)
+      add(sent->second, {sent->first, 0, 0});
+    const bool known = sent != all_sent.end() && sent->first == load.backend;
+    add(known ? sent->second : wire::BackendLoad{load.backend, 0, 0}, load);
+    if (known) ++sent;
   }
-  for (; told != all_told.end(); ++told) add(told->second, {told->first, 0, 0});
+  for (; sent != all_sent.end(); ++sent) add(sent->second, {sent->first, 0, 0});
   return changes;
 }
 
 void LoadFeed::AddRepeats(Time now, const std::vector<wire::BackendLoad>& loads,
                           std::vector<wire::BackendLoad>& chosen) {
   if (options_.repeat_within.count() <= 0 || loads.empty()) return;
-  const double all = static_cast<double>(loads.size());
+  const double count = static_cast<double>(loads.size());
   const double share = std::chrono::duration<double>(now - repeats_counted_) /
                        std::chrono::duration<double>(options_.repeat_within);
   repeats_counted_ = now;
-  repeats_due_ = std::min(all, repeats_due_ + all * share);
+  repeats_due_ = std::min(count, repeats_due_ + count * share);
   auto next =
       std::upper_bound(loads.begin(), loads.end(), repeated_,
                        [](std::uint64_t key, const wire::BackendLoad& load) { return key < load.backend; });
@@ -90,7 +92,7 @@
   std::vector<wire::BackendLoad> chosen;
   for (std::size_t i = 0; i < count; ++i) chosen.push_back(changes[i].load);
   AddRepeats(now, loads, chosen);
-  told_.Take(chosen);
+  sent_.Take(chosen);
   if (!chosen.empty()) allowance_ -= kMessageBytes + kLoadBytes * static_cast<double>(chosen.size());
   return chosen;
 }
--- a/src/distribution/load_feed.h
+++ b/src/distribution/load_feed.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Chooses what to tell of the loads of backends, to receivers that are all told the same, within a budget of
-// bytes a second whatever the number of backends: what has changed most goes first, the rest later, as it is
-// by then. No I/O, no clock.
+// Selects the backend load updates to send to a group of receivers, which all get the same messages. Traffic
+// stays within a budget of bytes per second whatever the number of backends: the largest changes are sent
+// first, and the rest later with the values current by then. Performs no I/O and reads no clock.
 #ifndef KESTRELLINE_DISTRIBUTION_LOAD_FEED_H_
 #define KESTRELLINE_DISTRIBUTION_LOAD_FEED_H_
 
@@ -17,32 +17,34 @@
 
 namespace kestrelline::distribution {
 
-using BackendSet = std::unordered_set<std::uint64_t>;  // hashes of ids
+using BackendSet = std::unordered_set<std::uint64_t>;  // hashes of backend ids
 
 class LoadFeed {
  public:
-  using Time = std::chrono::milliseconds;  // of a steady clock
+  using Time = std::chrono::milliseconds;  // on a steady clock
 
-  // A load takes at most this on the wire, with its key and length.
+  // Upper bound on the encoded size of one load, with its key and length.
   static constexpr double kLoadBytes = 18;
+  // Overhead of one message, in bytes.
   static constexpr double kMessageBytes = 40;
 
   struct Options {
     double bytes_per_s = 0;
     double burst_bytes = 0;
-    // Where messages may be lost: all is told again in turn, within this time as far as the budget allows. 0:
-    // no.
+    // For links that may lose messages: every load is repeated in turn within this time, as far as the budget
+    // allows. 0 disables repeats.
     Time repeat_within{0};
   };
 
   explicit LoadFeed(Options options) : options_(options), allowance_(options.burst_bytes) {}
 
-  // What to tell now, from all loads in order of backends. Backends in `near` matter more to the receivers. A
-  // backend that has no work any more comes with a load of 0.
+  // Returns the updates to send now. `loads` holds the current load of every busy backend, in ascending order
+  // of backends. Updates of backends in `near`, which matter more to the receivers, get a higher weight. A
+  // backend that has become idle is sent with a load of 0.
   std::vector<wire::BackendLoad> Next(Time now, const std::vector<wire::BackendLoad>& loads,
                                       const BackendSet& near = {});
-  // All that was told and still holds: for a receiver that was told nothing yet. Not part of the budget.
-  wire::LoadSummary Whole() const { return told_.Whole(); }
+  // The state that up-to-date receivers hold, for a new receiver. Does not count against the budget.
+  wire::LoadSummary Whole() const { return sent_.Whole(); }
 
  private:
   struct Change {
@@ -51,6 +53,7 @@
   };
 
   void Refill(Time now);
+  // Number of loads that the budget admits in a message now.
   std::size_t Room() const;
   std::vector<Change> Changes(const std::vector<wire::BackendLoad>& loads, const BackendSet& near) const;
   void AddRepeats(Time now, const std::vector<wire::BackendLoad>& loads,
@@ -60,10 +63,10 @@
   double allowance_;  // bytes
   Time refilled_{0};
   bool started_ = false;
-  LoadMirror told_;
-  double repeats_due_ = 0;      // loads
-  std::uint64_t repeated_ = 0;  // the last backend whose load was told again
-  Time repeats_counted_{0};
+  LoadMirror sent_;             // the state of the receivers
+  double repeats_due_ = 0;      // number of loads
+  std::uint64_t repeated_ = 0;  // backend of the last repeated load
+  Time repeats_counted_{0};     // when repeats_due_ was last updated
 };
 
 }  // namespace kestrelline::distribution
--- a/src/distribution/load_mirror.h
+++ b/src/distribution/load_mirror.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a receiver holds that was told of the loads of backends: whole for one that comes later. No I/O, no
-// clock.
+// The backend loads that a receiver of updates holds; the sender keeps the same to compute the next updates
+// and a full summary for new receivers. Performs no I/O and reads no clock.
 #ifndef KESTRELLINE_DISTRIBUTION_LOAD_MIRROR_H_
 #define KESTRELLINE_DISTRIBUTION_LOAD_MIRROR_H_
 
@@ -15,11 +15,13 @@
 
 class LoadMirror {
  public:
-  using Loads = std::map<std::uint64_t, wire::BackendLoad>;  // none of them idle
+  using Loads = std::map<std::uint64_t, wire::BackendLoad>;  // by backend; idle backends are left out
 
+  // A whole summary replaces the state; any other updates it.
   void Take(const wire::LoadSummary& summary);
   void Take(const std::vector<wire::BackendLoad>& changes);
   const Loads& loads() const { return loads_; }
+  // The complete state as a summary.
   wire::LoadSummary Whole() const;
 
  private:
--- a/src/distribution/publication.cpp
+++ b/src/distribution/publication.cpp
@@ -7,14 +7,14 @@
 namespace kestrelline::distribution {
 namespace {
 
-// More of patches is no less work for the receiver than the whole.
-constexpr std::size_t kMostPatchBytes = 65536;
+// Beyond this size, applying patches is no less work for the receiver than reading the whole configuration.
+constexpr std::size_t kMaxPatchBytes = 65536;
 
 void AddConfiguration(wire::Publication& publication, const SubscriberState& subscriber,
                       const Published& now) {
   if (!now.configuration) return;
   if (subscriber.takes_configuration_patches && now.configurations) {
-    if (auto patches = now.configurations->Since(subscriber.version, kMostPatchBytes)) {
+    if (auto patches = now.configurations->Since(subscriber.version, kMaxPatchBytes)) {
       publication.configuration_base = subscriber.version;
       publication.configuration_patches = std::move(*patches);
       return;
--- a/src/distribution/publication.h
+++ b/src/distribution/publication.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a process tells those who subscribed to it: the configuration, the list of backends, and how old that
-// knowledge is. No I/O, no clock.
+// Builds the publications that a process sends to its subscribers: the configuration, the backend list and
+// the age of that information. Performs no I/O and reads no clock.
 #ifndef KESTRELLINE_DISTRIBUTION_PUBLICATION_H_
 #define KESTRELLINE_DISTRIBUTION_PUBLICATION_H_
 
@@ -19,22 +19,24 @@
 
 namespace kestrelline::distribution {
 
-// What a publication is made from at one moment.
+// A snapshot of what there is to publish.
 struct Published {
-  std::uint64_t version = 0;  // 0: there is no configuration yet
-  // Its text, as the operator sent it or equal to that; made only where a subscriber lacks it.
+  std::uint64_t version = 0;  // of the configuration; 0 if there is none yet
+  // Returns the text of the configuration, as the operator sent it or equivalent. Called only if a subscriber
+  // needs the text.
   std::function<std::shared_ptr<const std::string>()> configuration;
-  const ConfigurationHistory* configurations = nullptr;  // that end with `version`; null: there is none
-  std::optional<std::chrono::milliseconds> age;  // since it was known to be the newest; nothing if never
+  const ConfigurationHistory* configurations = nullptr;  // ends with `version`; may be null
+  // Time since the configuration was last confirmed to be the newest; nullopt if it never was.
+  std::optional<std::chrono::milliseconds> age;
   wire::InstanceListPtr instances;
-  const ListHistory* lists = nullptr;  // that end with `instances`; null: there is none
+  const ListHistory* lists = nullptr;  // ends with `instances`; may be null
   std::chrono::milliseconds instances_age{0};
   std::uint32_t proxies = 0;
   std::vector<std::string> control_peers;
-  std::uint32_t hops = 0;  // from a member of the control plane
+  std::uint32_t hops = 0;  // distance from a control plane member
 };
 
-// What a subscriber has already, and the newest probe that came from it (0: none).
+// What a subscriber has already, and the value of the newest probe received from it (0 if none).
 struct SubscriberState {
   std::uint64_t version = 0;
   std::uint64_t instances_revision = 0;
@@ -43,9 +45,9 @@
   bool takes_configuration_patches = false;
 };
 
-// Contents go only to those who lack them.
+// Builds the publication for one subscriber, leaving out contents that it has already.
 wire::Publication Compose(const SubscriberState& subscriber, const Published& now);
-// The subscriber as it will be once it has that publication.
+// Updates the state of the subscriber as if it had received that publication.
 void Advance(SubscriberState& subscriber, const Published& now);
 
 }  // namespace kestrelline::distribution
--- a/src/distribution/publisher.cpp
+++ b/src/distribution/publisher.cpp
@@ -8,9 +8,9 @@
 
 bool Publisher::Subscribe(mesh::Connection& connection, const std::string& proxy,
                           const wire::Subscribe& subscribe, const Published& now) {
-  // One that was here before has a new connection; the old one may not have ended yet.
+  // A proxy that reconnects replaces its old subscription, whose connection may not have been closed yet.
   std::erase_if(subscribers_, [&proxy](const auto& entry) { return entry.second.proxy == proxy; });
-  if (subscribers_.size() >= most_) {
+  if (subscribers_.size() >= max_subscribers_) {
     connection.Send(mesh_.Encode(Refer()));
     return false;
   }
@@ -23,7 +23,7 @@
   const mesh::Frame echo = mesh_.Encode(wire::Echo{subscribe.probe});
   const mesh::Frame publication = mesh_.Encode(Compose(subscriber.state, now));
   Advance(subscriber.state, now);
-  // Sending may end the connection and so change the table: the subscriber is not used after it.
+  // Sending may close the connection and erase the entry, so `subscriber` must not be used from here on.
   connection.Send(echo);
   connection.Send(publication);
   return true;
@@ -35,10 +35,10 @@
 }
 
 wire::Referral Publisher::Refer() const {
-  constexpr std::size_t kMostNamed = 8;
+  constexpr std::size_t kMaxReferrals = 8;
   wire::Referral referral;
   for (const auto& [key, subscriber] : subscribers_) {
-    if (referral.proxies.size() < kMostNamed) referral.proxies.push_back(subscriber.proxy);
+    if (referral.proxies.size() < kMaxReferrals) referral.proxies.push_back(subscriber.proxy);
   }
   return referral;
 }
@@ -49,7 +49,7 @@
     mesh::Frame echo;
     mesh::Frame publication;
   };
-  // Most subscribers lack the same: each distinct publication is encoded once.
+  // Most subscribers lack the same contents: each distinct publication is encoded once.
   std::map<std::tuple<std::uint64_t, std::uint64_t, bool, bool>, mesh::Frame> frames;
   std::vector<Outgoing> outgoing;
   for (auto& [key, subscriber] : subscribers_) {
@@ -60,11 +60,11 @@
     outgoing.push_back({subscriber.connection.lock(), mesh_.Encode(wire::Echo{state.probe}), frame});
     Advance(state, now);
   }
-  // Sending may end a connection and so change the table: it comes after the walk.
-  for (const Outgoing& each : outgoing) {
-    if (!each.connection) continue;
-    each.connection->Send(each.echo);
-    each.connection->Send(each.publication);
+  // Sending may close a connection and erase its entry, so it must not happen while iterating over the map.
+  for (const Outgoing& message : outgoing) {
+    if (!message.connection) continue;
+    message.connection->Send(message.echo);
+    message.connection->Send(message.publication);
   }
 }
 
--- a/src/distribution/publisher.h
+++ b/src/distribution/publisher.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Pushes publications to the proxies that subscribed here. Members of the control plane have one, and so have
-// proxies that pass on what they were told.
+// Pushes publications to the proxies that subscribed to this process. Used by control plane members, and by
+// proxies that relay publications to other proxies.
 #ifndef KESTRELLINE_DISTRIBUTION_PUBLISHER_H_
 #define KESTRELLINE_DISTRIBUTION_PUBLISHER_H_
 
@@ -18,20 +18,23 @@
 
 class Publisher {
  public:
-  // More than `most` subscribers are referred to those who are here.
-  Publisher(const mesh::Mesh& mesh, std::size_t most) : mesh_(mesh), most_(most) {}
+  // Accepts up to `max_subscribers`. Further ones are referred to the present subscribers. `mesh` must
+  // outlive the publisher.
+  Publisher(const mesh::Mesh& mesh, std::size_t max_subscribers)
+      : mesh_(mesh), max_subscribers_(max_subscribers) {}
 
-  // False if there is no room: the subscriber is told whom to ask.
+  // Adds a subscriber and sends it a first publication. Returns false if the limit is reached; the subscriber
+  // is then sent a referral.
   bool Subscribe(mesh::Connection& connection, const std::string& proxy, const wire::Subscribe& subscribe,
                  const Published& now);
-  // Echoed before the next publication on that connection.
+  // Records a probe. It is echoed before the next publication on that connection.
   void NoteProbe(mesh::Connection& connection, const wire::Probe& probe);
   void Forget(mesh::Connection& connection) { subscribers_.erase(&connection); }
-  // To all subscribers; each gets only what it lacks.
+  // Sends a publication to all subscribers; each gets only the contents that it lacks.
   void Publish(const Published& now);
-  // The same to all.
+  // Sends the same message to all subscribers.
   void SendToAll(const wire::Body& body);
-  // To the subscribers that said to be in this zone.
+  // Sends a message to the subscribers that reported this zone.
   void SendToZone(const std::string& zone, const wire::Body& body);
   std::set<std::string> zones() const;
   std::size_t subscribers() const { return subscribers_.size(); }
@@ -48,7 +51,7 @@
   void SendTo(const std::function<bool(const Subscriber&)>& chosen, const wire::Body& body);
 
   const mesh::Mesh& mesh_;
-  const std::size_t most_;
+  const std::size_t max_subscribers_;
   std::map<mesh::Connection*, Subscriber> subscribers_;
 };
 
--- a/src/handover/last_byte.h
+++ b/src/handover/last_byte.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// When the last byte of a request is held back for a moment. No I/O, no clock.
+// Decides when to delay the last byte of a request for a moment. Performs no I/O and reads no clock.
 //
-// A connection that breaks after a request was written leaves open whether it ran: what must not run twice
-// has failed then. A connection that breaks before the last byte was written proves that it never ran, and
-// the request may go elsewhere. Most of the connections that break at all do so at once, under the first
-// bytes of a next request. So while that is seen to happen, requests are written but for their last byte, and
-// that follows when the connection has stood a little longer.
+// If a connection breaks after a request was written, it is unknown whether the request ran, and one that
+// must not run twice has failed. If it breaks before the last byte was written, the request cannot have run
+// and may be sent to another server. Most connections that break do so immediately, under the first bytes of
+// the next request. While such breaks are observed, requests are therefore written except for their last
+// byte, which follows once the connection has stayed open a little longer.
 //
-// What it costs is the wait, as a share of the time in which an answer is worth something; what it brings is
-// the share of attempts that break within the wait, weighed by what a break costs the request. The wait is
-// the one that brings the most over its cost, and none where none does.
+// The cost of a delay is its share of the time during which a response is still useful. Its gain is the share
+// of attempts that break within the delay, weighted by the loss that a break means for the request. The delay
+// with the largest net gain is chosen, or none if no delay has a positive net gain.
 #ifndef KESTRELLINE_HANDOVER_LAST_BYTE_H_
 #define KESTRELLINE_HANDOVER_LAST_BYTE_H_
 
@@ -27,27 +27,29 @@
 
 class LastByte {
  public:
-  static constexpr std::array kWaits{Duration(0.25), Duration(0.5), Duration(1), Duration(2)};
-  static constexpr Duration kMemory{10000};  // what was seen counts by 1/e after this
-  static constexpr double kLeastSeen = 2;    // breaks, below which nothing is made of them
-  // Of the worth of a request, what an unproven break costs it: one that cannot be repeated is lost, others
-  // lose the time and a repeat of the budget.
+  static constexpr std::array kDelays{Duration(0.25), Duration(0.5), Duration(1), Duration(2)};
+  // Time constant of the exponential decay of observations: their weight falls to 1/e after this time.
+  static constexpr Duration kDecayTime{10000};
+  static constexpr double kMinBreaks = 2;  // with fewer observed breaks, bytes are not delayed
+  // The loss of a request, as a share of its value, if a break leaves open whether it ran: a request that
+  // cannot be repeated is lost, others lose time and one retry of the budget.
   static constexpr double kLossUnsafe = 1, kLossKeyed = 0.2, kLossSafe = 0.1;
 
-  // An attempt has ended, `after` the first byte of it was written. `broke`: its connection broke or ended
-  // before any byte of an answer, held back or not.
+  // Records the end of an attempt, `after` its first byte was written. `broke`: the connection broke or was
+  // closed before any byte of a response arrived, whether or not the last byte was delayed.
   void OnEnded(TimePoint now, Duration after, bool broke);
 
-  // How long to hold the last byte of a request of this effect, which is worth something for `useful` more;
-  // 0: not at all.
+  // Returns how long to delay the last byte of a request with this effect whose response is useful for
+  // `useful` longer; 0 for no delay.
   Duration WaitFor(TimePoint now, Effect effect, Duration useful) const;
 
  private:
-  double Kept(TimePoint now) const;
+  // The factor by which observations have decayed since `as_of_`.
+  double DecayFactor(TimePoint now) const;
 
-  // As of `as_of_`.
+  // Decayed counts as of `as_of_`.
   double attempts_ = 0;
-  std::array<double, kWaits.size()> broke_within_{};
+  std::array<double, kDelays.size()> broke_within_{};
   TimePoint as_of_{};
 };
 
--- a/src/hashing/fnv.h
+++ b/src/hashing/fnv.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// FNV-1a, 64 bits: the same at every proxy and in every build, which std::hash does not promise.
+// 64-bit FNV-1a hash. Unlike std::hash, it yields the same value at every proxy and in every build.
 #ifndef KESTRELLINE_HASHING_FNV_H_
 #define KESTRELLINE_HASHING_FNV_H_
 
@@ -11,7 +11,7 @@
 
 inline constexpr std::uint64_t kFnvStart = 0xcbf29ce484222325u;
 
-// Of `bytes`; or, from the hash of what goes before them, of both together.
+// Returns the hash of `bytes`. Pass the hash of a prefix as `hash` to hash the concatenation.
 constexpr std::uint64_t Fnv1a(std::string_view bytes, std::uint64_t hash = kFnvStart) {
   for (const char c : bytes) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3u;
   return hash;
--- a/src/hashing/mix.h
+++ b/src/hashing/mix.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// SplitMix64 (Steele, Lea, Flood 2014): a number to which all bits of another have contributed. And bits as a
-// share.
+// The SplitMix64 mixing function (Steele, Lea, Flood 2014) and the conversion of random bits to a number from
+// 0 up to 1.
 #ifndef KESTRELLINE_HASHING_MIX_H_
 #define KESTRELLINE_HASHING_MIX_H_
 
@@ -9,6 +9,7 @@
 
 namespace kestrelline::hashing {
 
+// Every bit of the result depends on all bits of `x`.
 inline std::uint64_t Mixed(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -16,7 +17,7 @@
   return x ^ (x >> 31);
 }
 
-// 53 of 64 even bits as a number from 0 to just under 1.
+// Maps the upper 53 of 64 uniformly distributed bits to a number in [0, 1).
 inline double Unit(std::uint64_t bits) { return static_cast<double>(bits >> 11) * 0x1.0p-53; }
 
 }  // namespace kestrelline::hashing
--- a/src/invariants/violations.h
+++ b/src/invariants/violations.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What must hold in the running program whatever happens around it. A violation is a fault of the program: it
-// is logged as an error (`invariant violated name=... `) and counted, and the program goes on.
+// Runtime invariants, which must hold whatever clients, backends and the network do. A violation is a bug in
+// this program: it is logged as an error (`invariant violated name=... `) and counted, and the program
+// continues.
 #ifndef KESTRELLINE_INVARIANTS_VIOLATIONS_H_
 #define KESTRELLINE_INVARIANTS_VIOLATIONS_H_
 
@@ -13,27 +14,29 @@
 namespace kestrelline::invariants {
 
 enum class Invariant {
-  // No request that was read is open when the process ends, unless its answer had begun and it came while
-  // the process still served on.
+  // No request that was read is still open when the process exits, unless its response had begun and it
+  // arrived
+  // while the process was still serving normally.
   kAnsweredBeforeExit,
-  // A request that was read ends by a whole answer, or because its client or its backend or its time ended.
+  // A request that was read ends with a complete response, or because the client or the backend failed or its
+  // time ran out.
   kEveryRequestEnds,
-  // What is passed on after SIGTERM ends before the process does.
+  // Requests that are forwarded after SIGTERM end before the process does.
   kPassedOnWithinTime,
 };
 inline constexpr std::size_t kInvariants = 3;
 
-// As it stands in logs and figures.
+// The name used in logs and metrics.
 const char* Name(Invariant invariant);
 
-// Counts of one process. One thread.
+// Counts the violations in this process. Not thread-safe.
 class Violations {
  public:
-  // `detail` in the form of log fields, such as `request_id=r1 stage=read`.
+  // Logs and counts a violation. `detail` has the form of log fields, such as `request_id=r1 stage=read`.
   void Report(Invariant invariant, const std::string& detail);
   std::uint64_t count(Invariant invariant) const { return counts_[static_cast<std::size_t>(invariant)]; }
   std::uint64_t total() const;
-  // {"answered_before_exit":0,...}
+  // The counts as a JSON object: {"answered_before_exit":0,...}
   std::string Json() const;
 
  private:
--- a/src/json/list.h
+++ b/src/json/list.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// JSON arrays of strings that need no escapes: addresses, names.
+// Formats JSON arrays of strings that need no escaping, such as addresses and names.
 #ifndef KESTRELLINE_JSON_LIST_H_
 #define KESTRELLINE_JSON_LIST_H_
 
@@ -9,7 +9,7 @@
 
 namespace kestrelline::json {
 
-// ["a","b"]
+// Returns ["a","b"]. Does not escape the strings.
 inline std::string List(const std::vector<std::string>& texts) {
   std::string list;
   for (const std::string& text : texts) list += (list.empty() ? "\"" : ",\"") + text + "\"";
--- a/src/json/owned.h
+++ b/src/json/owned.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// JSON values of jansson that are freed by themselves. No I/O.
+// Owning pointers to jansson values. Performs no I/O.
 #ifndef KESTRELLINE_JSON_OWNED_H_
 #define KESTRELLINE_JSON_OWNED_H_
 
@@ -16,7 +16,8 @@
 };
 using Owned = std::unique_ptr<json_t, Release>;
 
-// Null if `text` is no JSON; `error` then says why. `flags` are jansson's.
+// Parses `text`. Returns null and fills in `error` if it is not valid JSON. `flags` are jansson decoding
+// flags.
 inline Owned Load(std::string_view text, json_error_t& error, std::size_t flags = 0) {
   return Owned(json_loadb(text.data(), text.size(), flags, &error));
 }
--- a/src/lifecycle/life.cpp
+++ b/src/lifecycle/life.cpp
@@ -4,9 +4,9 @@
 namespace kestrelline::lifecycle {
 namespace {
 
-// The share of a span at which a connection ends: multiples of the golden ratio fill it evenly, however many
-// there are.
-double PlaceOf(std::uint64_t serial) {
+// Returns the point in an interval, from 0 up to 1, at which a connection is closed. Multiples of the golden
+// ratio fill the interval evenly for any number of connections.
+double SpreadPoint(std::uint64_t serial) {
   return static_cast<double>((serial * 0x9e3779b97f4a7c15u) >> 11) / static_cast<double>(1ull << 53);
 }
 
@@ -34,7 +34,7 @@
 
 Done Life::Drain(Time now) {
   if (stopping_) return Done::kStopping;
-  if (drained_) return Done::kAlready;  // its times go on from the first call
+  if (drained_) return Done::kAlready;  // the delays still count from the first call
   drained_ = true;
   drained_since_ = now;
   return Done::kDone;
@@ -55,7 +55,7 @@
 }
 
 bool Life::Accepts(Time now) const {
-  if (queue_kept_) return !stopping_ && servable();
+  if (listener_is_shared_) return !stopping_ && servable();
   return !stopping_ || Since(now) < times_.stop_accepting;
 }
 
@@ -63,7 +63,7 @@
   if (!Leaving() || now - idle_since < times_.fresh) return false;
   const auto from = stopping_ ? times_.stop_from : times_.drain_from;
   const auto to = stopping_ ? times_.stop_to : times_.drain_to;
-  return Since(now) >= from + std::chrono::duration_cast<Span>((to - from) * PlaceOf(serial));
+  return Since(now) >= from + std::chrono::duration_cast<Span>((to - from) * SpreadPoint(serial));
 }
 
 bool Life::EndsHalfRead(Time now, Time read_since) const {
--- a/src/lifecycle/life.h
+++ b/src/lifecycle/life.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The life of the process, as one state machine. No I/O, no clock: time comes in with each call.
+// The lifecycle of the process as a state machine. Performs no I/O and reads no clock: callers pass the time.
 //
-// What `GET /ready` says, whether new connections are taken, what an answer says of its connection and when
-// an idle one ends all follow from the state; nothing else keeps any of it.
+// The response to `GET /ready`, whether new connections are accepted, whether a response closes its
+// connection and when idle connections are closed all follow from this state. It is not kept anywhere else.
 //
-//     starting --list there--> ready --drain--> draining --resume--> ready
+//     starting --backend list received--> ready --drain--> draining --resume--> ready
 //     any --SIGTERM--> stopping
 //
-// Where copies of what other proxies know are waited for, starting lasts until they have come too.
+// If the process also waits for copies of the state of other proxies, it stays in starting until they arrive.
 //
-// A drain holds from whichever state it comes in, also before there is a list; a resume leads back to where
-// the process would be without it. Both are idempotent. Nothing leads out of stopping.
+// A drain takes effect in any state but stopping, even before there is a backend list. A resume returns to
+// the state that the process would be in without the drain. Both are idempotent. Stopping is final.
 #ifndef KESTRELLINE_LIFECYCLE_LIFE_H_
 #define KESTRELLINE_LIFECYCLE_LIFE_H_
 
@@ -28,37 +28,42 @@
 enum class State { kStarting, kReady, kDraining, kStopping };
 const char* NameOf(State state);
 
+// Delays after the start of a drain (`drain_`) or after SIGTERM (`stop_`).
 struct Times {
-  // From the first no on, new connections come for another 0.2 s. Clients that keep theirs go with their next
-  // answer; those that have none to ask end one by one between these, so that they do not all come back to
-  // the other proxies at once.
+  // New connections keep arriving for another 0.2 s after /ready first reports not ready. Connections in use
+  // are closed with their next response. Idle ones are closed one by one over this interval, so that their
+  // clients do not all reconnect to the other proxies at once.
   Ms drain_from{300}, drain_to{1500};
-  Ms drain_half{1900};  // and whoever is still writing a request by then is turned away
-  // At SIGTERM connections go on coming for up to 0.4 s.
+  Ms drain_half{1900};  // connections with an incomplete request are closed
+  // After SIGTERM, new connections keep arriving for up to 0.4 s.
   Ms stop_accepting{600};
+  // As drain_from, drain_to and drain_half.
   Ms stop_from{350}, stop_to{600};
   Ms stop_half{1100};
-  // SIGKILL comes 3.7 s after SIGTERM at the earliest, and what it finds unanswered is lost if it came more
-  // than 0.7 s after SIGTERM. The difference of 0.2 s is for a loop that is late.
+  // SIGKILL follows SIGTERM after 3.7 s at the earliest. A request that is unanswered by then counts as lost
+  // if it arrived more than 0.7 s after SIGTERM, so later requests are only accepted if they end by stop_end.
+  // This leaves 0.2 s for an event loop that runs late.
   Ms stop_take{700}, stop_end{3500};
-  Ms fresh{150};  // a connection that has stood for less is about to ask, or has asked
+  // Connections that are newer than this are not closed as idle: a request is about to arrive, or is in
+  // flight.
+  Ms fresh{150};
 };
 
-// What became of a command.
+// The outcome of a command.
 enum class Done { kDone, kAlready, kStopping };
 
 class Life {
  public:
-  // `queue_kept`: the listening socket belongs to somebody who keeps it open. What is not accepted here is
-  // accepted by another process, so that nothing is accepted before this one can serve or after SIGTERM.
-  // `waits_for_copies`: of what other proxies know; see CopiesCame.
-  explicit Life(bool queue_kept = false, bool waits_for_copies = false, Times times = {})
-      : times_(times), queue_kept_(queue_kept), copied_(!waits_for_copies) {}
+  // `listener_is_shared`: the listening socket is kept open by its owner, and other processes accept
+  // connections on it. This process then accepts none before it can serve, nor after SIGTERM; another process
+  // will. `waits_for_copies`: whether to wait for copies of the state of other proxies; see CopiesCame.
+  explicit Life(bool listener_is_shared = false, bool waits_for_copies = false, Times times = {})
+      : times_(times), listener_is_shared_(listener_is_shared), copied_(!waits_for_copies) {}
 
-  // There is a list; the copies are there, or are waited for no longer. True if it can serve by that, and
-  // could not before.
-  bool Listed() { return Now(&listed_); }
-  bool CopiesCame() { return Now(&copied_); }
+  // Listed: a backend list has been received. CopiesCame: the copies have arrived, or the wait for them has
+  // timed out. Both return true if this makes the process able to serve.
+  bool Listed() { return SetAndCheckServable(&listed_); }
+  bool CopiesCame() { return SetAndCheckServable(&copied_); }
   Done Drain(Time now);
   Done Resume();
   Done Stop(Time now);
@@ -66,26 +71,28 @@
   State state() const;
   bool Ready() const { return state() == State::kReady; }
   bool Stopping() const { return stopping_; }
+  // Whether to accept new connections.
   bool Accepts(Time now) const;
-  // Each answer ends its connection.
+  // Whether each response must close its connection.
   bool Leaving() const { return stopping_ || drained_; }
-  // Whether a connection with no request on it since `idle_since` ends by now. `serial`: its number, which
-  // spreads them.
+  // Whether to close a connection that has had no request since `idle_since`. `serial` is the number of the
+  // connection and spreads the closes over time.
   bool EndsIdle(Time now, Time idle_since, std::uint64_t serial) const;
-  // The same of one on which half a request has come since then: where all is late here, its rest may have
-  // been there for long.
+  // Whether to close a connection on which an incomplete request has been arriving since `read_since`. Recent
+  // ones are kept: if this process runs late, the rest may have been in the socket for long.
   bool EndsHalfRead(Time now, Time read_since) const;
-  // Whether a request that has come whole by now is taken; it is over by `due`. One that comes late must be
-  // over before SIGKILL may come.
+  // Whether to accept a request that was read completely by now and ends by `due`. A late one must end before
+  // SIGKILL can arrive.
   bool Takes(Time now, Time due) const;
 
  private:
   bool servable() const { return listed_ && copied_; }
-  bool Now(bool* there) { return !std::exchange(*there, true) && servable(); }
+  bool SetAndCheckServable(bool* condition) { return !std::exchange(*condition, true) && servable(); }
+  // Time from the start of the drain, or from SIGTERM if that has arrived.
   Span Since(Time now) const { return now - (stopping_ ? stopping_since_ : drained_since_); }
 
   Times times_;
-  bool queue_kept_;
+  bool listener_is_shared_;
   bool listed_ = false, copied_, drained_ = false, stopping_ = false;
   Time drained_since_{}, stopping_since_{};
 };
--- a/src/pair/registry.cpp
+++ b/src/pair/registry.cpp
@@ -12,13 +12,13 @@
 namespace kestrelline::pair {
 namespace {
 
-// As it stands in the file. What is not in this form says nothing.
+// The contents of a file. Anything else is treated as no usage published.
 struct Record {
   std::uint32_t magic = 0x6b6c7031;  // "klp1"
   std::int32_t descriptors = 0;
   std::int32_t leaving = 0;
 };
-constexpr int kMostDescriptors = 1 << 20;
+constexpr int kMaxDescriptors = 1 << 20;
 
 struct flock WholeFile(short type) {
   struct flock lock {};
@@ -27,34 +27,34 @@
   return lock;
 }
 
-// A name is the platform's, and may hold what no file name may.
-std::string FileName(const std::string& name, int place) {
+// The name comes from the platform and may contain characters that are not allowed in a file name.
+std::string FileName(const std::string& name, int slot) {
   std::string text = "kestrelline-";
   for (const char c : name.substr(0, 64)) {
     const bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-';
     text += plain ? c : '_';
   }
-  return text + '.' + std::to_string(place) + ".lock";
+  return text + '.' + std::to_string(slot) + ".lock";
 }
 
 }  // namespace
 
 Registry::Registry(const std::string& folder, const std::string& name) {
   files_.fill(-1);
-  for (int place = 0; place < kPlaces; ++place) {
-    const std::string path = folder + '/' + FileName(name, place);
-    int& file = files_[static_cast<std::size_t>(place)];
+  for (int slot = 0; slot < kSlots; ++slot) {
+    const std::string path = folder + '/' + FileName(name, slot);
+    int& file = files_[static_cast<std::size_t>(slot)];
     file = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW | O_NONBLOCK, 0600);
     if (file < 0) {
       why_ = path + ": " + std::strerror(errno);
       continue;
     }
-    if (own_ >= 0) continue;
+    if (own_slot_ >= 0) continue;
     struct flock lock = WholeFile(F_WRLCK);
-    if (::fcntl(file, F_OFD_SETLK, &lock) == 0) own_ = place;
+    if (::fcntl(file, F_OFD_SETLK, &lock) == 0) own_slot_ = slot;
   }
-  if (own_ < 0 && why_.empty()) why_ = "all " + std::to_string(kPlaces) + " places are taken";
-  if (own_ >= 0) Publish({});
+  if (own_slot_ < 0 && why_.empty()) why_ = "all " + std::to_string(kSlots) + " places are taken";
+  if (own_slot_ >= 0) Publish({});
 }
 
 Registry::~Registry() {
@@ -64,30 +64,30 @@
 }
 
 void Registry::Publish(const Usage& usage) {
-  if (own_ < 0 || (usage.descriptors == published_.descriptors && usage.leaving == published_.leaving))
+  if (own_slot_ < 0 || (usage.descriptors == published_.descriptors && usage.leaving == published_.leaving))
     return;
   published_ = usage;
   Record record;
   record.descriptors = usage.descriptors;
   record.leaving = usage.leaving;
-  // A folder that is full keeps what it says of this process from changing, and harms nothing else.
+  // If the file system is full, the others go on reading the previous usage; nothing else is affected.
   [[maybe_unused]] const ssize_t written =
-      ::pwrite(files_[static_cast<std::size_t>(own_)], &record, sizeof record, 0);
+      ::pwrite(files_[static_cast<std::size_t>(own_slot_)], &record, sizeof record, 0);
 }
 
 std::vector<Usage> Registry::Others() const {
   std::vector<Usage> others;
-  if (own_ < 0) return others;
-  for (int place = 0; place < kPlaces; ++place) {
-    const int file = files_[static_cast<std::size_t>(place)];
-    if (place == own_ || file < 0) continue;
+  if (own_slot_ < 0) return others;
+  for (int slot = 0; slot < kSlots; ++slot) {
+    const int file = files_[static_cast<std::size_t>(slot)];
+    if (slot == own_slot_ || file < 0) continue;
     struct flock lock = WholeFile(F_WRLCK);
     if (::fcntl(file, F_OFD_GETLK, &lock) != 0 || lock.l_type == F_UNLCK) continue;
     Record record;
-    const bool whole = ::pread(file, &record, sizeof record, 0) == sizeof record;
+    const bool complete = ::pread(file, &record, sizeof record, 0) == sizeof record;
     Usage usage;
-    if (whole && record.magic == Record().magic) {
-      usage.descriptors = std::clamp(record.descriptors, 0, kMostDescriptors);
+    if (complete && record.magic == Record().magic) {
+      usage.descriptors = std::clamp(record.descriptors, 0, kMaxDescriptors);
       usage.leaving = record.leaving != 0;
     }
     others.push_back(usage);
--- a/src/pair/registry.h
+++ b/src/pair/registry.h
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The processes of one proxy, known to each other by files in a folder that they share.
+// Lets the processes of one proxy find each other through files in a shared directory.
 //
-// Each holds a lock on one of a few files for as long as it lives and writes its usage there. A lock goes
-// with its process, so that one that was killed leaves nothing false. Locks are asked about without being
-// taken (open file description locks, F_OFD_GETLK), so that a look never keeps a newcomer out. Where the
-// folder is missing, full or holds garbage, the process serves alone.
+// Each process holds a lock on one of a few files while it runs, and writes its usage to that file. The
+// kernel releases the lock when the process ends, so that a killed process leaves no stale entry. Readers
+// query locks without taking them (open file description locks, F_OFD_GETLK), so that they never block a
+// process that is starting. If the directory is missing, full or contains garbage, the process serves on its
+// own.
 #ifndef KESTRELLINE_PAIR_REGISTRY_H_
 #define KESTRELLINE_PAIR_REGISTRY_H_
 
@@ -19,24 +20,28 @@
 
 class Registry {
  public:
-  static constexpr int kPlaces = 3;  // two processes, and one that is starting while another is killed
+  // Slots for two processes, and one that starts while another is being killed.
+  static constexpr int kSlots = 3;
 
-  // `name`: the proxy's. Takes the first free place; see why() if there is none.
+  // Takes the first free slot of the proxy called `name`; see why() if there is none.
   Registry(const std::string& folder, const std::string& name);
   ~Registry();
   Registry(const Registry&) = delete;
   Registry& operator=(const Registry&) = delete;
 
-  bool joined() const { return own_ >= 0; }
-  const std::string& why() const { return why_; }  // it could not join
+  bool joined() const { return own_slot_ >= 0; }
+  // The reason why it could not join.
+  const std::string& why() const { return why_; }
 
+  // Writes the usage of this process for the others to read.
   void Publish(const Usage& usage);
-  // Of those that live. One that has joined and said nothing yet counts with nothing.
+  // Returns the usage of the other running processes. One that has joined but published nothing yet is
+  // included with a usage of zero.
   std::vector<Usage> Others() const;
 
  private:
-  std::array<int, kPlaces> files_;
-  int own_ = -1;
+  std::array<int, kSlots> files_;
+  int own_slot_ = -1;
   std::string why_;
   Usage published_{-1, false};
 };
--- a/src/pair/share.cpp
+++ b/src/pair/share.cpp
@@ -9,16 +9,16 @@
   if (others.empty()) return {total, 1};
   const int processes = static_cast<int>(others.size()) + 1;
   const Allowance even{total / processes, 1.0 / processes};
-  // It still opens what its held requests need, within what it has.
+  // A leaving process may still open descriptors for the requests that it holds, up to what it has in use.
   if (own.leaving) return {std::min(even.descriptors, own.descriptors), even.memory};
-  int left = total;
-  bool all_leave = true;
+  int remaining = total;
+  bool all_others_leave = true;
   for (const Usage& other : others) {
-    left -= other.descriptors;
-    all_leave &= other.leaving;
+    remaining -= other.descriptors;
+    all_others_leave &= other.leaving;
   }
-  left = std::max(left, 0);
-  return {all_leave ? left : std::min(even.descriptors, left), even.memory};
+  remaining = std::max(remaining, 0);
+  return {all_others_leave ? remaining : std::min(even.descriptors, remaining), even.memory};
 }
 
 }  // namespace kestrelline::pair
--- a/src/pair/share.h
+++ b/src/pair/share.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How the limits of one proxy are shared out while it is more than one process. No I/O, no clock.
+// Divides the resource limits of one proxy among its processes. Performs no I/O and reads no clock.
 //
-// What the other has in use is known as it was some milliseconds ago. The rule holds all the same: with both
-// at a half or less neither may pass it, and one that holds more than its half only shrinks.
+// The usage of the other process is known as of some milliseconds ago. The total is kept nevertheless: while
+// both use half or less, neither may exceed half, and a process that uses more than half can only shrink.
 #ifndef KESTRELLINE_PAIR_SHARE_H_
 #define KESTRELLINE_PAIR_SHARE_H_
 
@@ -11,18 +11,20 @@
 
 namespace kestrelline::pair {
 
-// What one process says of itself.
+// The usage that a process publishes.
 struct Usage {
-  int descriptors = 0;   // that it has open
-  bool leaving = false;  // it has been told to end, and takes nothing more on
+  int descriptors = 0;   // open descriptors
+  bool leaving = false;  // it is shutting down and accepts no new work
 };
 
+// The limits of a process.
 struct Allowance {
   int descriptors = 0;
-  double memory = 1;  // share of the proxy's
+  double memory = 1;  // share of the memory limit of the proxy
 };
 
-// `total`: descriptors of all processes together. `others`: those that live beside this one.
+// Returns the limits of this process. `total` is the descriptor limit of all processes together; `others` are
+// the processes that run beside this one.
 Allowance AllowanceOf(int total, const Usage& own, const std::vector<Usage>& others);
 
 }  // namespace kestrelline::pair
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -17,8 +17,9 @@
 using operator_file::Diagnostics;
 using operator_file::Shown;
 
-constexpr std::size_t kMostBudgets = 4;  // that one route draws on
+constexpr std::size_t kMaxBudgets = 4;  // per route
 
+// Returns the most specific value of a limit.
 template <typename T>
 Chosen<T> Choose(const Maybe<T> LimitsSpec::*member, const LimitsSpec* route, const LimitsSpec* of_class,
                  const LimitsSpec& defaults) {
@@ -30,22 +31,24 @@
   return {};
 }
 
-// Where a rule that several limits break together is reported: at the one nearest to the route.
-Position Blame(std::initializer_list<std::pair<Origin, Position>> limits) {
+// Where to report a rule that several limits violate together: at the most specific one.
+Position MostSpecific(std::initializer_list<std::pair<Origin, Position>> limits) {
   return std::max(limits, [](const auto& a, const auto& b) { return a < b; }).second;
 }
 template <typename T>
-std::pair<Origin, Position> Place(const Chosen<T>& chosen) {
+std::pair<Origin, Position> OriginAndPosition(const Chosen<T>& chosen) {
   return {chosen.origin, chosen.at};
 }
 
-const RetryWord* WordOf(std::string_view word) {
-  const auto* const found = std::find_if(std::begin(kRetryWords), std::end(kRetryWords),
-                                         [&](const RetryWord& w) { return w.word == word; });
-  return found == std::end(kRetryWords) ? nullptr : found;
+// Null if the word is not an accepted value of `retry_on`.
+const RetryWord* FindRetryWord(std::string_view word) {
+  const auto* const match =
+      std::find_if(std::begin(kRetryWords), std::end(kRetryWords),
+                   [&](const RetryWord& retry_word) { return retry_word.word == word; });
+  return match == std::end(kRetryWords) ? nullptr : match;
 }
 
-void CheckWords(const LimitsSpec& limits, Diagnostics* diagnostics) {
+void CheckKeywords(const LimitsSpec& limits, Diagnostics* diagnostics) {
   if (limits.affinity && std::find(std::begin(kAffinityWords), std::end(kAffinityWords),
                                    limits.affinity->value) == std::end(kAffinityWords)) {
     diagnostics->Add(limits.affinity->at, "affinity",
@@ -59,13 +62,13 @@
   }
   if (!limits.retry_on) return;
   for (const auto& word : limits.retry_on->value) {
-    if (WordOf(word.value)) continue;
-    std::vector<std::string_view> words;
-    for (const RetryWord& w : kRetryWords) words.push_back(w.word);
-    const std::string nearest = diagnostics->Nearest(word.value, words);
+    if (FindRetryWord(word.value)) continue;
+    std::vector<std::string_view> accepted;
+    for (const RetryWord& retry_word : kRetryWords) accepted.push_back(retry_word.word);
+    const std::string nearest = diagnostics->Nearest(word.value, accepted);
     diagnostics->Add(word.at, "retry-on",
                      "'" + word.value + "' is nothing to repeat after; accepted are " +
-                         operator_file::Listed(words) +
+                         operator_file::Listed(accepted) +
                          (nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
   }
 }
@@ -77,8 +80,9 @@
   if (text == "tell") return 0;
   constexpr std::string_view kWait = "wait ";
   if (!text.starts_with(kWait) || text.size() != kWait.size() + 1) return std::nullopt;
-  const int k = text.back() - '0';
-  return k >= 1 && k <= kMostAcknowledgements ? std::optional(k) : std::nullopt;
+  const int acknowledgements = text.back() - '0';
+  return acknowledgements >= 1 && acknowledgements <= kMostAcknowledgements ? std::optional(acknowledgements)
+                                                                            : std::nullopt;
 }
 
 std::uint64_t IdOf(std::string_view kind, std::string_view name) {
@@ -100,30 +104,30 @@
   std::vector<std::string_view> class_names(site.classes.begin(), site.classes.end()), budget_names;
   for (const BudgetSpec& budget : spec_.budgets) budget_names.push_back(budget.name.value);
 
-  for (const ClassSpec& c : spec_.classes) {
-    const auto found = std::find(site.classes.begin(), site.classes.end(), c.name.value);
-    if (found != site.classes.end()) {
-      by_class_[static_cast<std::size_t>(found - site.classes.begin())] = &c.limits;
+  for (const ClassSpec& request_class : spec_.classes) {
+    const auto known = std::find(site.classes.begin(), site.classes.end(), request_class.name.value);
+    if (known != site.classes.end()) {
+      by_class_[static_cast<std::size_t>(known - site.classes.begin())] = &request_class.limits;
       continue;
     }
-    diagnostics->Add(
-        c.name.at, "unknown-class",
-        "the platform has no class '" + c.name.value + "'; it has " + operator_file::Listed(class_names));
+    diagnostics->Add(request_class.name.at, "unknown-class",
+                     "the platform has no class '" + request_class.name.value + "'; it has " +
+                         operator_file::Listed(class_names));
   }
 
   const auto check = [&](const LimitsSpec& limits) {
-    CheckWords(limits, diagnostics);
+    CheckKeywords(limits, diagnostics);
     if (limits.max_attempts && limits.max_attempts->value > site_.settings.max_attempts)
       diagnostics->Add(limits.max_attempts->at, "attempts",
                        "max_attempts is " + std::to_string(limits.max_attempts->value) +
                            "; the platform allows " + std::to_string(site_.settings.max_attempts) +
                            " at most");
     if (!limits.retry_budgets) return;
-    double sum = 0;
+    double total_share = 0;
     std::vector<std::string_view> seen;
     for (const auto& name : limits.retry_budgets->value) {
-      const auto found = budgets_.find(name.value);
-      if (found == budgets_.end()) {
+      const auto budget = budgets_.find(name.value);
+      if (budget == budgets_.end()) {
         const std::string nearest = diagnostics->Nearest(name.value, budget_names);
         diagnostics->Add(name.at, "unknown-budget",
                          "there is no [budget." + name.value + "]; " +
@@ -136,43 +140,43 @@
         continue;
       }
       seen.push_back(name.value);
-      sum += found->second->share;
+      total_share += budget->second->share;
     }
-    if (sum > 1 + 1e-9)
+    if (total_share > 1 + 1e-9)  // tolerates rounding
       diagnostics->Add(limits.retry_budgets->at, "budget-sum",
                        "budgets " + operator_file::Listed(seen) + " together allow " +
-                           std::to_string(static_cast<int>(sum * 100 + 0.5)) +
+                           std::to_string(static_cast<int>(total_share * 100 + 0.5)) +
                            " repeats for 100 first attempts; 100 at most are accepted");
-    if (seen.size() > kMostBudgets)
-      diagnostics->Add(limits.retry_budgets->at, "bound",
-                       std::to_string(seen.size()) + " budgets; " + std::to_string(kMostBudgets) +
-                           " at most are accepted");
+    if (seen.size() > kMaxBudgets)
+      diagnostics->Add(
+          limits.retry_budgets->at, "bound",
+          std::to_string(seen.size()) + " budgets; " + std::to_string(kMaxBudgets) + " at most are accepted");
   };
   check(spec_.defaults);
-  for (const ClassSpec& c : spec_.classes) check(c.limits);
-  for (const RouteSpec& r : spec_.routes) check(r.limits);
+  for (const ClassSpec& request_class : spec_.classes) check(request_class.limits);
+  for (const RouteSpec& route : spec_.routes) check(route.limits);
 }
 
 Effective LimitsBook::Of(const RouteSpec* route, std::size_t class_index) const {
-  const LimitsSpec* r = route ? &route->limits : nullptr;
-  const LimitsSpec* c = by_class_[class_index];
-  const LimitsSpec& d = spec_.defaults;
-  Effective e;
-  e.attempt_timeout = Choose(&LimitsSpec::attempt_timeout, r, c, d);
-  e.patience = Choose(&LimitsSpec::patience, r, c, d);
-  e.pause = Choose(&LimitsSpec::pause, r, c, d);
-  e.second_copy_after = Choose(&LimitsSpec::second_copy_after, r, c, d);
-  e.max_attempts = Choose(&LimitsSpec::max_attempts, r, c, d);
-  e.max_in_flight = Choose(&LimitsSpec::max_in_flight, r, c, d);
-  e.affinity = Choose(&LimitsSpec::affinity, r, c, d);
-  e.load_bound = Choose(&LimitsSpec::load_bound, r, c, d);
-  e.retry_on = Choose(&LimitsSpec::retry_on, r, c, d);
-  e.retry_budgets = Choose(&LimitsSpec::retry_budgets, r, c, d);
-  e.claim = Choose(&LimitsSpec::claim, r, c, d);
-  return e;
+  const LimitsSpec* of_route = route ? &route->limits : nullptr;
+  const LimitsSpec* of_class = by_class_[class_index];
+  const LimitsSpec& defaults = spec_.defaults;
+  Effective limits;
+  limits.attempt_timeout = Choose(&LimitsSpec::attempt_timeout, of_route, of_class, defaults);
+  limits.patience = Choose(&LimitsSpec::patience, of_route, of_class, defaults);
+  limits.pause = Choose(&LimitsSpec::pause, of_route, of_class, defaults);
+  limits.second_copy_after = Choose(&LimitsSpec::second_copy_after, of_route, of_class, defaults);
+  limits.max_attempts = Choose(&LimitsSpec::max_attempts, of_route, of_class, defaults);
+  limits.max_in_flight = Choose(&LimitsSpec::max_in_flight, of_route, of_class, defaults);
+  limits.affinity = Choose(&LimitsSpec::affinity, of_route, of_class, defaults);
+  limits.load_bound = Choose(&LimitsSpec::load_bound, of_route, of_class, defaults);
+  limits.retry_on = Choose(&LimitsSpec::retry_on, of_route, of_class, defaults);
+  limits.retry_budgets = Choose(&LimitsSpec::retry_budgets, of_route, of_class, defaults);
+  limits.claim = Choose(&LimitsSpec::claim, of_route, of_class, defaults);
+  return limits;
 }
 
-int LimitsBook::MostAttempts(const Effective& limits) const {
+int LimitsBook::MaxAttempts(const Effective& limits) const {
   if (limits.retry_on.value && limits.retry_on.value->empty()) return 1;
   const int platform = site_.settings.max_attempts;
   return limits.max_attempts.value
@@ -188,90 +192,97 @@
 
 void LimitsBook::CheckRepeats(const Effective& limits, std::size_t class_index,
                               Diagnostics* diagnostics) const {
-  const ClassSettings& c = site_.settings.classes[class_index];
+  const ClassSettings& class_settings = site_.settings.classes[class_index];
   const std::string& name = site_.classes[class_index];
-  if (c.effect == Effect::kUnsafe && limits.retry_on.value) {
+  if (class_settings.effect == Effect::kUnsafe && limits.retry_on.value) {
     for (const auto& word : *limits.retry_on.value) {
-      const RetryWord* known = WordOf(word.value);
-      if (!known || !known->may_have_run) continue;
+      const RetryWord* retry_word = FindRetryWord(word.value);
+      if (!retry_word || !retry_word->may_have_run) continue;
       diagnostics->Add(word.at, "unsafe-repeat",
                        "retry_on '" + word.value + "' would repeat class " + name +
                            ", which must never run twice, after an attempt that may have run; accepted are "
                            "'refused' and 'connect'");
     }
   }
-  if (c.effect != Effect::kKeyed && limits.claim.value && limits.claim.origin == Origin::kClass)
+  if (class_settings.effect != Effect::kKeyed && limits.claim.value && limits.claim.origin == Origin::kClass)
     diagnostics->Add(limits.claim.at, "claim",
                      "class " + name + " has no keys; only keyed requests are claimed");
-  if (c.effect != Effect::kKeyed) return;
-  const int n = MostAttempts(limits);
+  if (class_settings.effect != Effect::kKeyed) return;
+  // The last attempt must begin while the group of servers still remembers the key and drops repeats.
+  const int attempts = MaxAttempts(limits);
   const Duration timeout = limits.attempt_timeout.value ? *limits.attempt_timeout.value : Duration(0);
   const Duration pause = limits.pause.value ? *limits.pause.value : Duration(0);
-  const Duration last = (timeout + pause) * (n - 1), remembered = c.window * kWindowMargin;
-  if (!(last > remembered)) return;
-  diagnostics->Add(Blame({Place(limits.attempt_timeout), Place(limits.pause), Place(limits.max_attempts)}),
+  const Duration last_start = (timeout + pause) * (attempts - 1),
+                 max_start = class_settings.window * kWindowMargin;
+  if (!(last_start > max_start)) return;
+  diagnostics->Add(MostSpecific({OriginAndPosition(limits.attempt_timeout), OriginAndPosition(limits.pause),
+                                 OriginAndPosition(limits.max_attempts)}),
                    "window",
-                   "class " + name + ": attempt " + std::to_string(n) + " would begin " + Shown(last) +
-                       " after the first, but its group drops repeats for " + Shown(c.window) + "; up to " +
-                       Shown(remembered) + " is accepted");
+                   "class " + name + ": attempt " + std::to_string(attempts) + " would begin " +
+                       Shown(last_start) + " after the first, but its group drops repeats for " +
+                       Shown(class_settings.window) + "; up to " + Shown(max_start) + " is accepted");
 }
 
 void LimitsBook::CheckTimes(const Effective& limits, std::size_t class_index,
                             Diagnostics* diagnostics) const {
   const Duration deadline = site_.settings.classes[class_index].deadline;
   const std::string& name = site_.classes[class_index];
-  const auto waits = "class " + name + "'s clients wait " + Shown(deadline);
+  const auto client_deadline = "class " + name + "'s clients wait " + Shown(deadline);
   if (limits.patience.value && *limits.patience.value > deadline) {
     diagnostics->Add(limits.patience.at, "deadline",
-                     "patience is " + Shown(*limits.patience.value) + ", but " + waits +
+                     "patience is " + Shown(*limits.patience.value) + ", but " + client_deadline +
                          "; no more than that is accepted");
     return;
   }
-  const bool own = limits.patience.value != nullptr;
-  const Duration most = own ? *limits.patience.value : deadline;
+  const bool has_patience = limits.patience.value != nullptr;
+  const Duration max_total = has_patience ? *limits.patience.value : deadline;
   const Duration timeout = limits.attempt_timeout.value ? *limits.attempt_timeout.value : Duration(0);
   const Duration pause = limits.pause.value ? *limits.pause.value : Duration(0);
   if (!limits.attempt_timeout.value && !limits.pause.value) return;
-  const int n = MostAttempts(limits);
-  const Duration sum = timeout * n + pause * (n - 1);
-  if (sum <= most) return;
-  const Position at = Blame({Place(limits.attempt_timeout), Place(limits.pause), Place(limits.max_attempts),
-                             Place(limits.patience)});
-  std::string text = std::to_string(n) + (n == 1 ? " attempt" : " attempts") +
+  const int attempts = MaxAttempts(limits);
+  const Duration total = timeout * attempts + pause * (attempts - 1);
+  if (total <= max_total) return;
+  const Position at =
+      MostSpecific({OriginAndPosition(limits.attempt_timeout), OriginAndPosition(limits.pause),
+                    OriginAndPosition(limits.max_attempts), OriginAndPosition(limits.patience)});
+  std::string text = std::to_string(attempts) + (attempts == 1 ? " attempt" : " attempts") +
                      (limits.max_attempts.value ? "" : " (the platform's)");
   if (timeout.count() > 0) text += " of " + Shown(timeout);
-  if (n > 1 && pause.count() > 0) text += " and pauses of " + Shown(pause);
-  text += " add up to " + Shown(sum) + ", but " +
-          (own ? "patience is " + Shown(most) + " (" + waits + ")" : waits);
-  int fits = 0;
-  while (fits < n && timeout * (fits + 1) + pause * fits <= most) ++fits;
-  diagnostics->Add(at, "deadline",
-                   text + (fits > 0 ? "; max_attempts = " + std::to_string(fits) + " is accepted"
-                                    : "; an attempt_timeout of " + Shown(most) + " or less is accepted"));
+  if (attempts > 1 && pause.count() > 0) text += " and pauses of " + Shown(pause);
+  text += " add up to " + Shown(total) + ", but " +
+          (has_patience ? "patience is " + Shown(max_total) + " (" + client_deadline + ")" : client_deadline);
+  int accepted = 0;
+  while (accepted < attempts && timeout * (accepted + 1) + pause * accepted <= max_total) ++accepted;
+  diagnostics->Add(
+      at, "deadline",
+      text + (accepted > 0 ? "; max_attempts = " + std::to_string(accepted) + " is accepted"
+                           : "; an attempt_timeout of " + Shown(max_total) + " or less is accepted"));
 }
 
 void LimitsBook::CheckCopies(const Effective& limits, std::size_t class_index,
                              Diagnostics* diagnostics) const {
   if (!limits.second_copy_after.value) return;
-  const ClassSettings& c = site_.settings.classes[class_index];
+  const ClassSettings& class_settings = site_.settings.classes[class_index];
   const std::string& name = site_.classes[class_index];
   const Position at = limits.second_copy_after.at;
-  if (c.effect != Effect::kSafe) {
-    diagnostics->Add(at, "second-copy",
-                     "asks for a second copy of class " + name + ", which " +
-                         (c.effect == Effect::kUnsafe ? "must never run twice"
+  if (class_settings.effect != Effect::kSafe) {
+    diagnostics->Add(
+        at, "second-copy",
+        "asks for a second copy of class " + name + ", which " +
+            (class_settings.effect == Effect::kUnsafe ? "must never run twice"
                                                       : "is keyed: two copies at once are two effects") +
-                         "; accepted for classes that are safe to repeat alone");
+            "; accepted for classes that are safe to repeat alone");
   } else if (!site_.settings.parallel_tries) {
     diagnostics->Add(at, "second-copy",
                      "asks for a second copy of class " + name +
                          ", but the platform allows none (permissions.parallelTries is false); accepted is "
                          "no second_copy_after");
-  } else if (MostAttempts(limits) < 2) {
+  } else if (MaxAttempts(limits) < 2) {
     diagnostics->Add(at, "second-copy",
                      "class " + name + " has one attempt: a second copy needs max_attempts = 2 at the least");
   } else {
-    const Duration timeout = limits.attempt_timeout.value ? *limits.attempt_timeout.value : c.deadline;
+    const Duration timeout =
+        limits.attempt_timeout.value ? *limits.attempt_timeout.value : class_settings.deadline;
     if (*limits.second_copy_after.value < timeout) return;
     diagnostics->Add(at, "second-copy",
                      "class " + name + ": a second copy after " + Shown(*limits.second_copy_after.value) +
@@ -281,35 +292,39 @@
 }
 
 RouteLimits LimitsBook::Compile(const Effective& limits, std::uint64_t id) const {
-  const auto time = [](const Chosen<Duration>& chosen) { return chosen.value ? *chosen.value : Duration(0); };
-  RouteLimits out;
-  out.route = id;
-  out.patience = time(limits.patience);
-  out.attempt_timeout = time(limits.attempt_timeout);
-  out.pause = time(limits.pause);
-  out.second_copy_after = time(limits.second_copy_after);
-  out.max_attempts = limits.max_attempts.value ? static_cast<int>(*limits.max_attempts.value) : 0;
-  out.max_in_flight = limits.max_in_flight.value ? static_cast<int>(*limits.max_in_flight.value) : 0;
+  const auto duration_or_zero = [](const Chosen<Duration>& chosen) {
+    return chosen.value ? *chosen.value : Duration(0);
+  };
+  RouteLimits compiled;
+  compiled.route = id;
+  compiled.patience = duration_or_zero(limits.patience);
+  compiled.attempt_timeout = duration_or_zero(limits.attempt_timeout);
+  compiled.pause = duration_or_zero(limits.pause);
+  compiled.second_copy_after = duration_or_zero(limits.second_copy_after);
+  compiled.max_attempts = limits.max_attempts.value ? static_cast<int>(*limits.max_attempts.value) : 0;
+  compiled.max_in_flight = limits.max_in_flight.value ? static_cast<int>(*limits.max_in_flight.value) : 0;
   if (limits.affinity.value && *limits.affinity.value == "key")
-    out.affinity_bound = limits.load_bound.value ? *limits.load_bound.value : kLoadBound;
-  if (limits.claim.value) out.claim = ParseClaim(*limits.claim.value);
+    compiled.affinity_bound = limits.load_bound.value ? *limits.load_bound.value : kLoadBound;
+  if (limits.claim.value) compiled.claim = ParseClaim(*limits.claim.value);
   if (limits.retry_on.value) {
-    // An attempt that could not begin here for want of room is nobody's answer to repeat after or not.
-    out.retry_on = RouteLimits::RetryAfter(Outcome::kMoot);
+    // kMoot is always included: the attempt could not begin here for lack of room, so there is no server's
+    // answer to which `retry_on` could apply.
+    compiled.retry_on = RouteLimits::RetryAfter(Outcome::kMoot);
     for (const auto& word : *limits.retry_on.value) {
-      if (const RetryWord* known = WordOf(word.value))
-        out.retry_on |= RouteLimits::RetryAfter(known->outcome);
+      if (const RetryWord* retry_word = FindRetryWord(word.value))
+        compiled.retry_on |= RouteLimits::RetryAfter(retry_word->outcome);
     }
   }
   if (limits.retry_budgets.value) {
     for (const auto& name : *limits.retry_budgets.value) {
-      const auto found = budgets_.find(name.value);
-      if (found == budgets_.end()) continue;
-      const BudgetSpec& b = *found->second;
-      out.budgets.push_back({IdOf("budget", name.value), b.share, b.window, static_cast<int>(b.at_least)});
+      const auto known = budgets_.find(name.value);
+      if (known == budgets_.end()) continue;
+      const BudgetSpec& budget = *known->second;
+      compiled.budgets.push_back(
+          {IdOf("budget", name.value), budget.share, budget.window, static_cast<int>(budget.at_least)});
     }
   }
-  return out;
+  return compiled;
 }
 
 }  // namespace kestrelline::routing
--- a/src/routing/limits.h
+++ b/src/routing/limits.h
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The limits that hold for a route and a class, where each comes from, and whether the four rules allow them.
+// Resolves the limits that apply to a route and a request class, records where each comes from, and checks
+// them against the rules of the platform: retries that may run twice, second copies, deadlines and the window
+// in which repeats of keyed requests are dropped.
 #ifndef KESTRELLINE_ROUTING_LIMITS_H_
 #define KESTRELLINE_ROUTING_LIMITS_H_
 
@@ -16,16 +18,17 @@
 
 namespace kestrelline::routing {
 
+// Where a limit is set, from the least to the most specific.
 enum class Origin { kPlatform, kDefaults, kClass, kRoute };
 
 template <typename T>
 struct Chosen {
-  const T* value = nullptr;  // null: the platform's
+  const T* value = nullptr;  // null: the value of the platform applies
   Origin origin = Origin::kPlatform;
-  Position at;
+  Position at;  // position in the operator's file
 };
 
-// Points into the Spec, which must outlive it.
+// The limits in effect for one route and class. Points into the Spec, which must outlive it.
 struct Effective {
   Chosen<Duration> attempt_timeout, patience, pause, second_copy_after;
   Chosen<std::int64_t> max_attempts, max_in_flight;
@@ -33,21 +36,23 @@
   Chosen<double> load_bound;
   Chosen<Names> retry_on, retry_budgets;
 
-  bool empty() const;  // all of it is the platform's
+  bool empty() const;  // every limit is that of the platform
 };
 
 class LimitsBook {
  public:
-  // Checks budgets, and names of classes and budgets. `spec` and `site` must outlive it.
+  // Validates budgets, and the names of classes and budgets. `spec` and `site` must outlive this object.
   LimitsBook(const Spec& spec, const Site& site, operator_file::Diagnostics* diagnostics);
 
-  // Of a route, or of a class's requests that no route matches. `class_index` is one of the site's.
+  // Returns the limits of a route for requests of a class, or, if `route` is null, of requests of that class
+  // that match no route. `class_index` is an index into Site::classes.
   Effective Of(const RouteSpec* route, std::size_t class_index) const;
 
-  // Reports what the four rules or the platform forbid.
+  // Reports limits that the rules or the platform forbid.
   void Check(const Effective& limits, std::size_t class_index, operator_file::Diagnostics* diagnostics) const;
 
-  // As the decision module takes them; `id` is that under which requests are counted together.
+  // Converts limits to the form that the decision module takes. Requests with the same `id` share counters,
+  // such as the number in flight.
   brackenspoke::RouteLimits Compile(const Effective& limits, std::uint64_t id) const;
 
  private:
@@ -57,34 +62,36 @@
                   operator_file::Diagnostics* diagnostics) const;
   void CheckCopies(const Effective& limits, std::size_t class_index,
                    operator_file::Diagnostics* diagnostics) const;
-  int MostAttempts(const Effective& limits) const;
+  int MaxAttempts(const Effective& limits) const;
 
   const Spec& spec_;
   const Site& site_;
-  std::vector<const LimitsSpec*> by_class_;  // null: the file says nothing of it
+  std::vector<const LimitsSpec*> by_class_;  // null if the file has no section for the class
   std::unordered_map<std::string_view, const BudgetSpec*> budgets_;
 };
 
-// The decision module repeats a keyed request only this far into the window (kWindowMargin there): the rest
-// is for attempts that take their time to arrive.
+// The share of the deduplication window within which the decision module repeats a keyed request
+// (kWindowMargin there). The rest is a margin for attempts that are slow to arrive.
 inline constexpr double kWindowMargin = 0.9;
 
-// Words of affinity, and the bound on load without one of the file's own.
+// Accepted values of `affinity`.
 inline constexpr std::string_view kAffinityWords[] = {"key", "none"};
+// Default of `load_bound`: the maximum load of a server relative to its even share.
 inline constexpr double kLoadBound = 1.25;
 
-// "none", "tell", "wait K" with K from 1 to kMostAcknowledgements, as RouteLimits::claim has it.
+// Parses "none", "tell" or "wait K", K from 1 to kMostAcknowledgements, into the value of RouteLimits::claim.
+// Returns nullopt for any other text.
 inline constexpr int kMostAcknowledgements = 8;
 std::optional<int> ParseClaim(std::string_view text);
 
-// A number for a name of the file: the same at every proxy and after every reload.
+// Returns an id for a name in the file. It is the same at every proxy and after every reload.
 std::uint64_t IdOf(std::string_view kind, std::string_view name);
 
-// Words of retry_on, and the outcomes they stand for.
+// An accepted value of `retry_on` and the outcome of an attempt that it stands for.
 struct RetryWord {
   std::string_view word;
   brackenspoke::Outcome outcome;
-  bool may_have_run;
+  bool may_have_run;  // whether the server may have executed the request
 };
 inline constexpr RetryWord kRetryWords[] = {
     {"refused", brackenspoke::Outcome::kFull, false},
--- a/src/routing/section.cpp
+++ b/src/routing/section.cpp
@@ -13,9 +13,10 @@
 using operator_file::Section;
 using operator_file::TableReader;
 
-constexpr std::int64_t kMostInFlight = 100000;
-constexpr std::int64_t kMostAtLeast = 1000;
-constexpr Duration kShortestWindow{100};
+constexpr std::int64_t kMaxInFlight = 100000;
+constexpr std::int64_t kMaxAtLeast = 1000;
+constexpr std::int64_t kMaxAttemptsInFile = 255;
+constexpr Duration kMinWindow{100};
 
 constexpr std::array kLimitKeys{
     Key{"attempt_timeout", Kind::kDuration, "How long one attempt may take."},
@@ -67,15 +68,14 @@
     DescribedTable{"route.match", kMatchKeys},
 };
 
-// ---- from the file to the Spec ------------------------------------------------------------------------
 LimitsSpec ReadLimits(const TableReader& table) {
   LimitsSpec limits;
   limits.attempt_timeout = table.Duration("attempt_timeout");
   limits.patience = table.Duration("patience");
   limits.pause = table.Duration("pause");
   limits.second_copy_after = table.Duration("second_copy_after");
-  limits.max_attempts = table.Whole("max_attempts", 1, 255);
-  limits.max_in_flight = table.Whole("max_in_flight", 1, kMostInFlight);
+  limits.max_attempts = table.Whole("max_attempts", 1, kMaxAttemptsInFile);
+  limits.max_in_flight = table.Whole("max_in_flight", 1, kMaxInFlight);
   limits.affinity = table.Text("affinity");
   limits.load_bound = table.Number("load_bound", 1.1, 100);
   limits.claim = table.Text("claim");
@@ -116,12 +116,12 @@
   if (const auto share = reader.Share("share")) budget.share = share->value;
   if (const auto window = reader.Duration("window")) {
     budget.window = window->value;
-    if (window->value < kShortestWindow)
+    if (window->value < kMinWindow)
       diagnostics->Add(window->at, "range",
                        "a window of " + operator_file::Shown(window->value) + "; " +
-                           operator_file::Shown(kShortestWindow) + " or more is accepted");
+                           operator_file::Shown(kMinWindow) + " or more is accepted");
   }
-  if (const auto least = reader.Whole("at_least", 0, kMostAtLeast)) budget.at_least = least->value;
+  if (const auto at_least = reader.Whole("at_least", 0, kMaxAtLeast)) budget.at_least = at_least->value;
   spec->budgets.push_back(std::move(budget));
 }
 
--- a/src/routing/section.h
+++ b/src/routing/section.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The keys of routes in the operator's file, and how they are read.
+// Reads the sections of the operator's file that configure routes and limits.
 #ifndef KESTRELLINE_ROUTING_SECTION_H_
 #define KESTRELLINE_ROUTING_SECTION_H_
 
@@ -13,10 +13,10 @@
 
 namespace kestrelline::routing {
 
-// Sections that read into `spec`, which must outlive them.
+// Returns sections that read into `spec`, which must outlive them.
 std::vector<operator_file::Section> Sections(Spec* spec);
 
-// Every table of these sections with its keys, for pages that list them.
+// Every table of these sections with its keys, for generated documentation and tests of it.
 struct DescribedTable {
   std::string_view name;
   std::span<const operator_file::Key> keys;
--- a/src/routing/spec.h
+++ b/src/routing/spec.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Routes as an operator's file words them: names, each with its place in the file, nothing resolved yet.
+// The contents of an operator's file as parsed: routes, classes and budgets by name, each with its position
+// in the file. Names are not resolved yet.
 #ifndef KESTRELLINE_ROUTING_SPEC_H_
 #define KESTRELLINE_ROUTING_SPEC_H_
 
@@ -23,8 +24,8 @@
 template <typename T>
 using Maybe = std::optional<At<T>>;
 
-// What is absent is inherited: a route's from its class, a class's from the defaults, these from the
-// platform.
+// Limits that are absent are inherited: those of a route from its class, those of a class from the defaults,
+// and those of the defaults from the platform.
 struct LimitsSpec {
   Maybe<Duration> attempt_timeout, patience, pause, second_copy_after;
   Maybe<std::int64_t> max_attempts, max_in_flight;
@@ -33,16 +34,16 @@
   Maybe<Names> retry_on, retry_budgets;
 };
 
-// All that is given must hold; what is absent matches everything.
+// The conditions of a route. All that are given must be met; one that is absent matches every request.
 struct MatchSpec {
   Maybe<Names> classes, tenants, methods, zones;
   Maybe<std::string> path_prefix;
-  Maybe<std::string> tag;                                            // set by a plug-in
+  Maybe<std::string> tag;                                            // route tag set by a plug-in
   std::vector<std::pair<At<std::string>, At<std::string>>> headers;  // name, value
 };
 
 struct RouteSpec {
-  At<std::string> name;  // at: the route
+  At<std::string> name;  // its position is that of the route
   MatchSpec match;
   LimitsSpec limits;
 };
@@ -52,21 +53,22 @@
   LimitsSpec limits;
 };
 
+// A retry budget.
 struct BudgetSpec {
   At<std::string> name;
-  double share = 0;
-  Duration window{10000};
-  std::int64_t at_least = 0;
+  double share = 0;           // retries per first attempt over the window
+  Duration window{10000};     // milliseconds
+  std::int64_t at_least = 0;  // retries per window that need no first attempts
 };
 
 struct Spec {
   LimitsSpec defaults;
   std::vector<ClassSpec> classes;
   std::vector<BudgetSpec> budgets;
-  std::vector<RouteSpec> routes;  // the first that matches holds
+  std::vector<RouteSpec> routes;  // in order of precedence: the first match applies
 };
 
-// What the platform says of this installation.
+// Properties of this installation, as given by the platform.
 struct Site {
   brackenspoke::Settings settings;
   std::vector<std::string> classes, tenants, zones;  // names, by index
--- a/src/safeguards/safeguards.h
+++ b/src/safeguards/safeguards.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The rules that keep control state and its distribution safe, by name, so that a simulation can switch one
-// off and show that it is needed (tests/control_sim). In the program each is a constant and costs nothing.
+// The safety rules of the control state protocol and of its distribution, by name. A simulation can disable
+// one to show that it is necessary (tests/control_sim). In production builds Enforced() is constant and has
+// no cost.
 #ifndef KESTRELLINE_SAFEGUARDS_SAFEGUARDS_H_
 #define KESTRELLINE_SAFEGUARDS_SAFEGUARDS_H_
 
@@ -12,26 +13,27 @@
 
 enum class Safeguard {
   kNone,
-  kDateByProbe,           // what a leader vouches for is dated by the echo of a probe, not by its receipt
-  kLeaseBeforeServing,    // only a leader with a lease answers reads and takes orders
-  kContactBeforeRefusal,  // a refusal needs contact with a quorum after the order came
-  kRecogniseOrders,       // an order that is sent again is recognised by its digest
-  kQuorumOfCopies,        // one copy is no commit
-  kNewestCopyAtElection,  // a candidate takes over the newest record of those who vote for it
-  kPromiseBinds,          // records of earlier epochs than the promised one are not stored
-  kQuietAfterRestart,     // one that restarted keeps quiet for a lease
-  kLearnBeforeVoting,     // one with an empty disk learns from a quorum of the others first
-  kForgetLostCopies,      // copies on disks that were lost count no more
-  kDiskIdentity,          // nor do replies that were on their way from such a disk
-  kFoundOnPristineDisk,   // only a disk on which nothing ever was founds the system
-  kJointElectorate,       // an exchange of members needs quorums of the old and of the new ones
-  kLeaveByAgreement,      // one that stops for good is replaced first
-  kOneRecordUnderWay,     // a slow member gets the newest record next, not each of the older ones
-  kProofBeforeReady,      // a proxy that starts takes no configuration that nobody vouches for
-  kNeverBack,             // a proxy takes no older version than it had
-  kFenceAfterLease,       // a new leader gives no orders before the last one's can count as turns
+  kDateByProbe,           // the age of a leader's confirmation is bounded by a probe echo, not by receipt
+  kLeaseBeforeServing,    // only a leader that holds a lease answers reads and accepts orders
+  kContactBeforeRefusal,  // an order is refused only after contact with a quorum since the order arrived
+  kRecogniseOrders,       // a retransmitted order is recognised by its digest
+  kQuorumOfCopies,        // a record is committed only once a quorum has stored it
+  kNewestCopyAtElection,  // a candidate adopts the newest record of the members that vote for it
+  kPromiseBinds,          // a member stores no records of epochs before the one it has promised
+  kQuietAfterRestart,     // a restarted member does not take part for the length of a lease
+  kLearnBeforeVoting,     // a member with an empty disk first catches up from a quorum of the others
+  kForgetLostCopies,      // copies on disks that were lost are no longer counted
+  kDiskIdentity,          // replies that were in flight from a lost disk are ignored
+  kFoundOnPristineDisk,   // only a member with a never used disk may bootstrap the system
+  kJointElectorate,       // a membership change needs quorums of both the old and the new members
+  kLeaveByAgreement,      // a member that leaves for good is replaced first
+  kOneRecordUnderWay,     // a slow member is sent the newest record next, not each of the older ones
+  kProofBeforeReady,      // a starting proxy accepts only a configuration that a leader confirms
+  kNeverBack,             // a proxy never goes back to an older version
+  kFenceAfterLease,       // a new leader gives no orders until those of its predecessor have expired
 };
 
+// Names under which the simulation's command line refers to safeguards.
 struct NamedSafeguard {
   Safeguard safeguard;
   std::string_view name;
--- a/tests/distribution/list_history_test.cpp
+++ b/tests/distribution/list_history_test.cpp
@@ -77,8 +77,8 @@
       EXPECT_TRUE(history.Since(revision - 1));
     }
     EXPECT_FALSE(history.Since(revision + 1));
-    if (all.size() > ListHistory::kMost) {
-      EXPECT_FALSE(history.Since(revision - ListHistory::kMost));
+    if (all.size() > ListHistory::kMaxLists) {
+      EXPECT_FALSE(history.Since(revision - ListHistory::kMaxLists));
     }
   }
   // A leader with another count: what was before is no base for what follows.
--- a/tests/handover/last_byte_test.cpp
+++ b/tests/handover/last_byte_test.cpp
@@ -85,7 +85,7 @@
   for (int i = 0; i < 100; ++i) last.OnEnded(At(1000 - i), Duration(0.1), true);
   const Duration wait = last.WaitFor(At(0), Effect::kUnsafe, kUseful);
   EXPECT_GE(wait, Duration(0));
-  EXPECT_LE(wait, LastByte::kWaits.back());
+  EXPECT_LE(wait, LastByte::kDelays.back());
 }
 
 }  // namespace
--- a/tests/routing/table_test.cpp
+++ b/tests/routing/table_test.cpp
@@ -257,12 +257,12 @@
 
 TEST(RouteTable, BoundsOnRoutesHeadersAndCombinations) {
   std::string many = "version = 1\n", headers = many, shapes = many;
-  for (std::size_t i = 0; i <= routing::kMostRoutes; ++i)
+  for (std::size_t i = 0; i <= routing::kMaxRoutes; ++i)
     many += "[[route]]\nname = \"r" + std::to_string(i) + "\"\n";
   const Built too_many(many);
   ASSERT_FALSE(too_many.diagnostics.ok());
   EXPECT_EQ(too_many.diagnostics.messages().begin()->rule, "bound");
-  for (std::size_t i = 0; i <= routing::kMostHeaderNames; ++i)
+  for (std::size_t i = 0; i <= routing::kMaxHeaderNames; ++i)
     headers +=
         "[[route]]\nname = \"r" + std::to_string(i) + "\"\nmatch.header.h" + std::to_string(i) + " = \"x\"\n";
   const Built too_wide(headers);
