--- a/tests/distribution/list_history_test.cpp
+++ b/tests/distribution/list_history_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Lists of backends told as changes: whoever applies them holds the list, and nobody is told changes of a
-// list that it does not have.
+// Backend lists sent as incremental changes: applying them yields the newest list, and a receiver is never
+// sent changes to a list that it does not have.
 #include "distribution/list_history.h"
 
 #include <gtest/gtest.h>
@@ -43,7 +43,7 @@
   return instances;
 }
 
-// Some leave, some come, some change.
+// Removes, changes and adds some instances at random.
 std::vector<Instance> Next(std::vector<Instance> instances, int& last, double share, std::mt19937_64& draw) {
   std::bernoulli_distribution touched(share);
   std::erase_if(instances, [&](const Instance&) { return touched(draw) && draw() % 3 == 0; });
@@ -81,12 +81,13 @@
       EXPECT_FALSE(history.Since(revision - ListHistory::kMaxLists));
     }
   }
-  // A leader with another count: what was before is no base for what follows.
+  // A new leader whose revisions start lower: earlier lists are no base for its changes.
   history.Add(ListOf(3, instances));
   EXPECT_FALSE(history.Since(59));
 }
 
-// A tenth of 3,000 changes at once: a tenth of the bytes; a newcomer, and one of an earlier version, get all.
+// If a tenth of 3,000 backends change at once, the changes take about a tenth of the bytes. A new subscriber,
+// and one of an earlier version that takes no changes, get the whole list.
 TEST(ListHistory, SubscribersAreToldOnlyWhatTheyLack) {
   std::mt19937_64 draw(6);
   std::vector<Instance> instances;
@@ -114,7 +115,7 @@
   EXPECT_FALSE(of_before.list_changes);
   EXPECT_LT(size(changes) * 9, size(whole));
   EXPECT_LT(size(Compose({0, 2, 0, true}, now)), 200u);
-  // Through the wire.
+  // The changes survive encoding and decoding.
   const std::string frame = wire::EncodeFrame({"10.0.0.1", changes});
   const auto read = wire::DecodeEnvelope(std::string_view(frame).substr(wire::kLengthBytes));
   ASSERT_TRUE(read);
--- a/tests/distribution/load_feed_test.cpp
+++ b/tests/distribution/load_feed_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What is told of the loads of backends: within a budget, the largest changes first, and in the end the
-// truth.
+// Updates of backend loads stay within their budget, send the largest changes first, and converge to the
+// actual loads.
 #include "distribution/load_feed.h"
 
 #include <gtest/gtest.h>
@@ -25,13 +25,13 @@
 
 constexpr milliseconds kTick{50};
 
-// Backends whose loads wander; in order of keys.
+// Backends with randomly changing loads, in ascending order of keys.
 class Backends {
  public:
   explicit Backends(std::size_t count) : random_(count) {
     for (std::size_t i = 0; i < count; ++i) loads_.push_back({1000 + 7 * i, 0, 0});
   }
-  // Changes each with this chance.
+  // Changes each load with this probability.
   void Wander(double chance) {
     std::bernoulli_distribution changes(chance), idle(0.2);
     std::uniform_int_distribution<std::uint32_t> reading(0, 3000), running(0, 24);
@@ -41,7 +41,7 @@
                            : wire::BackendLoad{load.backend, reading(random_), running(random_)};
     }
   }
-  // As a board sums them up: idle ones are not there.
+  // The loads as LoadBoard sums them up, without idle backends.
   Loads busy() const {
     Loads busy;
     for (const wire::BackendLoad& load : loads_)
@@ -81,7 +81,7 @@
     }
     EXPECT_LE(bytes, 6000u * kSeconds + 3000u);
     if (count >= 300) {
-      EXPECT_GE(bytes, 3000u * kSeconds);  // and it is used
+      EXPECT_GE(bytes, 3000u * kSeconds);  // and the budget is used
     }
   }
 }
@@ -103,8 +103,7 @@
   }
 }
 
-// A tenth of 3,000 backends changes at once: the largest changes are told first, those of the own zone
-// before.
+// Many loads change at once: the largest changes are sent first, those of nearby backends before the others.
 TEST(LoadFeed, TheLargestChangesGoFirstAndTheOwnZonesBeforeOthers) {
   LoadFeed feed({6000, 3000, milliseconds(0)});
   Loads loads;
@@ -132,7 +131,7 @@
   EXPECT_EQ(feed.Next(milliseconds(100), {{1, 5, 0}}).size(), 1u);
   EXPECT_EQ(feed.Next(milliseconds(150), {}), (Loads{{1, 0, 0}}));
   EXPECT_TRUE(feed.Whole().loads.empty());
-  EXPECT_EQ(feed.Next(milliseconds(200), {{1, 3, 0}}).size(), 1u);  // work where there was none
+  EXPECT_EQ(feed.Next(milliseconds(200), {{1, 3, 0}}).size(), 1u);  // no longer idle
 }
 
 TEST(LoadFeed, ANewcomerIsToldWhatTheOthersHold) {
@@ -153,7 +152,7 @@
   EXPECT_EQ(first.Whole().loads, second.Whole().loads);
 }
 
-// Between members messages may be lost, doubled or late.
+// Messages between members may be lost, duplicated or delayed; repeats must correct the sums.
 TEST(LoadBoard, ChangesThatAreLostOrDoubledComeRightByRepeats) {
   LoadFeed feed({12000, 6000, milliseconds(2000)});
   LoadBoard board;
@@ -191,7 +190,7 @@
   EXPECT_EQ(board.Everywhere().loads, (Loads{{4, 5, 1}}));
 }
 
-// The word of a load's end was lost, and the member goes on without telling it again.
+// The message that ended a load was lost, and the member goes on without repeating that load.
 TEST(LoadBoard, ALoadThatIsNotToldAgainEnds) {
   LoadBoard board;
   board.ChangesFromMember(milliseconds(0), "m", {{{1, 5, 1}}, {}, 1});
@@ -211,7 +210,7 @@
   return list;
 }
 
-// Fifteen members, 3,000 backends, proxies in all zones: what one member sends and receives.
+// Limits on what one member sends, with 3,000 backends and proxies in all fifteen zones.
 TEST(LoadSharing, BytesOfAMemberAndAProxyAreBoundedAtFullSize) {
   constexpr int kBackends = 3000, kZones = 15, kProxies = 25, kSeconds = 10;
   control_plane::LoadSharing sharing;
--- a/tests/handover/last_byte_test.cpp
+++ b/tests/handover/last_byte_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// When it pays to hold the last byte of a request back.
+// Checks when the last byte of a request is delayed, and for how long.
 #include "handover/last_byte.h"
 
 #include <gtest/gtest.h>
@@ -14,8 +14,8 @@
 
 TimePoint At(double ms) { return TimePoint(Duration(1e7 + ms)); }
 
-// `n` attempts, one a millisecond, of which every `each`-th breaks `after` its first byte. Ends at the time
-// given back.
+// Records `n` attempts, one per millisecond, of which every `each`-th breaks `after` its first byte. Returns
+// the time after the last one.
 double Play(LastByte* last, double from, int n, int each, Duration after) {
   for (int i = 0; i < n; ++i) last->OnEnded(At(from + i), after, each > 0 && i % each == 0);
   return from + n;
@@ -50,7 +50,7 @@
   now = Play(&many, 0, 2000, 10, Duration(0.9));
   EXPECT_GT(many.WaitFor(At(now), Effect::kSafe, kUseful), Duration(0));
   EXPECT_GT(many.WaitFor(At(now), Effect::kKeyed, kUseful), Duration(0));
-  // A wait that is a large part of the time there is costs more than it saves.
+  // A delay that takes a large part of the remaining time costs more than it saves.
   EXPECT_EQ(many.WaitFor(At(now), Effect::kSafe, Duration(5)), Duration(0));
   EXPECT_EQ(many.WaitFor(At(now), Effect::kUnsafe, Duration(0)), Duration(0));
 }
@@ -62,12 +62,13 @@
   double now = Play(&last, 1, 500, 10, Duration(0.1));
   EXPECT_GT(last.WaitFor(At(now), Effect::kUnsafe, kUseful), Duration(0));
   EXPECT_EQ(last.WaitFor(At(now + 60000), Effect::kUnsafe, kUseful), Duration(0));
-  // The same where requests go on well.
+  // The same if requests succeed in the meantime.
   now = Play(&last, now, 60000, 0, Duration(20));
   EXPECT_EQ(last.WaitFor(At(now), Effect::kUnsafe, kUseful), Duration(0));
 }
 
-// While it holds it still sees what breaks within the wait, so that it neither forgets nor flaps.
+// While bytes are delayed, breaks within the delay are still observed, so that the decision does not
+// oscillate.
 TEST(LastByte, HoldsOnWhileItGoesOn) {
   LastByte last;
   double now = Play(&last, 0, 1000, 20, Duration(0.1));
--- a/tests/lifecycle/life_test.cpp
+++ b/tests/lifecycle/life_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The life of the process against a naive one, over every sequence of events; and what follows from it in
-// time.
+// Compares the lifecycle state machine with a naive model over every sequence of six events, and checks the
+// delays that follow from its state.
 #include "lifecycle/life.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 const Time kStart{std::chrono::hours(1)};
 Time After(int ms) { return kStart + Ms(ms); }
 
-// The words of the design note, without a state machine.
+// Reference model: derives the state from what has happened, without a state machine.
 struct Naive {
   bool listed = false, copied = false, stopped = false;
   int drains = 0;  // 1 while one holds
@@ -27,7 +27,7 @@
   }
 };
 
-// Where copies are waited for, and where they are not.
+// Both with and without waiting for copies of the state of other proxies.
 TEST(Life, EverySequenceOfSixEventsEndsAsTheNaiveOneDoes) {
   int sequences = 0;
   for (int code = 0; code < 2 * 15625; ++code) {
@@ -80,10 +80,10 @@
       int at = 0;
       while (!life.EndsIdle(After(at), long_idle, serial)) ++at;
       ends.insert(at);
-      EXPECT_GE(at, 300);  // the front's 0.2 s, and some
+      EXPECT_GE(at, 300);  // the 0.2 s in which new connections still arrive, and a margin
       EXPECT_LE(at, stop ? 600 : 1500);
     }
-    EXPECT_GT(ends.size(), 120u);  // not all in one instant
+    EXPECT_GT(ends.size(), 120u);  // spread over time
   }
 }
 
@@ -103,7 +103,7 @@
   life.Drain(kStart);
   EXPECT_FALSE(life.EndsHalfRead(After(1899), kStart));
   EXPECT_TRUE(life.EndsHalfRead(After(1900), kStart));
-  life.Drain(After(1800));  // again: its times go on from the first
+  life.Drain(After(1800));  // a repeated drain does not restart the delays
   EXPECT_TRUE(life.EndsHalfRead(After(1900), kStart));
   life.Resume();
   EXPECT_FALSE(life.EndsHalfRead(After(1900), kStart));
@@ -124,10 +124,10 @@
   Life life;
   life.Listed();
   EXPECT_TRUE(life.Takes(After(100000), Time::max()));
-  life.Drain(kStart);  // a drain ends no process
+  life.Drain(kStart);  // a drain does not stop the process
   EXPECT_TRUE(life.Takes(After(100000), Time::max()));
   life.Stop(kStart);
-  EXPECT_TRUE(life.Takes(After(699), Time::max()));  // what it finds unanswered of these is not lost
+  EXPECT_TRUE(life.Takes(After(699), Time::max()));  // not counted as lost if SIGKILL finds it unanswered
   EXPECT_FALSE(life.Takes(After(700), Time::max()));
   EXPECT_TRUE(life.Takes(After(700), After(3500)));
   EXPECT_FALSE(life.Takes(After(700), After(3501)));
@@ -136,10 +136,10 @@
 
 TEST(Life, AListenerOfItsOwnTakesWhatComesUntilTheFrontHasNoticed) {
   Life life;
-  EXPECT_TRUE(life.Accepts(kStart));  // /ready has to be answered before there is a list
+  EXPECT_TRUE(life.Accepts(kStart));  // /ready must be answered before there is a backend list
   life.Listed();
   life.Drain(kStart);
-  EXPECT_TRUE(life.Accepts(After(3600000)));  // a resume may come
+  EXPECT_TRUE(life.Accepts(After(3600000)));  // a resume may follow
   life.Stop(kStart);
   EXPECT_TRUE(life.Accepts(After(599)));
   EXPECT_FALSE(life.Accepts(After(600)));
@@ -151,7 +151,7 @@
   life.Listed();
   EXPECT_TRUE(life.Accepts(kStart));
   life.Drain(kStart);
-  EXPECT_TRUE(life.Accepts(After(60000)));  // nobody else may be there
+  EXPECT_TRUE(life.Accepts(After(60000)));  // there may be no other process
   life.Stop(After(60000));
   EXPECT_FALSE(life.Accepts(After(60000)));
 }
--- a/tests/pair/share_test.cpp
+++ b/tests/pair/share_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Two processes as one: their limits under a stale view of each other, and how they learn of each other.
+// Several processes of one proxy: their limits when each has a stale view of the other's usage, and how they
+// find each other.
 #include "pair/share.h"
 
 #include <gtest/gtest.h>
@@ -28,8 +29,9 @@
   EXPECT_EQ(AllowanceOf(384, {10, false}, {{50, true}}).memory, 0.5);
 }
 
-// Each moves towards its wish as far as it is allowed to, seeing the other as it was some steps ago. Whoever
-// was over its half at the start may only close.
+// Each process moves towards a random target as far as its limit allows, with a view of the other that is
+// some steps old. A process that starts above its half may only shrink. Guards against both exceeding the
+// total.
 TEST(Share, TogetherTheyNeverGrowPastTheTotal) {
   for (unsigned seed = 0; seed < 500; ++seed) {
     std::mt19937 random(seed);
@@ -74,7 +76,7 @@
   }
   EXPECT_TRUE(first.Others().empty());
   Registry after(folder.path(), "n1");
-  EXPECT_EQ(first.Others()[0].descriptors, 0);  // not what the one before it said
+  EXPECT_EQ(first.Others()[0].descriptors, 0);  // not the usage of the previous owner of the slot
 }
 
 TEST(Registry, AFourthProcessAndAFolderThatIsNoneServeAlone) {
@@ -99,7 +101,7 @@
   ASSERT_TRUE(first.joined() && second.joined());
   EXPECT_EQ(first.Others().size(), 1u);
   EXPECT_EQ(first.Others()[0].descriptors, 0);
-  EXPECT_TRUE(Registry(folder.path(), "../n1/\n").joined());  // a name is no path
+  EXPECT_TRUE(Registry(folder.path(), "../n1/\n").joined());  // the name is not used as a path
   EXPECT_FALSE(std::filesystem::exists(folder / "../n1"));
 }
 
