--- a/tests/lifecycle/life_test.cpp
+++ b/tests/lifecycle/life_test.cpp
@@ -32,7 +32,7 @@
   int sequences = 0;
   for (int code = 0; code < 2 * 15625; ++code) {
     const bool waits = code % 2;
-    Life life(/*queue_kept=*/false, waits);
+    Life life(/*listener_is_shared=*/false, waits);
     Naive naive;
     naive.copied = !waits;
     for (int step = 0, rest = code / 2; step < 6; ++step, rest /= 5) {
@@ -146,7 +146,7 @@
 }
 
 TEST(Life, AQueueThatOthersHaveTooIsLeftToWhoCanServe) {
-  Life life(/*queue_kept=*/true);
+  Life life(/*listener_is_shared=*/true);
   EXPECT_FALSE(life.Accepts(kStart));
   life.Listed();
   EXPECT_TRUE(life.Accepts(kStart));
