--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -39,8 +39,8 @@
 
 namespace {
 
-using kestrelline::testing::Ask;
-using kestrelline::testing::Built;
+using kestrelline::testing::LoadedRoutes;
+using kestrelline::testing::TestRequest;
 
 // Customers' paths, half of them for one tenant, a quarter by a header of their own; limits on every one.
 std::string File(int routes) {
@@ -64,15 +64,16 @@
 
 void BM_Find(benchmark::State& state) {
   const int routes = static_cast<int>(state.range(0));
-  const Built built(File(routes));
+  const LoadedRoutes built(File(routes));
   if (!built.routes) return state.SkipWithError(built.Said().c_str());
-  std::vector<Ask> asks;
+  std::vector<TestRequest> asks;
   for (int i = 0; i < 1024; ++i) {
     const std::string n = std::to_string(static_cast<int>(i * 7919L % routes));
-    asks.push_back(i % 4 == 0   ? Ask(1, "/convert/doc-81723.pdf", 0, {{"x-office", n}})
-                   : i % 4 == 1 ? Ask(0, "/preview/" + n + "/page/7?size=large", 0, {{"x-office", "none"}})
-                   : i % 4 == 2 ? Ask(2, "/certify/" + n + "/copies/3", 1)
-                                : Ask(2, "/certify/unknown/copies", 1));
+    asks.push_back(i % 4 == 0 ? TestRequest(1, "/convert/doc-81723.pdf", 0, {{"x-office", n}})
+                   : i % 4 == 1
+                       ? TestRequest(0, "/preview/" + n + "/page/7?size=large", 0, {{"x-office", "none"}})
+                   : i % 4 == 2 ? TestRequest(2, "/certify/" + n + "/copies/3", 1)
+                                : TestRequest(2, "/certify/unknown/copies", 1));
   }
   const std::size_t before = allocations;
   std::size_t i = 0;
@@ -88,7 +89,7 @@
   most_held = held;
   std::size_t kept = 0;
   for (auto _ : state) {
-    Built built(text);
+    LoadedRoutes built(text);
     if (!built.routes) return state.SkipWithError(built.Said().c_str());
     built.spec = {};
     kept = held - before;
--- a/tests/plugin/section_test.cpp
+++ b/tests/plugin/section_test.cpp
@@ -126,14 +126,14 @@
 }
 
 TEST(PluginSection, ARouteOfATagTakesTaggedRequestsOnly) {
-  struct Tagged : testing::Ask {
+  struct Tagged : testing::TestRequest {
     std::string tag;
     std::string_view Header(std::string_view name) const override {
       if (name == routing::kTagName && !tag.empty()) return tag;
-      return Ask::Header(name);
+      return TestRequest::Header(name);
     }
   };
-  const testing::Built built(
+  const testing::LoadedRoutes built(
       "version = 1\n[[route]]\nname = \"night\"\nmatch.tag = \"night\"\nmax_attempts = 1\n");
   ASSERT_TRUE(built.routes) << built.Said();
   Tagged ask;
--- a/tests/routing/refused_files_test.cpp
+++ b/tests/routing/refused_files_test.cpp
@@ -164,7 +164,7 @@
 
 TEST_P(RefusedFiles, NamesTheLineAndTheRule) {
   const Refused& p = GetParam();
-  const Built built("version = 1\n" + p.text);
+  const LoadedRoutes built("version = 1\n" + p.text);
   EXPECT_EQ(built.routes, nullptr);
   ASSERT_FALSE(built.diagnostics.ok());
   for (const auto& message : built.diagnostics.messages()) {
@@ -186,14 +186,14 @@
                                    {"[defaults]\n", "missing"},
                                    {"", "empty"},
                                    {"\n \t\n", "empty"}}) {
-    const Built built(text);
+    const LoadedRoutes built(text);
     ASSERT_FALSE(built.diagnostics.ok()) << text;
     EXPECT_EQ(built.diagnostics.messages().begin()->rule, rule) << built.Said();
   }
 }
 
 TEST(RefusedFilesTable, AllErrorsOfAFileAreReportedInItsOrder) {
-  const Built built(
+  const LoadedRoutes built(
       "version = 1\n[defaults]\npatience = \"5\"\nmax_attempts = 9\n[class.certify]\nsecond_copy_after = "
       "\"9ms\"\n[[route]]\nname = \"r\"\nmatch.class = \"x\"\nmatch.tenant = \"y\"\n");
   std::vector<unsigned> lines;
@@ -204,7 +204,7 @@
 TEST(RefusedFilesTable, AFileOfNothingButErrorsFillsNoLog) {
   std::string text = "version = 1\n";
   for (int i = 0; i < 5000; ++i) text += "key" + std::to_string(i) + " = " + std::to_string(i) + "\n";
-  const Built built(text);
+  const LoadedRoutes built(text);
   EXPECT_EQ(built.diagnostics.Lines().size(), operator_file::Diagnostics::kMostKept + 1);
   EXPECT_EQ(built.diagnostics.Lines().back(), "f.toml: and 4900 more");
 }
@@ -217,7 +217,7 @@
                                    {"version = 1\n[" + dots.substr(12) + "]\n", "bound"},
                                    {inline_dots + " = 1}\n", "bound"},
                                    {levels, "syntax"}}) {
-    const Built built(text);
+    const LoadedRoutes built(text);
     ASSERT_EQ(built.diagnostics.messages().size(), 1u);
     EXPECT_EQ(built.diagnostics.messages().begin()->rule, rule);
     EXPECT_EQ(built.diagnostics.messages().begin()->at.line, 2u);
@@ -230,12 +230,12 @@
   for (int i = 0; i < 20000; ++i) site.tenants.push_back("notary-of-the-district-" + std::to_string(i));
   std::string text = "version = 1\n[[route]]\nname = \"r\"\nmatch.tenant = [";
   for (int i = 0; i < 20000; ++i) text += "\"notary-of-a-district-" + std::to_string(i) + "\",";
-  const Built built(text + "]\n", site);
+  const LoadedRoutes built(text + "]\n", site);
   EXPECT_EQ(built.diagnostics.Lines().size(), operator_file::Diagnostics::kMostKept + 1);
 }
 
 TEST(RefusedFilesTable, ControlCharactersOfAFileDoNotReachTheLog) {
-  const Built built("version = 1\n\"a\\u001b[2J\\n\" = 1\n");
+  const LoadedRoutes built("version = 1\n\"a\\u001b[2J\\n\" = 1\n");
   ASSERT_EQ(built.diagnostics.Lines().size(), 1u);
   EXPECT_EQ(built.Said().find('\x1b'), std::string::npos);
   EXPECT_NE(built.Said().find("a?[2J?"), std::string::npos) << built.Said();
@@ -246,15 +246,15 @@
   routing::Site site = RoutingSite();
   site.settings.parallel_tries = true;
   const std::string copy = "version = 1\n[class.preview]\nsecond_copy_after = \"100ms\"\n";
-  EXPECT_NE(Built(copy, site).routes, nullptr) << Built(copy, site).Said();
+  EXPECT_NE(LoadedRoutes(copy, site).routes, nullptr) << LoadedRoutes(copy, site).Said();
   const std::string keyed = "version = 1\n[class.convert]\nsecond_copy_after = \"100ms\"\n";
-  EXPECT_EQ(Built(keyed, site).routes, nullptr);
+  EXPECT_EQ(LoadedRoutes(keyed, site).routes, nullptr);
   const std::string alone = "version = 1\n[class.preview]\nmax_attempts = 1\nsecond_copy_after = \"100ms\"\n";
-  EXPECT_EQ(Built(alone, site).diagnostics.messages().begin()->rule, "second-copy");
+  EXPECT_EQ(LoadedRoutes(alone, site).diagnostics.messages().begin()->rule, "second-copy");
   const std::string late =
       "version = 1\n[class.preview]\nmax_attempts = 2\nattempt_timeout = \"100ms\"\nsecond_copy_after = "
       "\"100ms\"\n";
-  EXPECT_EQ(Built(late, site).diagnostics.messages().begin()->rule, "second-copy");
+  EXPECT_EQ(LoadedRoutes(late, site).diagnostics.messages().begin()->rule, "second-copy");
 }
 
 TEST(AcceptedFiles, TimesThatJustFit) {
@@ -265,7 +265,7 @@
         "[class.certify]\npatience = \"1s\"\n", "[class.certify]\nretry_on = []\nattempt_timeout = \"1s\"\n",
         "[budget.a]\nshare = \"50%\"\n[budget.b]\nshare = \"50%\"\n[defaults]\nretry_budgets = [\"a\", "
         "\"b\"]\n"}) {
-    const Built built("version = 1\n" + std::string(text));
+    const LoadedRoutes built("version = 1\n" + std::string(text));
     EXPECT_NE(built.routes, nullptr) << built.Said();
   }
 }
--- a/tests/routing/rules_property_test.cpp
+++ b/tests/routing/rules_property_test.cpp
@@ -66,17 +66,17 @@
     const bool parallel = *rc::gen::inRange(0, 4) > 0;
     const routing::Site site = WorldSite(parallel);
     const std::string text = SomeFile(parallel);
-    const Built built(text, site);
+    const LoadedRoutes built(text, site);
     if (!built.routes) RC_DISCARD("a file that is refused");
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     RC_LOG() << "parallel tries " << parallel << ", seed of the events " << seed << "\n" << text;
     // A reload halfway: requests of both files are in flight together.
-    const Built other(SomeFile(parallel), site);
+    const LoadedRoutes other(SomeFile(parallel), site);
     int given = 0;
     brackenspoke::testing::World world(site.settings, seed, [&](int request_class, std::mt19937_64& random) {
       const bool reloaded = ++given > 600 && other.routes;
-      const Ask ask{request_class, "/" + site.classes[static_cast<std::size_t>(request_class)],
-                    static_cast<int>(random() % 2)};
+      const TestRequest ask{request_class, "/" + site.classes[static_cast<std::size_t>(request_class)],
+                            static_cast<int>(random() % 2)};
       auto limits = *(reloaded ? other : built).routes->Find(ask).limits;
       with_limits += limits != nullptr;
       return limits;
--- a/tests/routing/table_test.cpp
+++ b/tests/routing/table_test.cpp
@@ -18,7 +18,7 @@
 
 // ---- what a match means -------------------------------------------------------------------------------
 TEST(RouteTable, TheFirstThatMatchesHolds) {
-  const Built built(R"(version = 1
+  const LoadedRoutes built(R"(version = 1
 [[route]]
 name = "narrow"
 match = { path_prefix = "/preview/a", tenant = "acme" }
@@ -42,7 +42,7 @@
 }
 
 TEST(RouteTable, PrefixesAreOfWholeSegments) {
-  const Built built("version = 1\n[[route]]\nname = \"r\"\nmatch.path_prefix = \"/certify/1/\"\n");
+  const LoadedRoutes built("version = 1\n[[route]]\nname = \"r\"\nmatch.path_prefix = \"/certify/1/\"\n");
   ASSERT_NE(built.routes, nullptr) << built.Said();
   for (const char* path : {"/certify/1", "/certify/1/", "/certify/1/2", "/certify/1?x=/9", "/certify/1/2?x"})
     EXPECT_EQ(RouteOf(built, {kCertify, path}), "r") << path;
@@ -52,7 +52,7 @@
 }
 
 TEST(RouteTable, AllHeadersMustHoldAndAnAbsentOneIsNoEmptyOne) {
-  const Built built("version = 1\n[[route]]\nname = \"r\"\nmatch.header = { A = \"1\", b = \"\" }\n");
+  const LoadedRoutes built("version = 1\n[[route]]\nname = \"r\"\nmatch.header = { A = \"1\", b = \"\" }\n");
   ASSERT_NE(built.routes, nullptr) << built.Said();
   EXPECT_EQ(RouteOf(built, {kPreview, "/preview", -1, {{"a", "1"}, {"b", ""}}}), "r");
   EXPECT_EQ(RouteOf(built, {kPreview, "/preview", -1, {{"a", "1"}}}), "-");
@@ -69,11 +69,11 @@
 match.class = "preview"
 )";
   routing::Site site = RoutingSite();
-  EXPECT_EQ(RouteOf(Built(text, site), {kPreview, "/preview"}), "any");
+  EXPECT_EQ(RouteOf(LoadedRoutes(text, site), {kPreview, "/preview"}), "any");
   site.settings.zone = 1;
-  EXPECT_EQ(RouteOf(Built(text, site), {kPreview, "/preview"}), "south");
+  EXPECT_EQ(RouteOf(LoadedRoutes(text, site), {kPreview, "/preview"}), "south");
   // Hidden in every zone in which it holds, though not in all zones.
-  const Built hidden(
+  const LoadedRoutes hidden(
       "version = 1\n[[route]]\nname = \"a\"\nmatch.zone = \"south\"\n[[route]]\nname = \"b\"\n"
       "match = { zone = \"south\", tenant = \"acme\" }\n");
   ASSERT_FALSE(hidden.diagnostics.ok());
@@ -81,7 +81,7 @@
 }
 
 TEST(RouteTable, MethodsStandForTheClassesThatComeSo) {
-  const Built built(
+  const LoadedRoutes built(
       "version = 1\n[[route]]\nname = \"posts\"\nmatch.method = \"POST\"\n[[route]]\nname = \"gets\"\n");
   ASSERT_NE(built.routes, nullptr) << built.Said();
   EXPECT_EQ(RouteOf(built, {kCertify, "/certify"}), "posts");
@@ -89,7 +89,7 @@
 }
 
 TEST(RouteTable, LimitsAreInheritedFromTheClassThenTheDefaults) {
-  const Built built(R"(version = 1
+  const LoadedRoutes built(R"(version = 1
 [defaults]
 max_attempts = 2
 max_in_flight = 50
@@ -104,7 +104,7 @@
 match.class = "convert"
 )");
   ASSERT_NE(built.routes, nullptr) << built.Said();
-  const auto limits = [&](const Ask& ask) { return *built.routes->Find(ask).limits; };
+  const auto limits = [&](const TestRequest& ask) { return *built.routes->Find(ask).limits; };
   EXPECT_EQ(limits({kPreview, "/preview"})->max_attempts, 3);
   EXPECT_EQ(limits({kCertify, "/certify"})->max_attempts, 2);
   EXPECT_EQ(limits({kPreview, "/preview"})->max_in_flight, 5);
@@ -116,17 +116,17 @@
 }
 
 TEST(RouteTable, NothingSaidIsNoLimits) {
-  const Built built("version = 1\n[[route]]\nname = \"r\"\nmatch.class = \"preview\"\n");
-  EXPECT_EQ(*built.routes->Find(Ask{kPreview, "/preview"}).limits, nullptr);
-  EXPECT_EQ(*built.routes->Find(Ask{kCertify, "/certify"}).limits, nullptr);
+  const LoadedRoutes built("version = 1\n[[route]]\nname = \"r\"\nmatch.class = \"preview\"\n");
+  EXPECT_EQ(*built.routes->Find(TestRequest{kPreview, "/preview"}).limits, nullptr);
+  EXPECT_EQ(*built.routes->Find(TestRequest{kCertify, "/certify"}).limits, nullptr);
 }
 
 TEST(RouteTable, IdsStayTheSameOverAReload) {
   const std::string route = "[[route]]\nname = \"r\"\nmatch.class = \"preview\"\nmax_in_flight = 3\n";
-  const Built before("version = 1\n" + route);
-  const Built after("version = 1\n[[route]]\nname = \"new\"\nmatch.tenant = \"acme\"\n" + route);
-  EXPECT_EQ((*before.routes->Find(Ask{kPreview, "/preview"}).limits)->route,
-            (*after.routes->Find(Ask{kPreview, "/preview"}).limits)->route);
+  const LoadedRoutes before("version = 1\n" + route);
+  const LoadedRoutes after("version = 1\n[[route]]\nname = \"new\"\nmatch.tenant = \"acme\"\n" + route);
+  EXPECT_EQ((*before.routes->Find(TestRequest{kPreview, "/preview"}).limits)->route,
+            (*after.routes->Find(TestRequest{kPreview, "/preview"}).limits)->route);
 }
 
 // ---- the index against a plain reading ----------------------------------------------------------------
@@ -140,7 +140,7 @@
 }
 
 // As the file reads, route by route; only zone 0 is here.
-std::string Plainly(const routing::Spec& spec, const Ask& ask) {
+std::string Plainly(const routing::Spec& spec, const TestRequest& ask) {
   const std::string cls = kClasses[static_cast<std::size_t>(ask.cls)];
   const std::string tenant = ask.owner < 0 ? "" : kTenants[static_cast<std::size_t>(ask.owner)];
   const std::string path = ask.path.substr(0, ask.path.find('?'));
@@ -199,7 +199,7 @@
   std::string text = "version = 1\n";
   std::vector<std::string> hidden;
   for (const std::string& route : routes) {
-    const Built with(text + route);
+    const LoadedRoutes with(text + route);
     if (with.diagnostics.ok()) {
       text += route;
       continue;
@@ -208,10 +208,10 @@
     RC_ASSERT(message.rule == "hidden" || message.rule == "never");
     if (message.rule == "hidden") hidden.push_back(route);
   }
-  const Built built(text);
+  const LoadedRoutes built(text);
   RC_ASSERT(built.routes != nullptr);
   for (int i = 0; i < 100; ++i) {
-    Ask ask;
+    TestRequest ask;
     ask.cls = *rc::gen::inRange(0, 4);
     ask.owner = *rc::gen::inRange(-1, 2);
     ask.path = SomePath(kClasses[static_cast<std::size_t>(ask.cls)]);
@@ -222,7 +222,7 @@
     RC_ASSERT(found == Plainly(built.spec, ask));
     // What was called hidden takes nothing that is not taken already.
     for (const std::string& route : hidden) {
-      const Built alone("version = 1\n" + route);
+      const LoadedRoutes alone("version = 1\n" + route);
       RC_ASSERT(alone.diagnostics.ok());
       if (RouteOf(alone, ask) != "-") RC_ASSERT(found != "-");
     }
@@ -248,7 +248,7 @@
   for (int i = 0; i < 10000; ++i)
     text += "[[route]]\nname = \"r" + std::to_string(i) + "\"\nmatch.path_prefix = \"/certify/" +
             std::to_string(i) + "\"\n";
-  const Built built(text);
+  const LoadedRoutes built(text);
   ASSERT_NE(built.routes, nullptr) << built.Said();
   EXPECT_EQ(built.routes->combinations(), 1u);
   EXPECT_EQ(RouteOf(built, {kCertify, "/certify/9999/x"}), "r9999");
@@ -259,13 +259,13 @@
   std::string many = "version = 1\n", headers = many, shapes = many;
   for (std::size_t i = 0; i <= routing::kMaxRoutes; ++i)
     many += "[[route]]\nname = \"r" + std::to_string(i) + "\"\n";
-  const Built too_many(many);
+  const LoadedRoutes too_many(many);
   ASSERT_FALSE(too_many.diagnostics.ok());
   EXPECT_EQ(too_many.diagnostics.messages().begin()->rule, "bound");
   for (std::size_t i = 0; i <= routing::kMaxHeaderNames; ++i)
     headers +=
         "[[route]]\nname = \"r" + std::to_string(i) + "\"\nmatch.header.h" + std::to_string(i) + " = \"x\"\n";
-  const Built too_wide(headers);
+  const LoadedRoutes too_wide(headers);
   ASSERT_FALSE(too_wide.diagnostics.ok());
   EXPECT_EQ(too_wide.diagnostics.messages().begin()->rule, "bound");
   for (int i = 0; i < 40; ++i) {
@@ -275,7 +275,7 @@
         shapes += "match.header.h" + std::to_string(bit) + " = \"" + std::to_string(i) + "\"\n";
     }
   }
-  const Built too_odd(shapes);
+  const LoadedRoutes too_odd(shapes);
   ASSERT_FALSE(too_odd.diagnostics.ok());
   EXPECT_EQ(too_odd.diagnostics.messages().begin()->rule, "bound");
 }
--- a/tests/support/routing_site.h
+++ b/tests/support/routing_site.h
@@ -43,8 +43,9 @@
 }
 
 // A file read and built; `routes` is null and `diagnostics` says why if it is refused.
-struct Built {
-  explicit Built(std::string_view text, const routing::Site& site = RoutingSite()) : diagnostics("f.toml") {
+struct LoadedRoutes {
+  explicit LoadedRoutes(std::string_view text, const routing::Site& site = RoutingSite())
+      : diagnostics("f.toml") {
     const auto sections = routing::Sections(&spec);
     operator_file::ReadDocument(text, sections, &diagnostics);
     routes = routing::RouteTable::Build(spec, site, &diagnostics);
@@ -61,13 +62,13 @@
   std::shared_ptr<const routing::RouteTable> routes;
 };
 
-struct Ask : routing::RequestView {
+struct TestRequest : routing::RequestView {
   int cls = 0, owner = -1;
   std::string path = "/preview";
   std::map<std::string, std::string, std::less<>> headers;
 
-  Ask() = default;
-  Ask(int c, std::string p, int t = -1, std::map<std::string, std::string, std::less<>> h = {})
+  TestRequest() = default;
+  TestRequest(int c, std::string p, int t = -1, std::map<std::string, std::string, std::less<>> h = {})
       : cls(c), owner(t), path(std::move(p)), headers(std::move(h)) {}
   int request_class() const override { return cls; }
   int tenant() const override { return owner; }
@@ -79,7 +80,7 @@
 };
 
 // The name of the route that a request takes; "-" for none.
-inline std::string RouteOf(const Built& built, const Ask& ask) {
+inline std::string RouteOf(const LoadedRoutes& built, const TestRequest& ask) {
   const auto found = built.routes->Find(ask);
   return found.route == routing::RouteTable::kNone ? "-" : built.routes->routes()[found.route].name;
 }
