--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Look-up and load of routes, with 10, 1,000 and 10,000 of them. Counters: what a look-up allocates, and the
-// most heap that a load holds at once. Figures: docs/design/routes.md.
+// Measures lookups in and loading of a route table with 10, 1,000 and 10,000 routes. Counters: allocations
+// per lookup, and the peak heap use of a load. Results: docs/design/routes.md.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-// Counted: the figures are about what these give out. Not inlined, or the compiler takes the pair for a
-// mismatch.
+// Replaced to count allocations. Not inlined, because the compiler would otherwise warn of a mismatch between
+// new and free.
 [[gnu::noinline]] void* operator new(std::size_t size) {
   void* place = std::malloc(size);
   if (place == nullptr) throw std::bad_alloc();
@@ -42,7 +42,8 @@
 using kestrelline::testing::LoadedRoutes;
 using kestrelline::testing::TestRequest;
 
-// Customers' paths, half of them for one tenant, a quarter by a header of their own; limits on every one.
+// A file with one route per customer: half by path, a quarter by path and tenant, a quarter by class and
+// header; each with limits.
 std::string File(int routes) {
   std::string text =
       "version = 1\n[budget.repeats]\nshare = \"20%\"\n[defaults]\nretry_budgets = \"repeats\"\nmax_attempts "
--- a/tests/routing/balancer_limits_test.cpp
+++ b/tests/routing/balancer_limits_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the decision module makes of a route's limits, one at a time.
+// Checks how the decision module applies the limits of a route, one limit at a time.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -21,7 +21,7 @@
 class Limited : public Rig {
  public:
   explicit Limited(Settings settings = Usual()) : Rig(std::move(settings)) { Servers(6); }
-  // The server that it went to at once, if any.
+  // Submits a request and returns the server that it is sent to immediately, if any.
   std::optional<ServerId> Submitted(RequestId id, std::shared_ptr<const RouteLimits> limits, int cls = kSafe,
                                     double patience = 1000) {
     Submit s;
@@ -53,7 +53,7 @@
   rig.now += 150;
   rig.End(1, 0, *server, Outcome::kError);
   ASSERT_TRUE(rig.Sent());
-  EXPECT_EQ(rig.Sent()->timeout.count(), 50);  // what is left of the patience
+  EXPECT_EQ(rig.Sent()->timeout.count(), 50);  // the rest of `patience`
   rig.now += 50;
   rig.End(1, 1, rig.Sent()->server, Outcome::kTimeout);
   EXPECT_EQ(rig.Count<Dispatch>(), 0);
@@ -141,8 +141,7 @@
   EXPECT_EQ(rig.Count<Fail>(), 1) << "given up, so answered now";
 }
 
-// Budgets start with nothing in them: a proxy that has just started may not repeat its way through a bad
-// spell.
+// Budgets start empty, so that a proxy that has just started does not add retries to an overload.
 TEST(RouteLimits, ABudgetIsEarnedByFirstAttemptsAndForgottenAfterItsWindow) {
   Limited rig;
   auto limits = Limits();
--- a/tests/routing/refused_files_test.cpp
+++ b/tests/routing/refused_files_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Files that must be refused, each with the line and the rule that it is refused by.
+// Files that must be rejected, each with the expected line and rule of the diagnostic.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -209,7 +209,7 @@
   EXPECT_EQ(built.diagnostics.Lines().back(), "f.toml: and 4900 more");
 }
 
-// The library would take either apart by recursion, and end the process.
+// The TOML library parses both recursively and would overflow the stack.
 TEST(RefusedFilesTable, KeysOfAMillionDotsAndArraysOfAMillionLevels) {
   std::string dots = "version = 1\na", levels = "version = 1\na = ", inline_dots = "version = 1\na = {b";
   for (int i = 0; i < 1000000; ++i) dots += ".a", levels += "[", inline_dots += " . 'a'";
@@ -224,7 +224,7 @@
   }
 }
 
-// Without the bound on hints this compares 400 million pairs of names.
+// Without the limit on suggestions this would compare 400 million pairs of names.
 TEST(RefusedFilesTable, AFileOfUnknownTenantsIsRefusedSoonThoughThereAreMany) {
   routing::Site site = RoutingSite();
   for (int i = 0; i < 20000; ++i) site.tenants.push_back("notary-of-the-district-" + std::to_string(i));
@@ -241,7 +241,8 @@
   EXPECT_NE(built.Said().find("a?[2J?"), std::string::npos) << built.Said();
 }
 
-// What the settings of another platform allow is accepted there, so that the refusals above are about it.
+// On a platform that allows second copies they are accepted, which shows that the rejections above are due to
+// the platform's setting.
 TEST(AcceptedFiles, SecondCopiesWhereThePlatformAllowsThem) {
   routing::Site site = RoutingSite();
   site.settings.parallel_tries = true;
--- a/tests/routing/rules_property_test.cpp
+++ b/tests/routing/rules_property_test.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Random files that are accepted, times random rounds of events into a Balancer that is given their limits:
-// the four rules hold, and nothing goes wider than its route. Rapidcheck prints the seed of a failure.
+// Feeds random events to a Balancer with the limits of random accepted files, and checks that the rules of
+// the platform hold and that no request exceeds the limits of its route. Rapidcheck prints the seed of a
+// failure.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -14,7 +15,7 @@
 namespace kestrelline::testing {
 namespace {
 
-// The classes of harness.h under the names of a platform.
+// A site with the request classes of harness.h.
 routing::Site WorldSite(bool parallel) {
   routing::Site site;
   site.settings = brackenspoke::testing::Usual();
@@ -87,13 +88,13 @@
     RC_ASSERT(!::testing::Test::HasFailure());
   });
   EXPECT_TRUE(kept);
-  // The rounds must exercise what they are about.
+  // The runs must have exercised limits, attempts and copies.
   EXPECT_GT(with_limits, 5000u);
   EXPECT_GT(attempts, 5000u);
   EXPECT_GT(copies, 10u);
 }
 
-// Limits that no file could bring: the module narrows by them and is not led astray.
+// Limits out of the range that any file could set: the decision module must still keep the rules.
 TEST(RoutesAndRules, LimitsOutOfAllBoundsNeverBreakARule) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
--- a/tests/routing/table_test.cpp
+++ b/tests/routing/table_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Look-ups: the index against a plain reading of the file, and what each kind of match means.
+// Checks what each kind of match means, and compares lookups in the index with a linear scan of the file.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
@@ -72,7 +72,7 @@
   EXPECT_EQ(RouteOf(LoadedRoutes(text, site), {kPreview, "/preview"}), "any");
   site.settings.zone = 1;
   EXPECT_EQ(RouteOf(LoadedRoutes(text, site), {kPreview, "/preview"}), "south");
-  // Hidden in every zone in which it holds, though not in all zones.
+  // Hidden in every zone in which it applies, though not in all zones.
   const LoadedRoutes hidden(
       "version = 1\n[[route]]\nname = \"a\"\nmatch.zone = \"south\"\n[[route]]\nname = \"b\"\n"
       "match = { zone = \"south\", tenant = \"acme\" }\n");
@@ -139,7 +139,7 @@
                                [&](const auto& name) { return name.value == value; });
 }
 
-// As the file reads, route by route; only zone 0 is here.
+// Reference implementation: scans the routes in order, for a proxy in zone 0.
 std::string Plainly(const routing::Spec& spec, const TestRequest& ask) {
   const std::string cls = kClasses[static_cast<std::size_t>(ask.cls)];
   const std::string tenant = ask.owner < 0 ? "" : kTenants[static_cast<std::size_t>(ask.owner)];
@@ -220,7 +220,7 @@
     }
     const std::string found = RouteOf(built, ask);
     RC_ASSERT(found == Plainly(built.spec, ask));
-    // What was called hidden takes nothing that is not taken already.
+    // A route that was rejected as hidden matches no request that is not matched already.
     for (const std::string& route : hidden) {
       const LoadedRoutes alone("version = 1\n" + route);
       RC_ASSERT(alone.diagnostics.ok());
--- a/tests/support/routing_site.h
+++ b/tests/support/routing_site.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A platform for tests of routes: a class of each kind, tenants and zones.
+// Test support for routes: a platform with a request class of each kind, tenants and zones.
 #ifndef KESTRELLINE_TESTS_SUPPORT_ROUTING_SITE_H_
 #define KESTRELLINE_TESTS_SUPPORT_ROUTING_SITE_H_
 
@@ -42,7 +42,8 @@
   return site;
 }
 
-// A file read and built; `routes` is null and `diagnostics` says why if it is refused.
+// Parses a file and builds its route table. If the file is rejected, `routes` is null and `diagnostics` has
+// the reasons.
 struct LoadedRoutes {
   explicit LoadedRoutes(std::string_view text, const routing::Site& site = RoutingSite())
       : diagnostics("f.toml") {
@@ -79,7 +80,7 @@
   }
 };
 
-// The name of the route that a request takes; "-" for none.
+// Returns the name of the route that a request matches; "-" if there is none.
 inline std::string RouteOf(const LoadedRoutes& built, const TestRequest& ask) {
   const auto found = built.routes->Find(ask);
   return found.route == routing::RouteTable::kNone ? "-" : built.routes->routes()[found.route].name;
