--- a/src/lifecycle/life.cpp
+++ b/src/lifecycle/life.cpp
@@ -26,13 +26,13 @@
   return "";
 }
 
-State Life::state() const {
+State ProcessLifecycle::state() const {
   if (stopping_) return State::kStopping;
   if (drained_) return State::kDraining;
   return servable() ? State::kReady : State::kStarting;
 }
 
-Done Life::Drain(Time now) {
+Done ProcessLifecycle::Drain(Time now) {
   if (stopping_) return Done::kStopping;
   if (drained_) return Done::kAlready;  // the delays still count from the first call
   drained_ = true;
@@ -40,38 +40,38 @@
   return Done::kDone;
 }
 
-Done Life::Resume() {
+Done ProcessLifecycle::Resume() {
   if (stopping_) return Done::kStopping;
   if (!drained_) return Done::kAlready;
   drained_ = false;
   return Done::kDone;
 }
 
-Done Life::Stop(Time now) {
+Done ProcessLifecycle::Stop(Time now) {
   if (stopping_) return Done::kAlready;
   stopping_ = true;
   stopping_since_ = now;
   return Done::kDone;
 }
 
-bool Life::Accepts(Time now) const {
+bool ProcessLifecycle::Accepts(Time now) const {
   if (listener_is_shared_) return !stopping_ && servable();
   return !stopping_ || Since(now) < times_.stop_accepting;
 }
 
-bool Life::EndsIdle(Time now, Time idle_since, std::uint64_t serial) const {
+bool ProcessLifecycle::EndsIdle(Time now, Time idle_since, std::uint64_t serial) const {
   if (!Leaving() || now - idle_since < times_.fresh) return false;
   const auto from = stopping_ ? times_.stop_from : times_.drain_from;
   const auto to = stopping_ ? times_.stop_to : times_.drain_to;
   return Since(now) >= from + std::chrono::duration_cast<Span>((to - from) * SpreadPoint(serial));
 }
 
-bool Life::EndsHalfRead(Time now, Time read_since) const {
+bool ProcessLifecycle::EndsHalfRead(Time now, Time read_since) const {
   return Leaving() && now - read_since >= times_.fresh &&
          Since(now) >= (stopping_ ? times_.stop_half : times_.drain_half);
 }
 
-bool Life::Takes(Time now, Time due) const {
+bool ProcessLifecycle::Takes(Time now, Time due) const {
   return !stopping_ || Since(now) < times_.stop_take || Since(due) <= times_.stop_end;
 }
 
--- a/src/lifecycle/life.h
+++ b/src/lifecycle/life.h
@@ -52,12 +52,12 @@
 // The outcome of a command.
 enum class Done { kDone, kAlready, kStopping };
 
-class Life {
+class ProcessLifecycle {
  public:
   // `listener_is_shared`: the listening socket is kept open by its owner, and other processes accept
   // connections on it. This process then accepts none before it can serve, nor after SIGTERM; another process
   // will. `waits_for_copies`: whether to wait for copies of the state of other proxies; see CopiesCame.
-  explicit Life(bool listener_is_shared = false, bool waits_for_copies = false, Times times = {})
+  explicit ProcessLifecycle(bool listener_is_shared = false, bool waits_for_copies = false, Times times = {})
       : times_(times), listener_is_shared_(listener_is_shared), copied_(!waits_for_copies) {}
 
   // Listed: a backend list has been received. CopiesCame: the copies have arrived, or the wait for them has
--- a/src/proxy/clients.cpp
+++ b/src/proxy/clients.cpp
@@ -33,8 +33,9 @@
 }  // namespace
 
 Clients::Clients(asio::io_context& io, const Config& config, Places places,
-                 const kestrelline::lifecycle::Life& life, kestrelline::management::Figures& figures,
-                 kestrelline::bodies::Budget& bodies, RequestHandler& handler)
+                 const kestrelline::lifecycle::ProcessLifecycle& life,
+                 kestrelline::management::Figures& figures, kestrelline::bodies::Budget& bodies,
+                 RequestHandler& handler)
     : io_(io),
       config_(config),
       places_(std::move(places)),
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -165,7 +165,7 @@
   void ArmTimer();
 
   Config config_;
-  kestrelline::lifecycle::Life life_;
+  kestrelline::lifecycle::ProcessLifecycle life_;
   kestrelline::management::Figures figures_;
   Routes routes_;
   Tagger tagger_;
--- a/tests/lifecycle/life_test.cpp
+++ b/tests/lifecycle/life_test.cpp
@@ -28,11 +28,11 @@
 };
 
 // Both with and without waiting for copies of the state of other proxies.
-TEST(Life, EverySequenceOfSixEventsEndsAsTheNaiveOneDoes) {
+TEST(ProcessLifecycle, EverySequenceOfSixEventsEndsAsTheNaiveOneDoes) {
   int sequences = 0;
   for (int code = 0; code < 2 * 15625; ++code) {
     const bool waits = code % 2;
-    Life life(/*listener_is_shared=*/false, waits);
+    ProcessLifecycle life(/*listener_is_shared=*/false, waits);
     Naive naive;
     naive.copied = !waits;
     for (int step = 0, rest = code / 2; step < 6; ++step, rest /= 5) {
@@ -68,9 +68,9 @@
   EXPECT_EQ(sequences, 31250);
 }
 
-TEST(Life, IdleConnectionsEndInASpreadWellBeforeFourSeconds) {
+TEST(ProcessLifecycle, IdleConnectionsEndInASpreadWellBeforeFourSeconds) {
   for (const bool stop : {false, true}) {
-    Life life;
+    ProcessLifecycle life;
     life.Listed();
     EXPECT_FALSE(life.EndsIdle(After(100000), kStart, 1));
     stop ? life.Stop(kStart) : life.Drain(kStart);
@@ -87,8 +87,8 @@
   }
 }
 
-TEST(Life, WhoHasJustComeIsAboutToAskAndMayStayAMoment) {
-  Life life;
+TEST(ProcessLifecycle, WhoHasJustComeIsAboutToAskAndMayStayAMoment) {
+  ProcessLifecycle life;
   life.Listed();
   life.Drain(kStart);
   const Time came = After(1600);
@@ -96,8 +96,8 @@
   EXPECT_TRUE(life.EndsIdle(came + Ms(150), came, 7));
 }
 
-TEST(Life, HalfARequestMayStayLongerAndEndsBeforeTheFourSecondsLookBack) {
-  Life life;
+TEST(ProcessLifecycle, HalfARequestMayStayLongerAndEndsBeforeTheFourSecondsLookBack) {
+  ProcessLifecycle life;
   life.Listed();
   EXPECT_FALSE(life.EndsHalfRead(After(100000), kStart));
   life.Drain(kStart);
@@ -112,16 +112,16 @@
   EXPECT_TRUE(life.EndsHalfRead(After(6100), kStart));
 }
 
-TEST(Life, WhatHasJustBegunToComeIsNotHalfARequestYet) {
-  Life life;
+TEST(ProcessLifecycle, WhatHasJustBegunToComeIsNotHalfARequestYet) {
+  ProcessLifecycle life;
   life.Listed();
   life.Stop(kStart);
   EXPECT_FALSE(life.EndsHalfRead(After(3149), After(3000)));
   EXPECT_TRUE(life.EndsHalfRead(After(3150), After(3000)));
 }
 
-TEST(Life, ALateRequestIsTakenOnlyIfItIsOverBeforeTheProcessMayBeKilled) {
-  Life life;
+TEST(ProcessLifecycle, ALateRequestIsTakenOnlyIfItIsOverBeforeTheProcessMayBeKilled) {
+  ProcessLifecycle life;
   life.Listed();
   EXPECT_TRUE(life.Takes(After(100000), Time::max()));
   life.Drain(kStart);  // a drain does not stop the process
@@ -134,8 +134,8 @@
   EXPECT_TRUE(life.Takes(After(3400), After(3500)));
 }
 
-TEST(Life, AListenerOfItsOwnTakesWhatComesUntilTheFrontHasNoticed) {
-  Life life;
+TEST(ProcessLifecycle, AListenerOfItsOwnTakesWhatComesUntilTheFrontHasNoticed) {
+  ProcessLifecycle life;
   EXPECT_TRUE(life.Accepts(kStart));  // /ready must be answered before there is a backend list
   life.Listed();
   life.Drain(kStart);
@@ -145,8 +145,8 @@
   EXPECT_FALSE(life.Accepts(After(600)));
 }
 
-TEST(Life, AQueueThatOthersHaveTooIsLeftToWhoCanServe) {
-  Life life(/*listener_is_shared=*/true);
+TEST(ProcessLifecycle, AQueueThatOthersHaveTooIsLeftToWhoCanServe) {
+  ProcessLifecycle life(/*listener_is_shared=*/true);
   EXPECT_FALSE(life.Accepts(kStart));
   life.Listed();
   EXPECT_TRUE(life.Accepts(kStart));
--- a/tests/management/commands_test.cpp
+++ b/tests/management/commands_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 struct Process : Operations {
-  lifecycle::Life life;
+  lifecycle::ProcessLifecycle life;
   Figures figures{{"preview", "a\"b\\c\nd"}};
   lifecycle::State state() const override { return life.state(); }
   lifecycle::Done Drain() override { return life.Drain({}); }
