--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -116,8 +116,8 @@
   std::unique_ptr<kestrelline::peers::Link> peers;      // null: it knows of none
   std::unique_ptr<kestrelline::replica::Link> replica;  // null: nothing is shared
   std::unique_ptr<kestrelline::replica::Claims> claims;
-  std::unique_ptr<kestrelline::concert::Link> concert;  // null: what all have is divided as configured
-  std::unique_ptr<kestrelline::concert::PartitionLink> partition;  // null: classes are served as ever
+  std::unique_ptr<kestrelline::quota::Link> concert;  // null: what all have is divided as configured
+  std::unique_ptr<kestrelline::quota::PartitionLink> partition;  // null: classes are served as ever
 };
 
 Fleet JoinPeers(boost::asio::io_context& io, kestrelline::proxy::Proxy& proxy,
@@ -156,20 +156,20 @@
     if (config.await_copies) r->WhenCurrent(shared->ready_within, [&proxy] { proxy.OnCopies(); });
   }
   if (divided) {
-    const kestrelline::concert::Link::Who place{config.settings.me, config.settings.balancers, config.seed};
-    fleet.concert = std::make_unique<kestrelline::concert::Link>(
+    const kestrelline::quota::Link::Who place{config.settings.me, config.settings.balancers, config.seed};
+    fleet.concert = std::make_unique<kestrelline::quota::Link>(
         io, *l, *divided, place,
-        kestrelline::concert::Link::Hooks{
-            [&proxy] { return proxy.requests(); },
-            [&proxy](const auto& s) { proxy.OnShare(s.share, s.until, s.after); }, say});
+        kestrelline::quota::Link::Hooks{[&proxy] { return proxy.requests(); },
+                                        [&proxy](const auto& s) { proxy.OnShare(s.share, s.until, s.after); },
+                                        say});
     auto* c = fleet.concert.get();
     hooks.figures = [before = hooks.figures, c] { return before() + c->FiguresText(); };
     hooks.hand_over = [before = hooks.hand_over, c] { c->HandOver(), before(); };
   }
   if (!loaded.partition.empty()) {
-    fleet.partition = std::make_unique<kestrelline::concert::PartitionLink>(
+    fleet.partition = std::make_unique<kestrelline::quota::PartitionLink>(
         *l, config.settings.balancers, loaded.partition, config.classes,
-        kestrelline::concert::PartitionLink::Hooks{
+        kestrelline::quota::PartitionLink::Hooks{
             [&proxy](int request_class, double per_s) { proxy.OnClassLimit(request_class, per_s); }, say});
     auto* p = fleet.partition.get();
     hooks.figures = [before = hooks.figures, p] { return before() + p->FiguresText(); };
--- a/src/app/operator_config.cpp
+++ b/src/app/operator_config.cpp
@@ -17,15 +17,15 @@
 
 // The one table of sections.
 std::vector<Section> AllSections(routing::Spec* routes, plugin::Spec* plugins, peers::Spec* peers,
-                                 replica::Spec* replica, concert::Spec* concert,
-                                 concert::PartitionSpec* partition) {
+                                 replica::Spec* replica, quota::Spec* concert,
+                                 quota::PartitionSpec* partition) {
   std::vector<Section> all;
   for (auto& section : routing::Sections(routes)) all.push_back(std::move(section));
   all.push_back(plugin::PluginSection(plugins));
   all.push_back(peers::PeersSection(peers));
   all.push_back(replica::ReplicaSection(replica));
-  all.push_back(concert::ConcertSection(concert));
-  all.push_back(concert::PartitionSection(partition));
+  all.push_back(quota::ConcertSection(concert));
+  all.push_back(quota::PartitionSection(partition));
   return all;
 }
 
@@ -62,8 +62,8 @@
   plugin::Spec plugins;
   peers::Spec peers;
   replica::Spec replica;
-  concert::Spec concert;
-  concert::PartitionSpec partition;
+  quota::Spec concert;
+  quota::PartitionSpec partition;
   config.site = SiteOf(platform);
   operator_file::ReadDocument(
       text, AllSections(&config.spec, &plugins, &peers, &replica, &concert, &partition), diagnostics);
@@ -80,9 +80,9 @@
   config.replica = replica::Build(
       replica, {config.peers.has_value(), ClaimedAt(config.spec), platform.memory_mb}, diagnostics);
   config.concert =
-      concert::Build(concert, {config.peers.has_value(), platform.settings.balancers}, diagnostics);
-  config.partition = concert::Build(
-      partition, concert::PartitionAround{config.peers.has_value(), platform.classes}, diagnostics);
+      quota::Build(concert, {config.peers.has_value(), platform.settings.balancers}, diagnostics);
+  config.partition = quota::Build(
+      partition, quota::PartitionAround{config.peers.has_value(), platform.classes}, diagnostics);
   if (!diagnostics->ok() || !config.routes || !config.plugins) return std::nullopt;
   if (keep == Keep::kOutcome) config.spec = {};
   return config;
--- a/src/app/operator_config.h
+++ b/src/app/operator_config.h
@@ -28,8 +28,8 @@
   std::shared_ptr<const plugin::PluginTable> plugins;  // checked as far as can be told without running them
   std::optional<peers::Settings> peers;                // nothing: off
   std::optional<replica::Settings> replica;            // the same
-  std::optional<concert::Settings> concert;            // the same
-  std::vector<concert::ClassPartition> partition;      // empty: off
+  std::optional<quota::Settings> concert;              // the same
+  std::vector<quota::ClassPartition> partition;        // empty: off
   routing::Spec spec;  // as worded, for those who explain it; empty unless kept
   routing::Site site;
 };
--- a/src/concert/link.cpp
+++ b/src/concert/link.cpp
@@ -7,7 +7,7 @@
 #include "concert/wire.h"
 #include "hashing/mix.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 namespace {
 
 constexpr char kDatagrams = 'c';  // of the peers' socket, those that are for this
@@ -129,4 +129,4 @@
   return text;
 }
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
--- a/src/concert/link.h
+++ b/src/concert/link.h
@@ -18,7 +18,7 @@
 #include "concert/settings.h"
 #include "peers/link.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 
 class Link {
  public:
@@ -63,6 +63,6 @@
   std::uint64_t sent_ = 0, received_ = 0, unread_ = 0;
 };
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
 
 #endif  // KESTRELLINE_CONCERT_LINK_H_
--- a/src/concert/message.h
+++ b/src/concert/message.h
@@ -8,7 +8,7 @@
 #include <compare>
 #include <cstdint>
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 
 using Time = std::chrono::steady_clock::time_point;
 using Span = std::chrono::steady_clock::duration;
@@ -48,6 +48,6 @@
   bool operator==(const Message&) const = default;
 };
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
 
 #endif  // KESTRELLINE_CONCERT_MESSAGE_H_
--- a/src/concert/node.cpp
+++ b/src/concert/node.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 namespace {
 
 // With four, a fifth of all datagrams lost left something unused four fifths of the time; with eight: see the
@@ -216,4 +216,4 @@
   return std::min(due, leading_ ? ask_due_ : stand_due_);
 }
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
--- a/src/concert/node.h
+++ b/src/concert/node.h
@@ -27,7 +27,7 @@
 #include "concert/voter.h"
 #include "peers/node.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 
 struct Outgoing {
   peers::Address to;
@@ -143,6 +143,6 @@
   std::vector<Event> events_;
 };
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
 
 #endif  // KESTRELLINE_CONCERT_NODE_H_
--- a/src/concert/partition.cpp
+++ b/src/concert/partition.cpp
@@ -7,7 +7,7 @@
 
 #include "operator/values.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 namespace {
 
 using operator_file::At;
@@ -101,4 +101,4 @@
   return d->ok() ? all : std::vector<ClassPartition>();
 }
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
--- a/src/concert/partition.h
+++ b/src/concert/partition.h
@@ -17,7 +17,7 @@
 #include "operator/document.h"
 #include "peers/reading.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 
 // Of a proxy: nobody is missing; some are, and it sees more than half of those configured; half or less;
 // nobody.
@@ -62,6 +62,6 @@
 std::vector<ClassPartition> Build(const PartitionSpec& spec, const PartitionAround& around,
                                   operator_file::Diagnostics* diagnostics);
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
 
 #endif  // KESTRELLINE_CONCERT_PARTITION_H_
--- a/src/concert/partition_link.cpp
+++ b/src/concert/partition_link.cpp
@@ -6,7 +6,7 @@
 
 #include "management/figures.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 
 PartitionLink::PartitionLink(peers::Link& peers, int configured, std::vector<ClassPartition> classes,
                              std::vector<std::string> names, Hooks hooks)
@@ -49,4 +49,4 @@
   return text;
 }
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
--- a/src/concert/partition_link.h
+++ b/src/concert/partition_link.h
@@ -12,7 +12,7 @@
 #include "concert/partition.h"
 #include "peers/link.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 
 class PartitionLink {
  public:
@@ -40,6 +40,6 @@
   Situation situation_ = Situation::kWhole;
 };
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
 
 #endif  // KESTRELLINE_CONCERT_PARTITION_LINK_H_
--- a/src/concert/pool.cpp
+++ b/src/concert/pool.cpp
@@ -7,7 +7,7 @@
 
 #include "concert/voter.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 namespace {
 
 constexpr double kEven =
@@ -69,4 +69,4 @@
   return parts;
 }
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
--- a/src/concert/pool.h
+++ b/src/concert/pool.h
@@ -14,7 +14,7 @@
 
 #include "concert/message.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 
 class Pool {
  public:
@@ -50,6 +50,6 @@
 // What each is to have of the pool: half of it in even parts, half by what comes to each.
 std::vector<double> Divided(double pool, const std::vector<double>& rates);
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
 
 #endif  // KESTRELLINE_CONCERT_POOL_H_
--- a/src/concert/rate_meter.h
+++ b/src/concert/rate_meter.h
@@ -8,7 +8,7 @@
 #include <cstdint>
 #include <utility>
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 
 class RateMeter {
  public:
@@ -28,6 +28,6 @@
   double rate_ = 0;
 };
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
 
 #endif  // KESTRELLINE_CONCERT_RATE_METER_H_
--- a/src/concert/settings.cpp
+++ b/src/concert/settings.cpp
@@ -6,7 +6,7 @@
 
 #include "operator/values.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 namespace {
 
 using operator_file::Kind;
@@ -56,4 +56,4 @@
   return s;
 }
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
--- a/src/concert/settings.h
+++ b/src/concert/settings.h
@@ -9,7 +9,7 @@
 #include "concert/message.h"
 #include "operator/document.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 
 struct Settings {
   double reserve = 0.25;                 // of the whole, divided for good by how many are configured
@@ -34,6 +34,6 @@
 std::optional<Settings> Build(const Spec& spec, const Around& around,
                               operator_file::Diagnostics* diagnostics);
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
 
 #endif  // KESTRELLINE_CONCERT_SETTINGS_H_
--- a/src/concert/voter.h
+++ b/src/concert/voter.h
@@ -11,7 +11,7 @@
 
 #include "concert/message.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 
 // Clocks that run this much too fast or too slow do no harm: whoever gives counts a span as longer, whoever
 // takes as shorter.
@@ -44,6 +44,6 @@
   Time until_;  // of the promise, or of the silence at the start
 };
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
 
 #endif  // KESTRELLINE_CONCERT_VOTER_H_
--- a/src/concert/wire.cpp
+++ b/src/concert/wire.cpp
@@ -5,7 +5,7 @@
 
 #include "peers/bytes.h"
 
-namespace kestrelline::concert::wire {
+namespace kestrelline::quota::wire {
 namespace {
 
 using std::chrono::milliseconds;
@@ -68,4 +68,4 @@
   return m;
 }
 
-}  // namespace kestrelline::concert::wire
+}  // namespace kestrelline::quota::wire
--- a/src/concert/wire.h
+++ b/src/concert/wire.h
@@ -12,7 +12,7 @@
 
 #include "concert/message.h"
 
-namespace kestrelline::concert::wire {
+namespace kestrelline::quota::wire {
 
 using Bytes = std::vector<std::uint8_t>;
 inline constexpr std::uint8_t kForm = 1;
@@ -23,6 +23,6 @@
 // Nothing unless it is a whole message within every bound.
 std::optional<Message> Decode(std::span<const std::uint8_t> bytes);
 
-}  // namespace kestrelline::concert::wire
+}  // namespace kestrelline::quota::wire
 
 #endif  // KESTRELLINE_CONCERT_WIRE_H_
--- a/src/sim/peering.cpp
+++ b/src/sim/peering.cpp
@@ -18,7 +18,7 @@
   options.zones = std::max(1, static_cast<int>(site.zones.size()));
   options.seed = seed;
   if (const auto settings = Peering::ConcertOf(site)) {
-    concert::Node::Options divided;
+    quota::Node::Options divided;
     divided.fleet = static_cast<std::uint32_t>(site.proxies);
     divided.lease = settings->lease;
     divided.reserve = settings->reserve;
@@ -30,14 +30,14 @@
 
 }  // namespace
 
-std::optional<concert::Settings> Peering::ConcertOf(const standin::SiteSpec& site) {
+std::optional<quota::Settings> Peering::ConcertOf(const standin::SiteSpec& site) {
   if (!site.concert) return std::nullopt;
   operator_file::Diagnostics diagnostics("[concert] of the site");
-  concert::Spec spec;
-  std::optional<concert::Settings> settings;
-  const std::array sections{concert::ConcertSection(&spec)};
+  quota::Spec spec;
+  std::optional<quota::Settings> settings;
+  const std::array sections{quota::ConcertSection(&spec)};
   if (operator_file::ReadDocument("version = 1\n[concert]\n" + *site.concert, sections, &diagnostics))
-    settings = concert::Build(spec, {.peers = site.peers, .balancers = site.proxies}, &diagnostics);
+    settings = quota::Build(spec, {.peers = site.peers, .balancers = site.proxies}, &diagnostics);
   std::string wrong;
   for (const std::string& line : diagnostics.Lines()) wrong += (wrong.empty() ? "" : "\n") + line;
   if (!wrong.empty()) throw std::invalid_argument(wrong);
@@ -49,11 +49,11 @@
       world_(OptionsOf(site, seed), &kernel),
       proxies_(static_cast<std::size_t>(site.proxies)) {
   for (int i = 0; i < site.proxies; ++i) names_.push_back({PeersWorld::Name(i), site.ZoneOf(i), 0});
-  world_.on_standing = [on_share = std::move(on_share)](int proxy, const concert::Node::Standing& standing) {
+  world_.on_standing = [on_share = std::move(on_share)](int proxy, const quota::Node::Standing& standing) {
     // As src/proxy words it for the module.
     constexpr double kNothing = 1e-9;
     kestrelline::Share share{std::max(standing.share, kNothing), {}, std::max(standing.after, kNothing)};
-    if (standing.until != concert::Time()) share.until = Node::TimeOf(PeersWorld::MomentOf(standing.until));
+    if (standing.until != quota::Time()) share.until = Node::TimeOf(PeersWorld::MomentOf(standing.until));
     on_share(static_cast<std::uint32_t>(proxy), share);
   };
 }
@@ -66,9 +66,9 @@
 }
 
 void Peering::Measure(std::uint32_t proxy, std::uint64_t life) {
-  kernel_.After(concert::RateMeter::kOver, [this, proxy, life] {
+  kernel_.After(quota::RateMeter::kOver, [this, proxy, life] {
     Proxy& p = proxies_[proxy];
-    concert::Node* node = world_.concert(static_cast<int>(proxy));
+    quota::Node* node = world_.concert(static_cast<int>(proxy));
     if (p.life != life || !node) return;
     if (!world_.paused(static_cast<int>(proxy))) node->SetRate(p.meter.Measure(p.requests));
     Measure(proxy, life);
--- a/src/sim/peering.h
+++ b/src/sim/peering.h
@@ -27,7 +27,7 @@
 
   // [concert] as the site words it, by the checks of the operator's file. Nothing if the site has none;
   // throws std::invalid_argument, with the reasons, if it is not right.
-  static std::optional<concert::Settings> ConcertOf(const standin::SiteSpec& site);
+  static std::optional<quota::Settings> ConcertOf(const standin::SiteSpec& site);
 
   // Both must outlive it. `on_share`: what a proxy's part is from now on.
   Peering(Kernel& kernel, const standin::SiteSpec& site, std::uint64_t seed, OnShare on_share);
@@ -47,7 +47,7 @@
  private:
   struct Proxy {
     std::uint64_t requests = 0, life = 0;
-    concert::RateMeter meter;
+    quota::RateMeter meter;
   };
 
   void Measure(std::uint32_t proxy, std::uint64_t life);
--- a/src/sim/peers_world.cpp
+++ b/src/sim/peers_world.cpp
@@ -70,10 +70,10 @@
     p.replica = std::make_unique<replica::Node>(std::move(shared), Now());
   }
   if (options_.concert) {
-    concert::Node::Options divided = *options_.concert;
+    quota::Node::Options divided = *options_.concert;
     divided.name = o.name, divided.boot = o.boot, divided.place = static_cast<std::uint32_t>(member);
     divided.seed ^= hashing::Mixed(o.seed + 1);
-    p.concert = std::make_unique<concert::Node>(std::move(divided), Now());
+    p.concert = std::make_unique<quota::Node>(std::move(divided), Now());
   }
   p.node = std::make_unique<peers::Node>(std::move(o), Now());
   p.told = {-1, {}, -1};
@@ -169,21 +169,21 @@
     Post(member, out.to, whole, {.message = std::make_shared<const peers::Message>(std::move(*message))});
   }
   if (p.concert) {
-    for (const concert::Event& event : p.concert->TakeEvents())
+    for (const quota::Event& event : p.concert->TakeEvents())
       if (on_divided) on_divided(member, event);
     if (const auto standing = p.concert->standing(); on_standing && standing != p.told) {
       p.told = standing;
       on_standing(member, standing);
     }
-    for (const concert::Outgoing& out : p.concert->TakeOutgoing()) {
-      const auto bytes = concert::wire::Encode(out.message);
+    for (const quota::Outgoing& out : p.concert->TakeOutgoing()) {
+      const auto bytes = quota::wire::Encode(out.message);
       const std::size_t whole = bytes.size() + peers::wire::kSealBytes;
       ++totals_.datagrams, ++totals_.divided_datagrams;
       totals_.bytes += whole, totals_.divided_bytes += whole;
-      auto message = concert::wire::Decode(bytes);
+      auto message = quota::wire::Decode(bytes);
       if (!message) throw std::logic_error("a datagram that cannot be read");
       Post(member, out.to, whole,
-           {.divided = std::make_shared<const concert::Message>(std::move(*message)),
+           {.divided = std::make_shared<const quota::Message>(std::move(*message)),
             .boot = p.node->self().boot});
     }
   }
--- a/src/sim/peers_world.h
+++ b/src/sim/peers_world.h
@@ -36,7 +36,7 @@
     // What they share beside the view; nothing without it. Names, zones and seeds are the members'.
     std::optional<replica::Node::Options> replica{};
     // What they divide; the same.
-    std::optional<concert::Node::Options> concert{};
+    std::optional<quota::Node::Options> concert{};
   };
   struct Totals {
     std::uint64_t datagrams = 0, bytes = 0;
@@ -82,7 +82,7 @@
   peers::Node* node(int member) { return members_[static_cast<std::size_t>(member)].node.get(); }
   // To write to it, or look: what it has to say goes out after Flush.
   replica::Node* replica(int member) { return members_[static_cast<std::size_t>(member)].replica.get(); }
-  concert::Node* concert(int member) { return members_[static_cast<std::size_t>(member)].concert.get(); }
+  quota::Node* concert(int member) { return members_[static_cast<std::size_t>(member)].concert.get(); }
   bool paused(int member) const { return members_[static_cast<std::size_t>(member)].paused; }
   void Flush(int member);
   bool runs(int member) const { return members_[static_cast<std::size_t>(member)].node != nullptr; }
@@ -96,8 +96,8 @@
   // Of every member, as they come.
   std::function<void(int member, const peers::Event&)> on_event;
   std::function<void(int member, const replica::Event&)> on_shared;
-  std::function<void(int member, const concert::Event&)> on_divided;
-  std::function<void(int member, const concert::Node::Standing&)> on_standing;  // each that is another
+  std::function<void(int member, const quota::Event&)> on_divided;
+  std::function<void(int member, const quota::Node::Standing&)> on_standing;  // each that is another
   std::function<void(int member, replica::Rounds::Id, replica::Rounds::Verdict)> on_verdict;
 
  private:
@@ -105,15 +105,15 @@
   struct Parcel {
     std::shared_ptr<const peers::Message> message{};
     std::shared_ptr<const replica::Message> shared{};
-    std::shared_ptr<const concert::Message> divided{};
+    std::shared_ptr<const quota::Message> divided{};
     std::uint64_t boot = 0;  // of who sent it
     peers::Address from{};   // the same
   };
   struct Process {
     std::unique_ptr<peers::Node> node;
     std::unique_ptr<replica::Node> replica;
-    std::unique_ptr<concert::Node> concert;
-    concert::Node::Standing told{-1, {}, -1};
+    std::unique_ptr<quota::Node> concert;
+    quota::Node::Standing told{-1, {}, -1};
     std::uint64_t life = 0;  // one more with each start and end: what was meant for another one is void
     int address = 0;
     bool paused = false, ticking = false;
--- a/tests/concert/partition_test.cpp
+++ b/tests/concert/partition_test.cpp
@@ -11,7 +11,7 @@
 
 #include "kestrelline/balancer.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 namespace {
 
 using peers::Reading;
@@ -184,4 +184,4 @@
 }
 
 }  // namespace
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
--- a/tests/concert/parts_test.cpp
+++ b/tests/concert/parts_test.cpp
@@ -12,7 +12,7 @@
 #include "concert/wire.h"
 #include "kestrelline/balancer.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 namespace {
 
 using std::chrono::milliseconds;
@@ -149,4 +149,4 @@
 }
 
 }  // namespace
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
--- a/tests/concert/world_test.cpp
+++ b/tests/concert/world_test.cpp
@@ -22,7 +22,7 @@
       : world(OptionsOf(members, seed, configured ? configured : members, reserve)),
         members_(members),
         draw(seed) {
-    world.on_divided = [this](int member, const concert::Event& event) { ++events[{member, event.kind}]; };
+    world.on_divided = [this](int member, const quota::Event& event) { ++events[{member, event.kind}]; };
     world.StartAll();
   }
   static PeersWorld::Options OptionsOf(int members, std::uint64_t seed, int configured, double reserve) {
@@ -76,7 +76,7 @@
   int Any() { return static_cast<int>(draw() % static_cast<std::uint64_t>(members_)); }
 
   PeersWorld world;
-  std::map<std::pair<int, concert::Event::Kind>, int> events;
+  std::map<std::pair<int, quota::Event::Kind>, int> events;
   double most = 0;
 
  private:
@@ -148,7 +148,7 @@
   w.world.net().Part({0, 1}, 5, true);
   ASSERT_TRUE(w.Until([&] { return w.Share(0) < 0.06 && w.Share(1) < 0.06 && w.Share(2) > 0.29; }));
   EXPECT_NEAR(w.Used(), 1, 0.01);  // both reserves are in use there
-  EXPECT_EQ(w.events.at({0, concert::Event::Kind::kLapsed}), 1);
+  EXPECT_EQ(w.events.at({0, quota::Event::Kind::kLapsed}), 1);
   w.Run(20000);
   EXPECT_NEAR(w.Share(0), 0.05, 1e-9);
   w.world.net().MendAll();
