--- a/src/app/operator_config.cpp
+++ b/src/app/operator_config.cpp
@@ -24,7 +24,7 @@
   all.push_back(plugin::PluginSection(plugins));
   all.push_back(peers::PeersSection(peers));
   all.push_back(replica::ReplicaSection(replica));
-  all.push_back(quota::ConcertSection(concert));
+  all.push_back(quota::QuotaSection(concert));
   all.push_back(quota::PartitionSection(partition));
   return all;
 }
@@ -82,7 +82,7 @@
   config.concert =
       quota::Build(concert, {config.peers.has_value(), platform.settings.balancers}, diagnostics);
   config.partition = quota::Build(
-      partition, quota::PartitionAround{config.peers.has_value(), platform.classes}, diagnostics);
+      partition, quota::PartitionContext{config.peers.has_value(), platform.classes}, diagnostics);
   if (!diagnostics->ok() || !config.routes || !config.plugins) return std::nullopt;
   if (keep == Keep::kOutcome) config.spec = {};
   return config;
--- a/src/concert/partition.cpp
+++ b/src/concert/partition.cpp
@@ -69,7 +69,7 @@
           }};
 }
 
-std::vector<ClassPartition> Build(const PartitionSpec& spec, const PartitionAround& around, Diagnostics* d) {
+std::vector<ClassPartition> Build(const PartitionSpec& spec, const PartitionContext& around, Diagnostics* d) {
   std::vector<ClassPartition> all;
   for (const PartitionSpec::Row& row : spec.rows) {
     if (!around.peers)
--- a/src/concert/partition.h
+++ b/src/concert/partition.h
@@ -54,12 +54,12 @@
 
 operator_file::Section PartitionSection(PartitionSpec* spec);
 
-struct PartitionAround {
+struct PartitionContext {
   bool peers = false;  // there is a [peers]
   std::vector<std::string> classes;
 };
 // By class, one at most for each. With the reasons in `diagnostics`, empty where something is not right.
-std::vector<ClassPartition> Build(const PartitionSpec& spec, const PartitionAround& around,
+std::vector<ClassPartition> Build(const PartitionSpec& spec, const PartitionContext& around,
                                   operator_file::Diagnostics* diagnostics);
 
 }  // namespace kestrelline::quota
--- a/src/concert/settings.cpp
+++ b/src/concert/settings.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-operator_file::Section ConcertSection(Spec* spec) {
+operator_file::Section QuotaSection(Spec* spec) {
   return {{"concert", Kind::kTable, "What proxies divide among those that live: [concert]; needs [peers]."},
           [spec](const TableReader& top, operator_file::Diagnostics* diagnostics) {
             const toml::table* table = top.Table("concert");
--- a/src/concert/settings.h
+++ b/src/concert/settings.h
@@ -24,7 +24,7 @@
   std::optional<operator_file::At<operator_file::Milliseconds>> lease;
 };
 
-operator_file::Section ConcertSection(Spec* spec);
+operator_file::Section QuotaSection(Spec* spec);
 
 struct Around {
   bool peers = false;  // there is a [peers]
--- a/src/sim/peering.cpp
+++ b/src/sim/peering.cpp
@@ -35,7 +35,7 @@
   operator_file::Diagnostics diagnostics("[concert] of the site");
   quota::Spec spec;
   std::optional<quota::Settings> settings;
-  const std::array sections{quota::ConcertSection(&spec)};
+  const std::array sections{quota::QuotaSection(&spec)};
   if (operator_file::ReadDocument("version = 1\n[concert]\n" + *site.concert, sections, &diagnostics))
     settings = quota::Build(spec, {.peers = site.peers, .balancers = site.proxies}, &diagnostics);
   std::string wrong;
--- a/tests/concert/partition_test.cpp
+++ b/tests/concert/partition_test.cpp
@@ -21,7 +21,7 @@
   PartitionSpec spec;
   const std::vector<operator_file::Section> sections{PartitionSection(&spec)};
   operator_file::ReadDocument("version = 1\n" + text, sections, &diagnostics);
-  const auto built = Build(spec, PartitionAround{peers, {"look", "change", "book"}}, &diagnostics);
+  const auto built = Build(spec, PartitionContext{peers, {"look", "change", "book"}}, &diagnostics);
   for (const auto& line : diagnostics.Lines()) *said += line + "\n";
   return built;
 }
--- a/tests/concert/parts_test.cpp
+++ b/tests/concert/parts_test.cpp
@@ -93,7 +93,7 @@
   for (const auto& [text, around, part] : table) {
     operator_file::Diagnostics diagnostics("f.toml");
     Spec spec;
-    const std::vector<operator_file::Section> sections{ConcertSection(&spec)};
+    const std::vector<operator_file::Section> sections{QuotaSection(&spec)};
     operator_file::ReadDocument("version = 1\n" + text, sections, &diagnostics);
     const auto settings = Build(spec, around, &diagnostics);
     std::string said;
