--- a/src/concert/link.cpp
+++ b/src/concert/link.cpp
@@ -57,7 +57,7 @@
 }
 
 void Link::Measure() {
-  measure_.expires_after(RateMeter::kOver);
+  measure_.expires_after(RateMeter::kInterval);
   measure_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
     const double rate = meter_.Measure(hooks_.requests());
--- a/src/concert/rate_meter.h
+++ b/src/concert/rate_meter.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How many requests come to a proxy a second, averaged. No I/O, no clock: it is asked once each kOver.
+// How many requests come to a proxy a second, averaged. No I/O, no clock: it is asked once each kInterval.
 #ifndef KESTRELLINE_CONCERT_RATE_METER_H_
 #define KESTRELLINE_CONCERT_RATE_METER_H_
 
@@ -12,7 +12,7 @@
 
 class RateMeter {
  public:
-  static constexpr std::chrono::seconds kOver{1};
+  static constexpr std::chrono::seconds kInterval{1};
 
   // `total`: requests that have come since the start.
   double Measure(std::uint64_t total) {
--- a/src/sim/peering.cpp
+++ b/src/sim/peering.cpp
@@ -66,7 +66,7 @@
 }
 
 void Peering::Measure(std::uint32_t proxy, std::uint64_t life) {
-  kernel_.After(quota::RateMeter::kOver, [this, proxy, life] {
+  kernel_.After(quota::RateMeter::kInterval, [this, proxy, life] {
     Proxy& p = proxies_[proxy];
     quota::Node* node = world_.concert(static_cast<int>(proxy));
     if (p.life != life || !node) return;
