--- a/src/concert/link.cpp
+++ b/src/concert/link.cpp
@@ -48,7 +48,7 @@
   o.name = peers_.node().self().name;
   o.boot = peers_.node().self().boot;
   o.seed = hashing::Mixed(o.boot ^ who_.seed);
-  o.place = static_cast<std::uint32_t>(who_.place);
+  o.member_index = static_cast<std::uint32_t>(who_.place);
   o.fleet = static_cast<std::uint32_t>(who_.fleet);
   o.lease = settings_.lease;
   o.reserve = settings_.reserve;
--- a/src/concert/node.cpp
+++ b/src/concert/node.cpp
@@ -102,7 +102,7 @@
   ask_due_ = now + options_.lease / kAsksALease;
   ++round_;
   rounds_[round_ % rounds_.size()] = {round_, now, {}};
-  if (voter_.Ask(now, term_)) OnSupport(round_, options_.place);
+  if (voter_.Ask(now, term_)) OnSupport(round_, options_.member_index);
   pool_.Tick(now);
   std::vector<std::uint64_t> holders{options_.boot};
   std::vector<double> rates{rate_};
@@ -180,7 +180,7 @@
   word.round = supports ? m.round : 0;
   word.greatest = voter_.greatest();
   word.number = ++word_;
-  word.place = options_.place;
+  word.place = options_.member_index;
   word.taken = granted_by_ == m.term ? granted_.number : 0;
   word.rate = rate_;
   words_[word_ % words_.size()] = {word_, now};
@@ -192,7 +192,8 @@
   if (!leading_ || m.term != term_) return;
   if (m.number > from->word) from->word = m.number, from->word_at = now, from->rate = m.rate;
   pool_.OnTaken(boot, m.taken);
-  if (m.round != 0 && m.place < options_.fleet && m.place != options_.place) OnSupport(m.round, m.place);
+  if (m.round != 0 && m.place < options_.fleet && m.place != options_.member_index)
+    OnSupport(m.round, m.place);
 }
 
 // ---- time ----------------------------------------------------------------------------------------------
--- a/src/concert/node.h
+++ b/src/concert/node.h
@@ -53,7 +53,7 @@
   struct Options {
     std::string name{};
     std::uint64_t boot = 0, seed = 0;
-    std::uint32_t place = 0;  // this proxy's number among those configured; beyond them it has no vote
+    std::uint32_t member_index = 0;  // this proxy's number among those configured; beyond them it has no vote
     std::uint32_t fleet = 1;  // so many are configured
     Span lease = std::chrono::seconds(2);
     double reserve = 0.25;  // 0 to 1
@@ -103,7 +103,7 @@
   };
 
   std::size_t Majority() const { return options_.fleet / 2 + 1; }
-  bool Votes() const { return !quiet_ && options_.place < options_.fleet; }
+  bool Votes() const { return !quiet_ && options_.member_index < options_.fleet; }
   double Reserve() const;
   void Stand(Time now);
   void StepBack(Time now);
--- a/src/sim/peers_world.cpp
+++ b/src/sim/peers_world.cpp
@@ -71,7 +71,7 @@
   }
   if (options_.concert) {
     quota::Node::Options divided = *options_.concert;
-    divided.name = o.name, divided.boot = o.boot, divided.place = static_cast<std::uint32_t>(member);
+    divided.name = o.name, divided.boot = o.boot, divided.member_index = static_cast<std::uint32_t>(member);
     divided.seed ^= hashing::Mixed(o.seed + 1);
     p.concert = std::make_unique<quota::Node>(std::move(divided), Now());
   }
