--- a/bench/concert_bench.cpp
+++ b/bench/concert_bench.cpp
@@ -36,7 +36,7 @@
   PeersWorld::Options options;
   options.members = members, options.zones = 3;
   options.concert.emplace();
-  options.concert->fleet = static_cast<std::uint32_t>(members);
+  options.concert->configured_members = static_cast<std::uint32_t>(members);
   options.concert->lease = lease;
   PeersWorld world(options);
   world.net().SetAll({.loss = loss, .delay = options.delay, .jitter = options.jitter});
--- a/src/concert/link.cpp
+++ b/src/concert/link.cpp
@@ -49,7 +49,7 @@
   o.boot = peers_.node().self().boot;
   o.seed = hashing::Mixed(o.boot ^ who_.seed);
   o.member_index = static_cast<std::uint32_t>(who_.place);
-  o.fleet = static_cast<std::uint32_t>(who_.fleet);
+  o.configured_members = static_cast<std::uint32_t>(who_.fleet);
   o.lease = settings_.lease;
   o.reserve = settings_.reserve;
   node_.emplace(std::move(o), Now());
--- a/src/concert/node.cpp
+++ b/src/concert/node.cpp
@@ -21,7 +21,9 @@
   Wait(now);
 }
 
-double Node::Reserve() const { return Votes() ? options_.reserve / static_cast<double>(options_.fleet) : 0; }
+double Node::Reserve() const {
+  return Votes() ? options_.reserve / static_cast<double>(options_.configured_members) : 0;
+}
 
 Node::Standing Node::standing() const {
   const double reserve = Reserve();
@@ -192,7 +194,7 @@
   if (!leading_ || m.term != term_) return;
   if (m.number > from->word) from->word = m.number, from->word_at = now, from->rate = m.rate;
   pool_.OnTaken(boot, m.taken);
-  if (m.round != 0 && m.place < options_.fleet && m.place != options_.member_index)
+  if (m.round != 0 && m.place < options_.configured_members && m.place != options_.member_index)
     OnSupport(m.round, m.place);
 }
 
--- a/src/concert/node.h
+++ b/src/concert/node.h
@@ -54,7 +54,7 @@
     std::string name{};
     std::uint64_t boot = 0, seed = 0;
     std::uint32_t member_index = 0;  // this proxy's number among those configured; beyond them it has no vote
-    std::uint32_t fleet = 1;  // so many are configured
+    std::uint32_t configured_members = 1;         // so many are configured
     Span lease = std::chrono::seconds(2);
     double reserve = 0.25;  // 0 to 1
   };
@@ -102,8 +102,8 @@
     std::set<std::uint32_t> supporters;  // their places
   };
 
-  std::size_t Majority() const { return options_.fleet / 2 + 1; }
-  bool Votes() const { return !quiet_ && options_.member_index < options_.fleet; }
+  std::size_t Majority() const { return options_.configured_members / 2 + 1; }
+  bool Votes() const { return !quiet_ && options_.member_index < options_.configured_members; }
   double Reserve() const;
   void Stand(Time now);
   void StepBack(Time now);
--- a/src/sim/peering.cpp
+++ b/src/sim/peering.cpp
@@ -19,7 +19,7 @@
   options.seed = seed;
   if (const auto settings = Peering::ConcertOf(site)) {
     quota::Node::Options divided;
-    divided.fleet = static_cast<std::uint32_t>(site.proxies);
+    divided.configured_members = static_cast<std::uint32_t>(site.proxies);
     divided.lease = settings->lease;
     divided.reserve = settings->reserve;
     divided.seed = seed;
--- a/tests/concert/world_test.cpp
+++ b/tests/concert/world_test.cpp
@@ -29,7 +29,7 @@
     PeersWorld::Options o;
     o.members = members, o.zones = 3, o.seed = seed;
     o.concert.emplace();
-    o.concert->fleet = static_cast<std::uint32_t>(configured);
+    o.concert->configured_members = static_cast<std::uint32_t>(configured);
     o.concert->reserve = reserve;
     return o;
   }
