--- a/src/concert/link.h
+++ b/src/concert/link.h
@@ -27,8 +27,8 @@
     std::uint64_t seed = 0;
   };
   struct Hooks {
-    std::function<std::uint64_t()> requests;                 // that have come since the start
-    std::function<void(const Node::Standing&)> on_standing;  // called with each that is another
+    std::function<std::uint64_t()> requests;                   // that have come since the start
+    std::function<void(const Node::ShareLease&)> on_standing;  // called with each that is another
     std::function<void(const std::string&)> log;
   };
 
@@ -57,7 +57,7 @@
   std::optional<Node> node_;  // nothing until others reach this process: an upgrade waits for its address
   bool handed_over_ = false;
   boost::asio::steady_timer timer_, measure_;
-  Node::Standing told_{-1, {}, -1};
+  Node::ShareLease told_{-1, {}, -1};
   RateMeter meter_;
   std::array<std::uint64_t, Event::kKinds> events_{};
   std::uint64_t sent_ = 0, received_ = 0, unread_ = 0;
--- a/src/concert/node.cpp
+++ b/src/concert/node.cpp
@@ -25,7 +25,7 @@
   return Votes() ? options_.reserve / static_cast<double>(options_.configured_members) : 0;
 }
 
-Node::Standing Node::standing() const {
+Node::ShareLease Node::standing() const {
   const double reserve = Reserve();
   if (!has_grant_) return {reserve, {}, reserve};
   return {reserve + granted_.share, granted_until_, reserve};
--- a/src/concert/node.h
+++ b/src/concert/node.h
@@ -71,15 +71,15 @@
   void Quit(Time now);
 
   // This proxy's part: `share` until `until`, from then on `after`, if nothing comes.
-  struct Standing {
+  struct ShareLease {
     double share = 0;
     Time until{};
     double after = 0;
-    bool operator==(const Standing&) const = default;
+    bool operator==(const ShareLease&) const = default;
   };
-  Standing standing() const;
+  ShareLease standing() const;
   double Share(Time now) const {
-    const Standing s = standing();
+    const ShareLease s = standing();
     return now < s.until ? s.share : s.after;
   }
   bool Leads(Time now) const { return leading_ && now < authority_until_; }
--- a/src/sim/peers_world.h
+++ b/src/sim/peers_world.h
@@ -97,7 +97,7 @@
   std::function<void(int member, const peers::Event&)> on_event;
   std::function<void(int member, const replica::Event&)> on_shared;
   std::function<void(int member, const quota::Event&)> on_divided;
-  std::function<void(int member, const quota::Node::Standing&)> on_standing;  // each that is another
+  std::function<void(int member, const quota::Node::ShareLease&)> on_standing;  // each that is another
   std::function<void(int member, replica::Rounds::Id, replica::Rounds::Verdict)> on_verdict;
 
  private:
@@ -113,7 +113,7 @@
     std::unique_ptr<peers::Node> node;
     std::unique_ptr<replica::Node> replica;
     std::unique_ptr<quota::Node> concert;
-    quota::Node::Standing told{-1, {}, -1};
+    quota::Node::ShareLease told{-1, {}, -1};
     std::uint64_t life = 0;  // one more with each start and end: what was meant for another one is void
     int address = 0;
     bool paused = false, ticking = false;
