--- a/src/concert/link.cpp
+++ b/src/concert/link.cpp
@@ -79,7 +79,7 @@
     peers_.SendOther(kDatagrams, {&out.to, 1}, wire::Encode(out.message));
   }
   for (const Event& event : node_->TakeEvents()) Say(event);
-  if (const auto standing = node_->standing(); standing != told_) {
+  if (const auto standing = node_->share_lease(); standing != told_) {
     told_ = standing;
     hooks_.on_standing(standing);
   }
--- a/src/concert/node.h
+++ b/src/concert/node.h
@@ -54,7 +54,7 @@
     std::string name{};
     std::uint64_t boot = 0, seed = 0;
     std::uint32_t member_index = 0;  // this proxy's number among those configured; beyond them it has no vote
-    std::uint32_t configured_members = 1;         // so many are configured
+    std::uint32_t configured_members = 1;  // so many are configured
     Span lease = std::chrono::seconds(2);
     double reserve = 0.25;  // 0 to 1
   };
@@ -77,9 +77,9 @@
     double after = 0;
     bool operator==(const ShareLease&) const = default;
   };
-  ShareLease standing() const;
+  ShareLease share_lease() const;
   double Share(Time now) const {
-    const ShareLease s = standing();
+    const ShareLease s = share_lease();
     return now < s.until ? s.share : s.after;
   }
   bool Leads(Time now) const { return leading_ && now < authority_until_; }
--- a/src/sim/peers_world.cpp
+++ b/src/sim/peers_world.cpp
@@ -171,7 +171,7 @@
   if (p.concert) {
     for (const quota::Event& event : p.concert->TakeEvents())
       if (on_divided) on_divided(member, event);
-    if (const auto standing = p.concert->standing(); on_standing && standing != p.told) {
+    if (const auto standing = p.concert->share_lease(); on_standing && standing != p.told) {
       p.told = standing;
       on_standing(member, standing);
     }
