--- a/src/concert/link.cpp
+++ b/src/concert/link.cpp
@@ -37,7 +37,7 @@
   if (peers_.listens()) {
     Begin();
   } else {
-    hooks_.on_standing({});  // what this proxy has is its predecessor's yet
+    hooks_.on_share_lease({});  // what this proxy has is its predecessor's yet
   }
 }
 
@@ -81,7 +81,7 @@
   for (const Event& event : node_->TakeEvents()) Say(event);
   if (const auto standing = node_->share_lease(); standing != told_) {
     told_ = standing;
-    hooks_.on_standing(standing);
+    hooks_.on_share_lease(standing);
   }
   const Time due = node_->NextDue();
   if (due == Time::max()) return;
--- a/src/concert/link.h
+++ b/src/concert/link.h
@@ -27,8 +27,8 @@
     std::uint64_t seed = 0;
   };
   struct Hooks {
-    std::function<std::uint64_t()> requests;                   // that have come since the start
-    std::function<void(const Node::ShareLease&)> on_standing;  // called with each that is another
+    std::function<std::uint64_t()> requests;                      // that have come since the start
+    std::function<void(const Node::ShareLease&)> on_share_lease;  // called with each that is another
     std::function<void(const std::string&)> log;
   };
 
--- a/src/sim/peering.cpp
+++ b/src/sim/peering.cpp
@@ -49,7 +49,8 @@
       world_(OptionsOf(site, seed), &kernel),
       proxies_(static_cast<std::size_t>(site.proxies)) {
   for (int i = 0; i < site.proxies; ++i) names_.push_back({PeersWorld::Name(i), site.ZoneOf(i), 0});
-  world_.on_standing = [on_share = std::move(on_share)](int proxy, const quota::Node::ShareLease& standing) {
+  world_.on_share_lease = [on_share = std::move(on_share)](int proxy,
+                                                           const quota::Node::ShareLease& standing) {
     // As src/proxy words it for the module.
     constexpr double kNothing = 1e-9;
     kestrelline::Share share{std::max(standing.share, kNothing), {}, std::max(standing.after, kNothing)};
--- a/src/sim/peers_world.cpp
+++ b/src/sim/peers_world.cpp
@@ -171,9 +171,9 @@
   if (p.concert) {
     for (const quota::Event& event : p.concert->TakeEvents())
       if (on_divided) on_divided(member, event);
-    if (const auto standing = p.concert->share_lease(); on_standing && standing != p.told) {
+    if (const auto standing = p.concert->share_lease(); on_share_lease && standing != p.told) {
       p.told = standing;
-      on_standing(member, standing);
+      on_share_lease(member, standing);
     }
     for (const quota::Outgoing& out : p.concert->TakeOutgoing()) {
       const auto bytes = quota::wire::Encode(out.message);
--- a/src/sim/peers_world.h
+++ b/src/sim/peers_world.h
@@ -97,7 +97,7 @@
   std::function<void(int member, const peers::Event&)> on_event;
   std::function<void(int member, const replica::Event&)> on_shared;
   std::function<void(int member, const quota::Event&)> on_divided;
-  std::function<void(int member, const quota::Node::ShareLease&)> on_standing;  // each that is another
+  std::function<void(int member, const quota::Node::ShareLease&)> on_share_lease;  // each that is another
   std::function<void(int member, replica::Rounds::Id, replica::Rounds::Verdict)> on_verdict;
 
  private:
