--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -156,7 +156,8 @@
     if (config.await_copies) r->WhenCurrent(shared->ready_within, [&proxy] { proxy.OnCopies(); });
   }
   if (divided) {
-    const kestrelline::quota::Link::Who place{config.settings.me, config.settings.balancers, config.seed};
+    const kestrelline::quota::Link::Identity place{config.settings.me, config.settings.balancers,
+                                                   config.seed};
     fleet.concert = std::make_unique<kestrelline::quota::Link>(
         io, *l, *divided, place,
         kestrelline::quota::Link::Hooks{[&proxy] { return proxy.requests(); },
--- a/src/concert/link.cpp
+++ b/src/concert/link.cpp
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-Link::Link(boost::asio::io_context& io, peers::Link& peers, const Settings& settings, const Who& who,
+Link::Link(boost::asio::io_context& io, peers::Link& peers, const Settings& settings, const Identity& identity,
            Hooks hooks)
-    : peers_(peers), settings_(settings), who_(who), hooks_(std::move(hooks)), timer_(io), measure_(io) {
+    : peers_(peers), settings_(settings), identity_(identity), hooks_(std::move(hooks)), timer_(io), measure_(io) {
   peers_.OnEvent([this](const peers::Event& event) {
     Begin();
     node_->OnPeer(Now(), event);
@@ -47,9 +47,9 @@
   Node::Options o;
   o.name = peers_.node().self().name;
   o.boot = peers_.node().self().boot;
-  o.seed = hashing::Mixed(o.boot ^ who_.seed);
-  o.member_index = static_cast<std::uint32_t>(who_.place);
-  o.configured_members = static_cast<std::uint32_t>(who_.fleet);
+  o.seed = hashing::Mixed(o.boot ^ identity_.seed);
+  o.member_index = static_cast<std::uint32_t>(identity_.place);
+  o.configured_members = static_cast<std::uint32_t>(identity_.fleet);
   o.lease = settings_.lease;
   o.reserve = settings_.reserve;
   node_.emplace(std::move(o), Now());
--- a/src/concert/link.h
+++ b/src/concert/link.h
@@ -22,7 +22,7 @@
 
 class Link {
  public:
-  struct Who {
+  struct Identity {
     int place = 0, fleet = 1;  // this proxy's number, and how many are configured
     std::uint64_t seed = 0;
   };
@@ -33,7 +33,7 @@
   };
 
   // `peers` must outlive it.
-  Link(boost::asio::io_context& io, peers::Link& peers, const Settings& settings, const Who& who,
+  Link(boost::asio::io_context& io, peers::Link& peers, const Settings& settings, const Identity& identity,
        Hooks hooks);
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
@@ -52,7 +52,7 @@
 
   peers::Link& peers_;
   Settings settings_;
-  Who who_;
+  Identity identity_;
   Hooks hooks_;
   std::optional<Node> node_;  // nothing until others reach this process: an upgrade waits for its address
   bool handed_over_ = false;
