--- a/src/replica/link.cpp
+++ b/src/replica/link.cpp
@@ -141,7 +141,7 @@
       if (found == waiting_.end()) continue;
       const auto then = std::move(found->second);
       waiting_.erase(found);
-      then(verdict == Rounds::Verdict::kHeld);
+      then(verdict == PendingClaims::Verdict::kHeld);
     }
     Flush();
   });
--- a/src/replica/link.h
+++ b/src/replica/link.h
@@ -62,8 +62,8 @@
   std::function<void()> held_elsewhere_, current_;
   bool handing_over_ = false;
   Time armed_for_ = Time::max();
-  std::unordered_map<Rounds::Id, std::function<void(bool)>> waiting_;
-  Rounds::Id last_id_ = 0;
+  std::unordered_map<PendingClaims::Id, std::function<void(bool)>> waiting_;
+  PendingClaims::Id last_id_ = 0;
   std::array<std::uint64_t, Event::kKinds> events_{};
   std::uint64_t sent_ = 0, received_ = 0, unread_ = 0;
 };
--- a/src/replica/node.cpp
+++ b/src/replica/node.cpp
@@ -134,8 +134,8 @@
   return seq;
 }
 
-void Node::WriteAndWait(Time now, Rounds::Id id, const Subject& subject, Span keep, std::uint32_t value,
-                        std::size_t k, Span within) {
+void Node::WriteAndWait(Time now, PendingClaims::Id id, const Subject& subject, Span keep,
+                        std::uint32_t value, std::size_t k, Span within) {
   const Seq seq = Write(now, subject, keep, value);
   // What nobody holds here, nobody else is asked to: it has no room.
   const Quorum quorum = seq == 0 ? Quorum{kDirect + 1, 0} : Quorum::Of(members(), k);
--- a/src/replica/node.h
+++ b/src/replica/node.h
@@ -89,7 +89,7 @@
   // Holds from now on, for `keep`, here at once and at others soon. 0 for no room.
   Seq Write(Time now, const Subject& subject, Span keep, std::uint32_t value);
   // The same; the verdict on `id` comes when `k` others hold it, or by `within`. See rounds.h.
-  void WriteAndWait(Time now, Rounds::Id id, const Subject& subject, Span keep, std::uint32_t value,
+  void WriteAndWait(Time now, PendingClaims::Id id, const Subject& subject, Span keep, std::uint32_t value,
                     std::size_t k, Span within);
 
   // About to stop: others come for what only this one has. Once more with the last write.
@@ -102,7 +102,9 @@
 
   std::vector<Outgoing> TakeOutgoing() { return std::exchange(outgoing_, {}); }
   std::vector<Event> TakeEvents() { return std::exchange(events_, {}); }
-  std::vector<std::pair<Rounds::Id, Rounds::Verdict>> TakeVerdicts() { return rounds_.TakeVerdicts(); }
+  std::vector<std::pair<PendingClaims::Id, PendingClaims::Verdict>> TakeVerdicts() {
+    return rounds_.TakeVerdicts();
+  }
 
   bool HasVerdicts() const { return rounds_.has_verdicts(); }
 
@@ -158,7 +160,7 @@
   Options options_;
   std::mt19937_64 random_;
   Store store_;
-  Rounds rounds_;
+  PendingClaims rounds_;
   Puller puller_;
   Handoff handoff_;
   std::optional<peers::Address> successor_;
--- a/src/replica/rounds.h
+++ b/src/replica/rounds.h
@@ -28,7 +28,7 @@
   std::size_t most() const { return std::max(holders, readers); }
 };
 
-class Rounds {
+class PendingClaims {
  public:
   static constexpr std::size_t kMost = 8192;  // that wait at once; more are unmet at once
 
--- a/src/sim/peers_world.h
+++ b/src/sim/peers_world.h
@@ -98,7 +98,7 @@
   std::function<void(int member, const replica::Event&)> on_shared;
   std::function<void(int member, const quota::Event&)> on_divided;
   std::function<void(int member, const quota::Node::ShareLease&)> on_share_lease;  // each that is another
-  std::function<void(int member, replica::Rounds::Id, replica::Rounds::Verdict)> on_verdict;
+  std::function<void(int member, replica::PendingClaims::Id, replica::PendingClaims::Verdict)> on_verdict;
 
  private:
   // What comes to a process: one of them.
--- a/tests/replica/store_test.cpp
+++ b/tests/replica/store_test.cpp
@@ -150,15 +150,15 @@
       EXPECT_GT(held + asked, n) << n << " members, wait " << k;
     }
   }
-  Rounds rounds;
+  PendingClaims rounds;
   rounds.Open(1, 10, Quorum::Of(5, 1), 4, kStart, kStart + milliseconds(20));
   rounds.Open(2, 11, Quorum::Of(5, 1), 2, kStart, kStart + milliseconds(20));  // too few run: unmet at once
   rounds.OnAnswer(100, true, 0, 10);
   rounds.OnAnswer(100, true, 9, 10);
   rounds.OnAnswer(101, true, 9, 10);
   rounds.OnAnswer(102, false, 9, 10);  // it holds, and answers for nothing
-  ASSERT_EQ(rounds.TakeVerdicts(),
-            (std::vector<std::pair<Rounds::Id, Rounds::Verdict>>{{2, Rounds::Verdict::kUnmet}}));
+  ASSERT_EQ(rounds.TakeVerdicts(), (std::vector<std::pair<PendingClaims::Id, PendingClaims::Verdict>>{
+                                       {2, PendingClaims::Verdict::kUnmet}}));
   rounds.OnAnswer(103, true, 10, 20);  // of others
   EXPECT_FALSE(rounds.has_verdicts());
   rounds.OnAnswer(103, true, 9, 20);
@@ -167,7 +167,7 @@
   EXPECT_EQ(rounds.TakeAgain(kStart + milliseconds(7)).size(), 1u);
   EXPECT_TRUE(rounds.TakeAgain(kStart + milliseconds(7)).empty());
   rounds.Tick(kStart + milliseconds(20));
-  EXPECT_EQ(rounds.TakeVerdicts()[0].second, Rounds::Verdict::kUnmet);
+  EXPECT_EQ(rounds.TakeVerdicts()[0].second, PendingClaims::Verdict::kUnmet);
 }
 
 // ---- bytes ---------------------------------------------------------------------------------------------
--- a/tests/replica/world_test.cpp
+++ b/tests/replica/world_test.cpp
@@ -276,13 +276,14 @@
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     SharedWorld w(5, seed);
-    std::map<std::pair<int, replica::Rounds::Id>, bool> verdicts;
-    w.world.on_verdict = [&](int member, replica::Rounds::Id id, replica::Rounds::Verdict verdict) {
-      verdicts[{member, id}] = verdict == replica::Rounds::Verdict::kHeld;
+    std::map<std::pair<int, replica::PendingClaims::Id>, bool> verdicts;
+    w.world.on_verdict = [&](int member, replica::PendingClaims::Id id,
+                             replica::PendingClaims::Verdict verdict) {
+      verdicts[{member, id}] = verdict == replica::PendingClaims::Verdict::kHeld;
     };
     w.world.net().SetAll({.loss = 0.2, .delay = Microseconds(200), .jitter = Ms(2)});
     std::optional<int> acted;
-    for (replica::Rounds::Id id = 1; id <= 4; ++id) {
+    for (replica::PendingClaims::Id id = 1; id <= 4; ++id) {
       const int who = w.AnyThatRuns();
       if (w.draw() % 2) w.world.net().Part({w.Any(), w.Any()}, 5, true);
       w.world.replica(who)->WriteAndWait(w.world.Now(), id, {Table::kClaims, 5, 100 + id},
