--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -148,7 +148,7 @@
   // Whether an attempt may begin: its request has no answer yet, and somebody still waits for one.
   static bool Wanted(const Pending& pending) { return pending.responder && !pending.responder->Gone(); }
   void SendAttempt(const Dispatch& action, int attempt);
-  void OnClaimed(const Dispatch& action, int attempt, kestrelline::replica::Claims::Go go);
+  void OnClaimed(const Dispatch& action, int attempt, kestrelline::replica::Claims::Decision go);
 
   void Do(const Dispatch& action);
   void Do(const Refuse& action);
--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -163,8 +163,8 @@
 }
 
 // Its claim holds; or it does not, and the attempt never leaves.
-void Proxy::OnClaimed(const Dispatch& action, int attempt, kestrelline::replica::Claims::Go go) {
-  using Go = kestrelline::replica::Claims::Go;
+void Proxy::OnClaimed(const Dispatch& action, int attempt, kestrelline::replica::Claims::Decision go) {
+  using Go = kestrelline::replica::Claims::Decision;
   const auto found = pending_.find(action.request);
   if (found == pending_.end()) return;
   Pending& pending = found->second;
--- a/src/replica/claims.cpp
+++ b/src/replica/claims.cpp
@@ -66,10 +66,10 @@
   return std::any_of(held.begin(), held.end(), [group](const auto& h) { return h.group != group; });
 }
 
-void Claims::Before(const Key& key, std::uint64_t group, std::function<void(Go)> then) {
+void Claims::Before(const Key& key, std::uint64_t group, std::function<void(Decision)> then) {
   if (OtherGroup(key.hash, group)) {
     ++counts_.elsewhere;
-    return then(Go::kElsewhere);
+    return then(Decision::kElsewhere);
   }
   const UseKey at{key.hash, group};
   const auto [found, added] = uses_.try_emplace(at);
@@ -85,26 +85,26 @@
   const int k = key.mode > use.known ? key.mode : 0;
   if (k == 0) {
     book_.Claim(at.first, group, KeepOf(*key.of), 0, Span(0), [](bool) {});
-    return then(Go::kSend);
+    return then(Decision::kSend);
   }
   book_.Claim(at.first, group, KeepOf(*key.of), k, settings_.within,
               [this, at, k, then = std::move(then)](bool held) { then(OnVerdict(at, k, held)); });
 }
 
 // Of one attempt; if it may not leave, nothing of it did.
-Claims::Go Claims::OnVerdict(const UseKey& at, int asked, bool held) {
-  Go go = Go::kSend;
+Claims::Decision Claims::OnVerdict(const UseKey& at, int asked, bool held) {
+  Decision go = Decision::kSend;
   if (!held) {
     ++counts_.unmet;
-    if (!settings_.send_unmet) go = Go::kNot;
+    if (!settings_.send_unmet) go = Decision::kNot;
   }
   if (OtherGroup(at.first, at.second)) {
-    go = Go::kElsewhere;
+    go = Decision::kElsewhere;
     ++counts_.elsewhere;
   }
   if (const auto use = uses_.find(at); held && use != uses_.end())
     use->second.known = std::max(use->second.known, asked);
-  if (go != Go::kSend) Leave(at);
+  if (go != Decision::kSend) Leave(at);
   return go;
 }
 
--- a/src/replica/claims.h
+++ b/src/replica/claims.h
@@ -79,14 +79,14 @@
   using ToModule = std::function<kestrelline::TimePoint(Time)>;
   std::vector<kestrelline::KeyClaim> Known(const Key& key, const ToModule& to_module) const;
 
-  enum class Go {
+  enum class Decision {
     kSend,
     kElsewhere,  // others hold another group: see Known
     kNot         // too few know of it, and it is not to be sent then
   };
   // Before an attempt at a server of `group` leaves. `then` is called once, maybe at once. After kSend, After
   // must follow.
-  void Before(const Key& key, std::uint64_t group, std::function<void(Go)> then);
+  void Before(const Key& key, std::uint64_t group, std::function<void(Decision)> then);
   void After(const Key& key, std::uint64_t group, bool may_have_run);
 
   const Groups& groups() const { return groups_; }
@@ -106,7 +106,7 @@
   };
   using UseKey = std::pair<std::uint64_t, std::uint64_t>;  // key, group
   bool OtherGroup(std::uint64_t key, std::uint64_t group) const;
-  Go OnVerdict(const UseKey& at, int asked, bool held);
+  Decision OnVerdict(const UseKey& at, int asked, bool held);
   void Leave(const UseKey& at);
 
   ClaimBook& book_;
--- a/tests/replica/claims_test.cpp
+++ b/tests/replica/claims_test.cpp
@@ -10,7 +10,7 @@
 namespace kestrelline::replica {
 namespace {
 
-using Go = Claims::Go;
+using Decision = Claims::Decision;
 
 // Verdicts come when the test says so.
 struct Book : ClaimBook {
@@ -42,9 +42,9 @@
 struct Keys {
   Claims::Key Of(int mode) const { return {77, mode, &of}; }
   // What has become of an attempt; nothing while it waits.
-  std::shared_ptr<std::optional<Go>> Try(int mode, std::uint64_t group = 1) {
-    auto gone = std::make_shared<std::optional<Go>>();
-    claims.Before(Of(mode), group, [gone](Go go) { *gone = go; });
+  std::shared_ptr<std::optional<Decision>> Try(int mode, std::uint64_t group = 1) {
+    auto gone = std::make_shared<std::optional<Decision>>();
+    claims.Before(Of(mode), group, [gone](Decision go) { *gone = go; });
     return gone;
   }
   kestrelline::ClassSettings of;
@@ -54,27 +54,27 @@
 
 TEST(Claims, WhatWaitsDoesNotLeaveBesideOneThatIsOnlyTold) {
   Keys k;
-  EXPECT_EQ(*k.Try(0), Go::kSend);
+  EXPECT_EQ(*k.Try(0), Decision::kSend);
   const auto waits = k.Try(1);
   EXPECT_FALSE(*waits);  // another cell's claim may be on its way
-  EXPECT_EQ(*k.Try(0), Go::kSend);
+  EXPECT_EQ(*k.Try(0), Decision::kSend);
   k.book.Say(true);
-  EXPECT_EQ(*waits, Go::kSend);
+  EXPECT_EQ(*waits, Decision::kSend);
   // Known so widely already; and not widely enough for one that asks for more.
-  EXPECT_EQ(*k.Try(1), Go::kSend);
+  EXPECT_EQ(*k.Try(1), Decision::kSend);
   EXPECT_FALSE(*k.Try(2));
 }
 
 TEST(Claims, OneThatWaitedInVainTakesBackNothingThatOthersStandBehind) {
   Keys k;
-  EXPECT_EQ(*k.Try(0), Go::kSend);
+  EXPECT_EQ(*k.Try(0), Decision::kSend);
   const auto waits = k.Try(1);
   k.book.Say(false);
-  EXPECT_EQ(*waits, Go::kNot);
+  EXPECT_EQ(*waits, Decision::kNot);
   EXPECT_EQ(k.book.released, 0);
   k.claims.After(k.Of(0), 1, /*may_have_run=*/false);
   EXPECT_EQ(k.book.released, 1);  // the last of them, and nothing ran
-  EXPECT_EQ(*k.Try(0, 2), Go::kSend);
+  EXPECT_EQ(*k.Try(0, 2), Decision::kSend);
   k.claims.After(k.Of(0), 2, /*may_have_run=*/true);
   EXPECT_EQ(k.book.released, 1);
 }
@@ -84,10 +84,10 @@
   const auto first = k.Try(1), second = k.Try(1);
   k.book.held.push_back({2, Time::max()});
   k.book.Say(true);
-  EXPECT_EQ(*first, Go::kElsewhere);
-  EXPECT_EQ(*second, Go::kElsewhere);
+  EXPECT_EQ(*first, Decision::kElsewhere);
+  EXPECT_EQ(*second, Decision::kElsewhere);
   EXPECT_EQ(k.book.released, 1);
-  EXPECT_EQ(*k.Try(1), Go::kElsewhere);  // at once
+  EXPECT_EQ(*k.Try(1), Decision::kElsewhere);  // at once
 }
 
 // Each may arrive later than the one before it, and the claim has to outlast it.
