--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -182,7 +182,7 @@
   }
   const AttemptEnded end = MootEnd(action, attempt, !pending.responder);
   ForgetIfOver(action.request);
-  if (go == Go::kElsewhere) {
+  if (go == Go::kOtherGroup) {
     for (const KeyClaim& claim : known) Feed(Claimed{action.request, claim});
   }
   Feed(end);
--- a/src/replica/claims.cpp
+++ b/src/replica/claims.cpp
@@ -69,7 +69,7 @@
 void Claims::Before(const Key& key, std::uint64_t group, std::function<void(Decision)> then) {
   if (OtherGroup(key.hash, group)) {
     ++counts_.elsewhere;
-    return then(Decision::kElsewhere);
+    return then(Decision::kOtherGroup);
   }
   const UseKey at{key.hash, group};
   const auto [found, added] = uses_.try_emplace(at);
@@ -99,7 +99,7 @@
     if (!settings_.send_unmet) go = Decision::kNot;
   }
   if (OtherGroup(at.first, at.second)) {
-    go = Decision::kElsewhere;
+    go = Decision::kOtherGroup;
     ++counts_.elsewhere;
   }
   if (const auto use = uses_.find(at); held && use != uses_.end())
--- a/tests/replica/claims_test.cpp
+++ b/tests/replica/claims_test.cpp
@@ -84,10 +84,10 @@
   const auto first = k.Try(1), second = k.Try(1);
   k.book.held.push_back({2, Time::max()});
   k.book.Say(true);
-  EXPECT_EQ(*first, Decision::kElsewhere);
-  EXPECT_EQ(*second, Decision::kElsewhere);
+  EXPECT_EQ(*first, Decision::kOtherGroup);
+  EXPECT_EQ(*second, Decision::kOtherGroup);
   EXPECT_EQ(k.book.released, 1);
-  EXPECT_EQ(*k.Try(1), Decision::kElsewhere);  // at once
+  EXPECT_EQ(*k.Try(1), Decision::kOtherGroup);  // at once
 }
 
 // Each may arrive later than the one before it, and the claim has to outlast it.
