--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -175,7 +175,7 @@
   if (go == Go::kSend) claims_->After(keyed.key, keyed.groups[static_cast<std::size_t>(attempt)], false);
   --pending.attempts_out;
   const auto known = claims_->Known(keyed.key, [this](auto at) { return clock_.At(at); });
-  if (go == Go::kNot) {
+  if (go == Go::kUnconfirmed) {
     // Too few know of it: no other attempt would fare better. Nothing of this one ran.
     if (const auto responder = Conclude(action.request))
       attempt == 0 && known.empty() ? responder->Refused(kLocalRest) : responder->Failed();
--- a/src/replica/claims.cpp
+++ b/src/replica/claims.cpp
@@ -96,7 +96,7 @@
   Decision go = Decision::kSend;
   if (!held) {
     ++counts_.unmet;
-    if (!settings_.send_unmet) go = Decision::kNot;
+    if (!settings_.send_unmet) go = Decision::kUnconfirmed;
   }
   if (OtherGroup(at.first, at.second)) {
     go = Decision::kOtherGroup;
--- a/src/replica/claims.h
+++ b/src/replica/claims.h
@@ -82,7 +82,7 @@
   enum class Decision {
     kSend,
     kOtherGroup,  // others hold another group: see Known
-    kNot         // too few know of it, and it is not to be sent then
+    kUnconfirmed         // too few know of it, and it is not to be sent then
   };
   // Before an attempt at a server of `group` leaves. `then` is called once, maybe at once. After kSend, After
   // must follow.
--- a/tests/replica/claims_test.cpp
+++ b/tests/replica/claims_test.cpp
@@ -70,7 +70,7 @@
   EXPECT_EQ(*k.Try(0), Decision::kSend);
   const auto waits = k.Try(1);
   k.book.Say(false);
-  EXPECT_EQ(*waits, Decision::kNot);
+  EXPECT_EQ(*waits, Decision::kUnconfirmed);
   EXPECT_EQ(k.book.released, 0);
   k.claims.After(k.Of(0), 1, /*may_have_run=*/false);
   EXPECT_EQ(k.book.released, 1);  // the last of them, and nothing ran
