--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -158,8 +158,8 @@
   const Group kind = config_.settings.classes[pending.request_class].group;
   const auto group = claims_->groups().Of(kind, action.zone, action.cell);
   pending.keyed->groups.resize(static_cast<std::size_t>(attempt) + 1, group);
-  claims_->Before(pending.keyed->key, group,
-                  [this, action, attempt](auto go) { OnClaimed(action, attempt, go); });
+  claims_->BeforeAttempt(pending.keyed->key, group,
+                         [this, action, attempt](auto go) { OnClaimed(action, attempt, go); });
 }
 
 // Its claim holds; or it does not, and the attempt never leaves.
@@ -172,7 +172,8 @@
   const bool late = !Wanted(pending) || now >= pending.due || now > clock_.ToSteady(action.begin_by);
   if (go == Go::kSend && !late) return SendAttempt(action, attempt);
   const Keyed keyed = *pending.keyed;
-  if (go == Go::kSend) claims_->After(keyed.key, keyed.groups[static_cast<std::size_t>(attempt)], false);
+  if (go == Go::kSend)
+    claims_->AfterAttempt(keyed.key, keyed.groups[static_cast<std::size_t>(attempt)], false);
   --pending.attempts_out;
   const auto known = claims_->Known(keyed.key, [this](auto at) { return clock_.At(at); });
   if (go == Go::kUnconfirmed) {
@@ -224,8 +225,8 @@
   if (found != pending_.end() && found->second.keyed) {
     const bool never_ran = result.outcome == Outcome::kFull || result.outcome == Outcome::kConnectFailed ||
                            result.outcome == Outcome::kMoot;
-    claims_->After(found->second.keyed->key, found->second.keyed->groups[static_cast<std::size_t>(attempt)],
-                   !never_ran);
+    claims_->AfterAttempt(found->second.keyed->key,
+                          found->second.keyed->groups[static_cast<std::size_t>(attempt)], !never_ran);
   }
   const bool other_out = found != pending_.end() && found->second.attempts_out > 0;
   if (result.outcome == Outcome::kOk) {
--- a/src/replica/claims.cpp
+++ b/src/replica/claims.cpp
@@ -66,7 +66,7 @@
   return std::any_of(held.begin(), held.end(), [group](const auto& h) { return h.group != group; });
 }
 
-void Claims::Before(const Key& key, std::uint64_t group, std::function<void(Decision)> then) {
+void Claims::BeforeAttempt(const Key& key, std::uint64_t group, std::function<void(Decision)> then) {
   if (OtherGroup(key.hash, group)) {
     ++counts_.elsewhere;
     return then(Decision::kOtherGroup);
@@ -108,7 +108,7 @@
   return go;
 }
 
-void Claims::After(const Key& key, std::uint64_t group, bool may_have_run) {
+void Claims::AfterAttempt(const Key& key, std::uint64_t group, bool may_have_run) {
   const UseKey at{key.hash, group};
   const auto found = uses_.find(at);
   if (found == uses_.end()) return;
--- a/src/replica/claims.h
+++ b/src/replica/claims.h
@@ -86,8 +86,8 @@
   };
   // Before an attempt at a server of `group` leaves. `then` is called once, maybe at once. After kSend, After
   // must follow.
-  void Before(const Key& key, std::uint64_t group, std::function<void(Decision)> then);
-  void After(const Key& key, std::uint64_t group, bool may_have_run);
+  void BeforeAttempt(const Key& key, std::uint64_t group, std::function<void(Decision)> then);
+  void AfterAttempt(const Key& key, std::uint64_t group, bool may_have_run);
 
   const Groups& groups() const { return groups_; }
   struct Counts {
--- a/tests/replica/claims_test.cpp
+++ b/tests/replica/claims_test.cpp
@@ -44,7 +44,7 @@
   // What has become of an attempt; nothing while it waits.
   std::shared_ptr<std::optional<Decision>> Try(int mode, std::uint64_t group = 1) {
     auto gone = std::make_shared<std::optional<Decision>>();
-    claims.Before(Of(mode), group, [gone](Decision go) { *gone = go; });
+    claims.BeforeAttempt(Of(mode), group, [gone](Decision go) { *gone = go; });
     return gone;
   }
   kestrelline::ClassSettings of;
@@ -72,10 +72,10 @@
   k.book.Say(false);
   EXPECT_EQ(*waits, Decision::kUnconfirmed);
   EXPECT_EQ(k.book.released, 0);
-  k.claims.After(k.Of(0), 1, /*may_have_run=*/false);
+  k.claims.AfterAttempt(k.Of(0), 1, /*may_have_run=*/false);
   EXPECT_EQ(k.book.released, 1);  // the last of them, and nothing ran
   EXPECT_EQ(*k.Try(0, 2), Decision::kSend);
-  k.claims.After(k.Of(0), 2, /*may_have_run=*/true);
+  k.claims.AfterAttempt(k.Of(0), 2, /*may_have_run=*/true);
   EXPECT_EQ(k.book.released, 1);
 }
 
