--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -123,7 +123,7 @@
     const auto hash = kestrelline::replica::KeyHash(config_.classes[pending.request_class],
                                                     View((*pending.message)["Idempotency-Key"]));
     pending.keyed = std::make_unique<Keyed>(Keyed{{hash, mode, &c}, {}});
-    auto known = claims_->Known(pending.keyed->key, [this](auto at) { return clock_.At(at); });
+    auto known = claims_->KnownClaims(pending.keyed->key, [this](auto at) { return clock_.At(at); });
     if (!known.empty()) {
       claims_->CountBound();
       submit.claims = std::make_shared<const std::vector<KeyClaim>>(std::move(known));
@@ -175,7 +175,7 @@
   if (go == Go::kSend)
     claims_->AfterAttempt(keyed.key, keyed.groups[static_cast<std::size_t>(attempt)], false);
   --pending.attempts_out;
-  const auto known = claims_->Known(keyed.key, [this](auto at) { return clock_.At(at); });
+  const auto known = claims_->KnownClaims(keyed.key, [this](auto at) { return clock_.At(at); });
   if (go == Go::kUnconfirmed) {
     // Too few know of it: no other attempt would fare better. Nothing of this one ran.
     if (const auto responder = Conclude(action.request))
--- a/src/replica/claims.cpp
+++ b/src/replica/claims.cpp
@@ -52,7 +52,7 @@
   return limits && limits->claim ? *limits->claim : settings_.claim;
 }
 
-std::vector<kestrelline::KeyClaim> Claims::Known(const Key& key, const ToModule& to_module) const {
+std::vector<kestrelline::KeyClaim> Claims::KnownClaims(const Key& key, const ToModule& to_module) const {
   std::vector<kestrelline::KeyClaim> known;
   for (const ClaimBook::Held& held : book_.HeldOf(key.hash)) {
     known.push_back(groups_.Claim(held.group));
--- a/src/replica/claims.h
+++ b/src/replica/claims.h
@@ -77,7 +77,7 @@
 
   // In the module's time: `to_module` maps.
   using ToModule = std::function<kestrelline::TimePoint(Time)>;
-  std::vector<kestrelline::KeyClaim> Known(const Key& key, const ToModule& to_module) const;
+  std::vector<kestrelline::KeyClaim> KnownClaims(const Key& key, const ToModule& to_module) const;
 
   enum class Decision {
     kSend,
