--- a/src/replica/link.cpp
+++ b/src/replica/link.cpp
@@ -99,7 +99,7 @@
   Flush();
 }
 
-void Link::WhenHeldElsewhere(std::function<void()> done) {
+void Link::WhenReplicated(std::function<void()> done) {
   if (!handing_over_) node_.Leave(Now());
   held_elsewhere_ = std::move(done);
   Flush();
--- a/src/replica/link.h
+++ b/src/replica/link.h
@@ -40,7 +40,7 @@
   void HandOver();
   // After either. `done` is called once no entry of this process's is held by it alone, or nobody takes them:
   // about a second at most after the last of them was taken.
-  void WhenHeldElsewhere(std::function<void()> done);
+  void WhenReplicated(std::function<void()> done);
   // Once: when this process has all that others knew when it started, or `within` is up.
   void WhenCurrent(Span within, std::function<void()> done);
 
