--- a/src/concert/link.h
+++ b/src/concert/link.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The division of shares in the proxy's one thread: its datagrams on the peers' socket, its timer, log and
-// figures.
+// Runs quota::Node in the proxy's event loop: its datagrams on the peers' socket, its timer, its log lines
+// and figures. Single-threaded.
 #ifndef KESTRELLINE_CONCERT_LINK_H_
 #define KESTRELLINE_CONCERT_LINK_H_
 
@@ -23,44 +23,45 @@
 class Link {
  public:
   struct Identity {
-    int place = 0, fleet = 1;  // this proxy's number, and how many are configured
+    int member_index = 0, configured_members = 1;  // this proxy's index among the configured ones
     std::uint64_t seed = 0;
   };
   struct Hooks {
-    std::function<std::uint64_t()> requests;                      // that have come since the start
-    std::function<void(const Node::ShareLease&)> on_share_lease;  // called with each that is another
+    std::function<std::uint64_t()> requests;                      // total received since the start
+    std::function<void(const Node::ShareLease&)> on_share_lease;  // called with each changed share
     std::function<void(const std::string&)> log;
   };
 
-  // `peers` must outlive it.
+  // `peers` must outlive the link.
   Link(boost::asio::io_context& io, peers::Link& peers, const Settings& settings, const Identity& identity,
        Hooks hooks);
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
-  // To another process of this proxy.
+  // Another process of this proxy takes over; this one uses no grant any more.
   void HandOver();
 
   std::string FiguresText() const;
 
  private:
-  void Begin();
-  void Measure();
+  void StartNode();
+  void ScheduleMeasurement();
   void Flush();
-  void Say(const Event& event);
+  void Report(const Event& event);
   static Time Now() { return std::chrono::steady_clock::now(); }
 
   peers::Link& peers_;
   Settings settings_;
   Identity identity_;
   Hooks hooks_;
-  std::optional<Node> node_;  // nothing until others reach this process: an upgrade waits for its address
+  // Empty until others can reach this process: during an upgrade it waits for its predecessor's address.
+  std::optional<Node> node_;
   bool handed_over_ = false;
-  boost::asio::steady_timer timer_, measure_;
-  Node::ShareLease told_{-1, {}, -1};
-  RateMeter meter_;
+  boost::asio::steady_timer timer_, measure_timer_;
+  Node::ShareLease reported_lease_{-1, {}, -1};
+  RateMeter rate_meter_;
   std::array<std::uint64_t, Event::kKinds> events_{};
-  std::uint64_t sent_ = 0, received_ = 0, unread_ = 0;
+  std::uint64_t sent_ = 0, received_ = 0, undecodable_ = 0;
 };
 
 }  // namespace kestrelline::quota
--- a/src/concert/node.cpp
+++ b/src/concert/node.cpp
@@ -6,10 +6,11 @@
 namespace kestrelline::quota {
 namespace {
 
-// With four, a fifth of all datagrams lost left something unused four fifths of the time; with eight: see the
-// note.
-constexpr int kAsksALease = 8;
-constexpr int kRanks = 16;  // that stand one after the other; all others with the last
+// Rounds of claims per lease. With four rounds and a fifth of all datagrams lost, some part of the pool was
+// unused four fifths of the time; eight rounds leave less unused.
+constexpr int kRoundsPerLease = 8;
+// Members that stand as candidates one after the other; all further ones stand together with the last.
+constexpr int kCandidateRanks = 16;
 
 }  // namespace
 
@@ -18,109 +19,113 @@
       random_(options_.seed),
       voter_(options_.lease, now),
       pool_(1 - options_.reserve) {
-  Wait(now);
+  ScheduleCandidacy(now);
 }
 
 double Node::Reserve() const {
-  return Votes() ? options_.reserve / static_cast<double>(options_.configured_members) : 0;
+  return HasVote() ? options_.reserve / static_cast<double>(options_.configured_members) : 0;
 }
 
-Node::ShareLease Node::standing() const {
+Node::ShareLease Node::share_lease() const {
   const double reserve = Reserve();
   if (!has_grant_) return {reserve, {}, reserve};
-  return {reserve + granted_.share, granted_until_, reserve};
+  return {reserve + grant_.share, grant_until_, reserve};
 }
 
-// ---- who there is --------------------------------------------------------------------------------------
+// ---- membership ----------------------------------------------------------------------------------------
 
 void Node::OnPeer(Time now, const peers::Event& event) {
   using Kind = peers::Event::Kind;
-  const peers::Member& m = event.member;
+  const peers::Member& member = event.member;
   switch (event.kind) {
     case Kind::kJoined:
     case Kind::kReturned:
     case Kind::kCleared: {
-      if (m.name == options_.name) return;
-      std::erase_if(peers_, [&](const auto& p) { return p.second.name == m.name && p.first != m.boot; });
-      Peer& peer = peers_[m.boot];
-      peer.name = m.name, peer.address = m.address;
+      if (member.name == options_.name) return;
+      std::erase_if(peers_,
+                    [&](const auto& p) { return p.second.name == member.name && p.first != member.boot; });
+      Peer& peer = peers_[member.boot];
+      peer.name = member.name, peer.address = member.address;
       break;
     }
     case Kind::kFailed:
     case Kind::kLeft:
-      std::erase_if(peers_, [&](const auto& p) { return p.second.name == m.name; });
+      std::erase_if(peers_, [&](const auto& p) { return p.second.name == member.name; });
       break;
     case Kind::kNameHeld:
-      Quit(now);
+      Deactivate(now);
       break;
     case Kind::kNameRegained:
-      quiet_ = false;
-      voter_ = Voter(options_.lease, now);  // the other one may have promised something
-      Wait(now);
+      deactivated_ = false;
+      voter_ = Voter(options_.lease, now);  // the process that had the name may have promised its support
+      ScheduleCandidacy(now);
       break;
     default:
       break;
   }
 }
 
-void Node::Quit(Time now) {
-  if (leading_) StepBack(now);
-  quiet_ = true;
+void Node::Deactivate(Time now) {
+  if (candidate_) StepDown(now);
+  deactivated_ = true;
   has_grant_ = false;
 }
 
-// ---- leading -------------------------------------------------------------------------------------------
+// ---- election and grants -------------------------------------------------------------------------------
 
-// Until somebody should have been heard: whoever comes first by name is first to stand.
-void Node::Wait(Time now) {
+// Sets the time to stand as a candidate: after an allocator would have been heard, and staggered by the order
+// of names, so that the candidates do not all stand at once.
+void Node::ScheduleCandidacy(Time now) {
   const auto rank = std::min<std::ptrdiff_t>(
-      kRanks, std::count_if(peers_.begin(), peers_.end(),
-                            [this](const auto& p) { return p.second.name < options_.name; }));
-  const Span late = options_.lease * rank / kRanks + options_.lease * static_cast<int>(random_() % 100) / 800;
-  stand_due_ = std::max(voter_.until(), now + Longer(options_.lease)) + late;
+      kCandidateRanks, std::count_if(peers_.begin(), peers_.end(),
+                                     [this](const auto& p) { return p.second.name < options_.name; }));
+  const Span stagger =
+      options_.lease * rank / kCandidateRanks + options_.lease * static_cast<int>(random_() % 100) / 800;
+  candidacy_due_ = std::max(voter_.until(), now + LengthenedByDrift(options_.lease)) + stagger;
 }
 
-void Node::Stand(Time now) {
-  // Where so few are seen that they cannot be enough, asking would only bind those that might support
-  // another.
-  if (!Votes() || peers_.size() + 1 < Majority()) return Wait(now);
-  leading_ = true;
-  stood_at_ = now;
-  term_ = {voter_.greatest() + 1, options_.boot};
-  for (auto& [boot, peer] : peers_) peer.word = 0;
-  Ask(now);
+void Node::StartCandidacy(Time now) {
+  // Without a majority in sight a candidacy can't succeed, and would only bind the votes of members that
+  // might support another candidate.
+  if (!HasVote() || peers_.size() + 1 < Majority()) return ScheduleCandidacy(now);
+  candidate_ = true;
+  candidate_since_ = now;
+  term_ = {voter_.highest_term() + 1, options_.boot};
+  for (auto& [boot, peer] : peers_) peer.reply_number = 0;
+  StartRound(now);
 }
 
-void Node::StepBack(Time now) {
-  leading_ = false;
+void Node::StepDown(Time now) {
+  candidate_ = false;
   authority_until_ = {};
-  if (std::exchange(led_, false)) events_.push_back({Event::Kind::kLed, ""});
-  Wait(now);
-  stand_due_ += options_.lease * static_cast<int>(random_() % 100) / 100;  // two that split the votes part
+  if (std::exchange(elected_, false)) events_.push_back({Event::Kind::kLostAllocator, ""});
+  ScheduleCandidacy(now);
+  // Random delay, so that two candidates that split the votes do not stand at the same time again.
+  candidacy_due_ += options_.lease * static_cast<int>(random_() % 100) / 100;
 }
 
-// One round: asks all for their support and, while it has that of enough, grants.
-void Node::Ask(Time now) {
-  ask_due_ = now + options_.lease / kAsksALease;
+// Asks all members for their support and, while this proxy has that of a majority, grants shares.
+void Node::StartRound(Time now) {
+  round_due_ = now + options_.lease / kRoundsPerLease;
   ++round_;
   rounds_[round_ % rounds_.size()] = {round_, now, {}};
-  if (voter_.Ask(now, term_)) OnSupport(round_, options_.member_index);
+  if (voter_.RequestVote(now, term_)) OnSupport(round_, options_.member_index);
   pool_.Tick(now);
   std::vector<std::uint64_t> holders{options_.boot};
   std::vector<double> rates{rate_};
-  const bool leads = Leads(now);
+  const bool allocates = IsAllocator(now);
   for (const auto& [boot, peer] : peers_) {
-    if (peer.word == 0 || now - peer.word_at >= options_.lease) continue;
+    if (peer.reply_number == 0 || now - peer.replied_at >= options_.lease) continue;
     holders.push_back(boot);
     rates.push_back(peer.rate);
   }
-  const std::vector<double> parts = Divided(pool_.size(), rates);
-  const Span lasts = std::min(options_.lease, authority_until_ - now);
-  if (leads) {
-    granted_by_ = term_;
-    granted_ = pool_.Give(now, options_.boot, parts[0], lasts, 0);
-    granted_until_ = now + Shorter(granted_.lasts);
-    pool_.OnTaken(options_.boot, granted_.number);
+  const std::vector<double> parts = DivideByRates(pool_.size(), rates);
+  const Span duration = std::min(options_.lease, authority_until_ - now);
+  if (allocates) {
+    grant_term_ = term_;
+    grant_ = pool_.Issue(now, options_.boot, parts[0], duration, 0);
+    grant_until_ = now + ShortenedByDrift(grant_.duration);
+    pool_.OnAccepted(options_.boot, grant_.number);
     if (!std::exchange(has_grant_, true)) events_.push_back({Event::Kind::kGranted, options_.name});
   }
   std::size_t next = 1;
@@ -129,94 +134,99 @@
     claim.term = term_;
     claim.round = round_;
     if (next < holders.size() && holders[next] == boot) {
-      if (leads) claim.grant = pool_.Give(now, boot, parts[next], lasts, peer.word);
+      if (allocates) claim.grant = pool_.Issue(now, boot, parts[next], duration, peer.reply_number);
       ++next;
     }
     outgoing_.push_back({peer.address, claim});
   }
 }
 
-void Node::OnSupport(std::uint64_t round, std::uint32_t place) {
-  Round& r = rounds_[round % rounds_.size()];
-  if (r.number != round) return;
-  r.supporters.insert(place);
-  if (r.supporters.size() < Majority()) return;
-  authority_until_ = std::max(authority_until_, r.sent + Shorter(options_.lease));
-  if (!std::exchange(led_, true)) {
-    events_.push_back({Event::Kind::kLeads, ""});
-    ask_due_ = r.sent;  // others wait for their grants
+void Node::OnSupport(std::uint64_t number, std::uint32_t member_index) {
+  Round& round = rounds_[number % rounds_.size()];
+  if (round.number != number) return;
+  round.supporters.insert(member_index);
+  if (round.supporters.size() < Majority()) return;
+  authority_until_ = std::max(authority_until_, round.sent + ShortenedByDrift(options_.lease));
+  if (!std::exchange(elected_, true)) {
+    events_.push_back({Event::Kind::kBecameAllocator, ""});
+    round_due_ = round.sent;  // start the next round at once: the members wait for their grants
   }
 }
 
-// ---- what comes ----------------------------------------------------------------------------------------
+// ---- messages ------------------------------------------------------------------------------------------
 
-void Node::Receive(Time now, std::uint64_t boot, const Message& m) {
+void Node::Receive(Time now, std::uint64_t boot, const Message& message) {
   const auto from = peers_.find(boot);
-  if (from == peers_.end() || quiet_) return;
-  if (m.kind == Message::Kind::kClaim) {
-    OnClaim(now, boot, from->second, m);
+  if (from == peers_.end() || deactivated_) return;
+  if (message.kind == Message::Kind::kClaim) {
+    OnClaim(now, boot, from->second, message);
   } else {
-    OnWord(now, boot, &from->second, m);
+    OnReply(now, boot, &from->second, message);
   }
 }
 
-void Node::OnClaim(Time now, std::uint64_t boot, const Peer& from, const Message& m) {
-  if (m.term.boot != boot) return;  // nobody speaks for another
-  const bool supports = Votes() && voter_.Ask(now, m.term);
-  voter_.Learn(m.term.number);
-  if (leading_ && m.term > term_ && !Leads(now)) StepBack(now);
-  // Whoever has what it takes grants: without that there is none.
-  const bool later = m.term > granted_by_ || (m.term == granted_by_ && m.grant.number > granted_.number);
-  const auto& [number, sent] = words_[m.grant.answers % words_.size()];
-  if (m.grant.answers != 0 && later && number == m.grant.answers) {
-    granted_by_ = m.term;
-    granted_ = m.grant;
-    granted_until_ = sent + Shorter(m.grant.lasts);
+void Node::OnClaim(Time now, std::uint64_t boot, const Peer& from, const Message& message) {
+  if (message.term.boot != boot) return;  // a member may claim only for itself
+  const bool supports = HasVote() && voter_.RequestVote(now, message.term);
+  voter_.ObserveTerm(message.term.number);
+  if (candidate_ && message.term > term_ && !IsAllocator(now)) StepDown(now);
+  // A grant is accepted also without this proxy's support: only a candidate with a majority issues grants.
+  const bool later =
+      message.term > grant_term_ || (message.term == grant_term_ && message.grant.number > grant_.number);
+  const auto& [number, sent] = replies_[message.grant.reply_number % replies_.size()];
+  if (message.grant.reply_number != 0 && later && number == message.grant.reply_number) {
+    grant_term_ = message.term;
+    grant_ = message.grant;
+    grant_until_ = sent + ShortenedByDrift(message.grant.duration);
     if (!std::exchange(has_grant_, true)) events_.push_back({Event::Kind::kGranted, from.name});
-    if (std::exchange(follows_, boot) != boot) events_.push_back({Event::Kind::kFollows, from.name});
+    if (std::exchange(allocator_boot_, boot) != boot)
+      events_.push_back({Event::Kind::kFollowsAllocator, from.name});
   }
-  if (supports && !leading_) Wait(now);
-  Message word;
-  word.kind = Message::Kind::kWord;
-  word.term = m.term;
-  word.round = supports ? m.round : 0;
-  word.greatest = voter_.greatest();
-  word.number = ++word_;
-  word.place = options_.member_index;
-  word.taken = granted_by_ == m.term ? granted_.number : 0;
-  word.rate = rate_;
-  words_[word_ % words_.size()] = {word_, now};
-  outgoing_.push_back({from.address, word});
+  if (supports && !candidate_) ScheduleCandidacy(now);
+  Message reply;
+  reply.kind = Message::Kind::kReply;
+  reply.term = message.term;
+  reply.round = supports ? message.round : 0;
+  reply.highest_term = voter_.highest_term();
+  reply.number = ++last_reply_;
+  reply.member_index = options_.member_index;
+  reply.accepted_grant = grant_term_ == message.term ? grant_.number : 0;
+  reply.rate = rate_;
+  replies_[last_reply_ % replies_.size()] = {last_reply_, now};
+  outgoing_.push_back({from.address, reply});
 }
 
-void Node::OnWord(Time now, std::uint64_t boot, Peer* from, const Message& m) {
-  voter_.Learn(m.greatest);
-  if (!leading_ || m.term != term_) return;
-  if (m.number > from->word) from->word = m.number, from->word_at = now, from->rate = m.rate;
-  pool_.OnTaken(boot, m.taken);
-  if (m.round != 0 && m.place < options_.configured_members && m.place != options_.member_index)
-    OnSupport(m.round, m.place);
+void Node::OnReply(Time now, std::uint64_t boot, Peer* from, const Message& message) {
+  voter_.ObserveTerm(message.highest_term);
+  if (!candidate_ || message.term != term_) return;
+  if (message.number > from->reply_number)
+    from->reply_number = message.number, from->replied_at = now, from->rate = message.rate;
+  pool_.OnAccepted(boot, message.accepted_grant);
+  if (message.round != 0 && message.member_index < options_.configured_members &&
+      message.member_index != options_.member_index)
+    OnSupport(message.round, message.member_index);
 }
 
-// ---- time ----------------------------------------------------------------------------------------------
+// ---- timers --------------------------------------------------------------------------------------------
 
 void Node::Tick(Time now) {
-  if (has_grant_ && now >= granted_until_) {
+  if (has_grant_ && now >= grant_until_) {
     has_grant_ = false;
-    follows_ = 0;
-    events_.push_back({Event::Kind::kLapsed, ""});
+    allocator_boot_ = 0;
+    events_.push_back({Event::Kind::kGrantExpired, ""});
   }
-  if (quiet_) return;
-  if (leading_ && now >= authority_until_ && now - std::max(stood_at_, authority_until_) >= options_.lease)
-    StepBack(now);
-  if (leading_ && now >= ask_due_) Ask(now);
-  if (!leading_ && now >= stand_due_) Stand(now);
+  if (deactivated_) return;
+  if (candidate_ && now >= authority_until_ &&
+      now - std::max(candidate_since_, authority_until_) >= options_.lease)
+    StepDown(now);
+  if (candidate_ && now >= round_due_) StartRound(now);
+  if (!candidate_ && now >= candidacy_due_) StartCandidacy(now);
 }
 
 Time Node::NextDue() const {
-  Time due = has_grant_ ? granted_until_ : Time::max();
-  if (quiet_) return due;
-  return std::min(due, leading_ ? ask_due_ : stand_due_);
+  Time due = has_grant_ ? grant_until_ : Time::max();
+  if (deactivated_) return due;
+  return std::min(due, candidate_ ? round_due_ : candidacy_due_);
 }
 
 }  // namespace kestrelline::quota
--- a/src/concert/partition.h
+++ b/src/concert/partition.h
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What each class may do while proxies are missing: [[partition]] of the operator's file, what is checked
-// before it holds, and what follows from a view. No I/O, no clock.
+// Limits per request class during a network partition: the [[partition]] sections of the operator's file,
+// their validation, and which limit follows from a membership view. No I/O, no clock.
 //
-// Both sides of a cut see a part of the fleet. Which of them goes on is told by the number of those
-// configured: of two parts one at most has more than half. A view is late by what it takes to notice a cut:
-// what must never run on both sides at once needs the shares' leases, which rates here are divided by.
+// Each side of a partition sees a part of the fleet. The number of configured proxies decides which side goes
+// on: at most one of two sides has more than half of them. A view lags behind by the time that it takes to
+// detect a partition. So a view alone can't rule out that both sides run something at once; that needs the
+// leases of the shares (node.h), by which the rates here are divided.
 #ifndef KESTRELLINE_CONCERT_PARTITION_H_
 #define KESTRELLINE_CONCERT_PARTITION_H_
 
@@ -19,29 +20,36 @@
 
 namespace kestrelline::quota {
 
-// Of a proxy: nobody is missing; some are, and it sees more than half of those configured; half or less;
-// nobody.
-enum class Situation { kWhole, kPart, kMinority, kAlone };
-inline constexpr std::size_t kSituations = 4;
-const char* NameOf(Situation situation);
+// How much of the configured fleet a proxy sees.
+enum class PartitionState {
+  kWhole,     // no proxy is missing
+  kMajority,  // some are missing; it sees more than half of those configured
+  kMinority,  // it sees half or less
+  kIsolated   // it sees no other proxy
+};
+inline constexpr std::size_t kPartitionStates = 4;
+const char* NameOf(PartitionState state);
 
-// `present`: those seen, this one included.
-Situation SituationOf(peers::Reading reading, std::size_t present, int configured);
+// `present`: the number of proxies seen, including this one.
+PartitionState PartitionStateOf(peers::Reading reading, std::size_t present, int configured);
 
-// What a class may do: all; so many requests a second as all proxies may take together, this one its part
-// (Share); nothing.
-enum class Leave { kServe, kWithin, kRefuse };
+// What happens to the requests of a class.
+enum class PartitionRule {
+  kServe,   // all are served
+  kWithin,  // a rate limit over all proxies applies, of which this proxy has its share
+  kRefuse   // all are refused
+};
 
 struct ClassPartition {
   int request_class = 0;
-  double per_s = 0;  // of kWithin, over all proxies
-  Leave leave[kSituations] = {};
+  double per_s = 0;  // for kWithin: requests per second over all proxies
+  PartitionRule rules[kPartitionStates] = {};
 };
 
-// The requests of a class that all proxies may take together, a second; below 0: any number.
-double LimitOf(const ClassPartition& c, Situation situation);
+// Limit of a class in requests per second over all proxies; negative: unlimited.
+double LimitOf(const ClassPartition& partition, PartitionState state);
 
-// As worded.
+// The sections as written, before validation.
 struct PartitionSpec {
   struct Row {
     operator_file::Position at;
@@ -50,16 +58,18 @@
   };
   std::vector<Row> rows;
 };
-inline constexpr double kMostPerSecond = 1e6;
+inline constexpr double kMaxRequestsPerSecond = 1e6;
 
 operator_file::Section PartitionSection(PartitionSpec* spec);
 
+// What the validation needs to know of the rest of the configuration.
 struct PartitionContext {
-  bool peers = false;  // there is a [peers]
+  bool peers = false;  // the file has a valid [peers] section
   std::vector<std::string> classes;
 };
-// By class, one at most for each. With the reasons in `diagnostics`, empty where something is not right.
-std::vector<ClassPartition> Build(const PartitionSpec& spec, const PartitionContext& around,
+// Returns at most one entry for each class. If anything is invalid, the result is empty and the errors are
+// added to `diagnostics`.
+std::vector<ClassPartition> Build(const PartitionSpec& spec, const PartitionContext& context,
                                   operator_file::Diagnostics* diagnostics);
 
 }  // namespace kestrelline::quota
--- a/src/concert/partition_link.h
+++ b/src/concert/partition_link.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// [[partition]] in the proxy's one thread: it follows the peers' view, and tells the module, the log and the
-// figures of each change.
+// Applies the [[partition]] limits in the proxy's event loop: follows the peers' view, and passes each change
+// of a limit to the balancer, the log and the figures. Single-threaded.
 #ifndef KESTRELLINE_CONCERT_PARTITION_LINK_H_
 #define KESTRELLINE_CONCERT_PARTITION_LINK_H_
 
@@ -17,11 +17,11 @@
 class PartitionLink {
  public:
   struct Hooks {
-    std::function<void(int request_class, double per_s)> on_limit;  // below 0: none
+    std::function<void(int request_class, double per_s)> on_limit;  // negative: unlimited
     std::function<void(const std::string&)> log;
   };
 
-  // `names`: of all classes. `peers` must outlive it.
+  // `names`: the names of all classes, by index. `peers` must outlive the link.
   PartitionLink(peers::Link& peers, int configured, std::vector<ClassPartition> classes,
                 std::vector<std::string> names, Hooks hooks);
   PartitionLink(const PartitionLink&) = delete;
@@ -30,14 +30,14 @@
   std::string FiguresText() const;
 
  private:
-  void Follow();
+  void Update();
 
   peers::Link& peers_;
   int configured_;
   std::vector<ClassPartition> classes_;
   std::vector<std::string> names_;
   Hooks hooks_;
-  Situation situation_ = Situation::kWhole;
+  PartitionState state_ = PartitionState::kWhole;
 };
 
 }  // namespace kestrelline::quota
--- a/src/concert/pool.cpp
+++ b/src/concert/pool.cpp
@@ -10,62 +10,62 @@
 namespace kestrelline::quota {
 namespace {
 
-constexpr double kEven =
-    0.5;  // of the pool in even parts: who has had no traffic yet is not left with nothing
+// Part of the pool that is split evenly, so that a member without traffic so far gets some of it as well.
+constexpr double kEvenPart = 0.5;
 
 }  // namespace
 
 double Pool::Outstanding(Time now, std::uint64_t boot) const {
-  const auto found = given_.find(boot);
-  if (found == given_.end()) return 0;
-  double most = 0;
-  for (const Given& g : found->second)
-    if (now < g.until) most = std::max(most, g.share);
-  return most;
+  const auto found = issued_.find(boot);
+  if (found == issued_.end()) return 0;
+  double largest = 0;
+  for (const IssuedGrant& grant : found->second)
+    if (now < grant.until) largest = std::max(largest, grant.share);
+  return largest;
 }
 
 double Pool::Outstanding(Time now) {
   if (now == summed_at_) return sum_;
   sum_ = 0, summed_at_ = now;
-  for (const auto& [boot, given] : given_) sum_ += Outstanding(now, boot);
+  for (const auto& [boot, grants] : issued_) sum_ += Outstanding(now, boot);
   return sum_;
 }
 
-Grant Pool::Give(Time now, std::uint64_t boot, double wish, Span lasts, std::uint64_t answers) {
+Grant Pool::Issue(Time now, std::uint64_t boot, double requested, Span duration, std::uint64_t reply_number) {
   const double before = Outstanding(now, boot), others = Outstanding(now) - before;
-  const Grant grant{answers, ++last_, std::clamp(wish, 0.0, std::max(0.0, size_ - others)),
-                    std::chrono::floor<std::chrono::milliseconds>(lasts)};
-  auto& given = given_[boot];
-  given.push_back({grant.number, grant.share, now + Longer(grant.lasts)});
-  if (given.size() > kMostGiven) {
-    given[1].share = std::max(given[0].share, given[1].share);
-    given[1].until = std::max(given[0].until, given[1].until);
-    given.erase(given.begin());
+  const Grant grant{reply_number, ++last_number_, std::clamp(requested, 0.0, std::max(0.0, size_ - others)),
+                    std::chrono::floor<std::chrono::milliseconds>(duration)};
+  auto& grants = issued_[boot];
+  grants.push_back({grant.number, grant.share, now + LengthenedByDrift(grant.duration)});
+  if (grants.size() > kMaxGrantsPerHolder) {
+    grants[1].share = std::max(grants[0].share, grants[1].share);
+    grants[1].until = std::max(grants[0].until, grants[1].until);
+    grants.erase(grants.begin());
   }
   sum_ += Outstanding(now, boot) - before;
   return grant;
 }
 
-void Pool::OnTaken(std::uint64_t boot, std::uint64_t number) {
-  const auto found = given_.find(boot);
-  if (found == given_.end() || number > last_) return;
-  std::erase_if(found->second, [number](const Given& g) { return g.number < number; });
+void Pool::OnAccepted(std::uint64_t boot, std::uint64_t number) {
+  const auto found = issued_.find(boot);
+  if (found == issued_.end() || number > last_number_) return;
+  std::erase_if(found->second, [number](const IssuedGrant& grant) { return grant.number < number; });
   summed_at_ = {};
 }
 
 void Pool::Tick(Time now) {
-  for (auto of = given_.begin(); of != given_.end();) {
-    std::erase_if(of->second, [now](const Given& g) { return g.until <= now; });
-    of = of->second.empty() ? given_.erase(of) : std::next(of);
+  for (auto holder = issued_.begin(); holder != issued_.end();) {
+    std::erase_if(holder->second, [now](const IssuedGrant& grant) { return grant.until <= now; });
+    holder = holder->second.empty() ? issued_.erase(holder) : std::next(holder);
   }
 }
 
-std::vector<double> Divided(double pool, const std::vector<double>& rates) {
-  const double all = std::accumulate(rates.begin(), rates.end(), 0.0);
+std::vector<double> DivideByRates(double pool, const std::vector<double>& rates) {
+  const double total_rate = std::accumulate(rates.begin(), rates.end(), 0.0);
   const double even = pool / static_cast<double>(std::max<std::size_t>(1, rates.size()));
   std::vector<double> parts;
   for (const double rate : rates)
-    parts.push_back(all > 0 ? kEven * even + (1 - kEven) * pool * rate / all : even);
+    parts.push_back(total_rate > 0 ? kEvenPart * even + (1 - kEvenPart) * pool * rate / total_rate : even);
   return parts;
 }
 
--- a/src/concert/pool.h
+++ b/src/concert/pool.h
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What whoever leads has handed out of the pool, and to whom how much more may go. No I/O, no clock.
+// The allocator's account of the pool: which grants are outstanding, and how much more may be granted to
+// whom. No I/O, no clock.
 //
-// Safe whatever is lost or late: a grant counts until its time is up by the giver's clock, or until its
-// holder has said that it took a later one; of a holder's grants that may be in use the greatest counts. What
-// all of them sum up to never passes the pool.
+// Safe whatever messages are lost or delayed: a grant counts as outstanding until it expires by the
+// allocator's clock, or until its holder confirms a later one. Of the grants of one holder that may still be
+// in use the largest counts. The sum over all holders never exceeds the pool.
 #ifndef KESTRELLINE_CONCERT_POOL_H_
 #define KESTRELLINE_CONCERT_POOL_H_
 
@@ -18,37 +19,41 @@
 
 class Pool {
  public:
-  // `size`: of the pool, 0 to 1.
+  // `size`: part of the whole that is granted dynamically, 0 to 1.
   explicit Pool(double size) : size_(size) {}
 
-  // Hands out as much of `wish` as is free to the process that goes by this boot.
-  Grant Give(Time now, std::uint64_t boot, double wish, Span lasts, std::uint64_t answers);
-  // It has taken the grant of that number, and uses none before it.
-  void OnTaken(std::uint64_t boot, std::uint64_t number);
+  // Grants as much of `requested` as is free to the process with this boot number. `reply_number`: the reply
+  // that the grant acknowledges.
+  Grant Issue(Time now, std::uint64_t boot, double requested, Span duration, std::uint64_t reply_number);
+  // The holder uses the grant of that number, and none before it.
+  void OnAccepted(std::uint64_t boot, std::uint64_t number);
+  // Forgets expired grants.
   void Tick(Time now);
 
   double size() const { return size_; }
   double Outstanding(Time now, std::uint64_t boot) const;
-  double Outstanding(Time now);  // of all
+  double Outstanding(Time now);  // of all holders
 
  private:
-  struct Given {
+  struct IssuedGrant {
     std::uint64_t number;
     double share;
     Time until;
   };
-  // Of one holder; more are not kept: the oldest two count as one that lasts as long as the longer.
-  static constexpr std::size_t kMostGiven = 8;
+  // Grants kept per holder. Beyond that the two oldest are merged into one with the larger share and the
+  // later expiry, which never counts less than both did.
+  static constexpr std::size_t kMaxGrantsPerHolder = 8;
 
   double size_;
-  std::uint64_t last_ = 0;
-  double sum_ = 0;  // of all that is outstanding, as of then: a round gives to each in turn
+  std::uint64_t last_number_ = 0;
+  // Sum of all outstanding grants as of `summed_at_`: a round issues grants to all holders at one time.
+  double sum_ = 0;
   Time summed_at_{};
-  std::map<std::uint64_t, std::vector<Given>> given_;  // by boot, in the order of their numbers
+  std::map<std::uint64_t, std::vector<IssuedGrant>> issued_;  // by boot number, in ascending order of grants
 };
 
-// What each is to have of the pool: half of it in even parts, half by what comes to each.
-std::vector<double> Divided(double pool, const std::vector<double>& rates);
+// Splits the pool among members with these request rates: half of it evenly, half in proportion to the rates.
+std::vector<double> DivideByRates(double pool, const std::vector<double>& rates);
 
 }  // namespace kestrelline::quota
 
--- a/src/concert/rate_meter.h
+++ b/src/concert/rate_meter.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How many requests come to a proxy a second, averaged. No I/O, no clock: it is asked once each kInterval.
+// Moving average of the request rate of one proxy. No I/O, no clock: the caller samples it once per
+// kInterval.
 #ifndef KESTRELLINE_CONCERT_RATE_METER_H_
 #define KESTRELLINE_CONCERT_RATE_METER_H_
 
@@ -14,15 +15,15 @@
  public:
   static constexpr std::chrono::seconds kInterval{1};
 
-  // `total`: requests that have come since the start.
+  // `total`: requests received since the start. Returns the averaged rate in requests per second.
   double Measure(std::uint64_t total) {
-    const auto come = static_cast<double>(total - std::exchange(total_, total));
-    return rate_ += kGain * (come - rate_);
+    const auto received = static_cast<double>(total - std::exchange(total_, total));
+    return rate_ += kGain * (received - rate_);
   }
   double rate() const { return rate_; }
 
  private:
-  static constexpr double kGain = 0.5;  // of one second
+  static constexpr double kGain = 0.5;  // weight of the latest interval
 
   std::uint64_t total_ = 0;
   double rate_ = 0;
--- a/src/concert/settings.h
+++ b/src/concert/settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// [concert] of the operator's file, and what is checked before it holds.
+// The [concert] section of the operator's file: its settings and their validation.
 #ifndef KESTRELLINE_CONCERT_SETTINGS_H_
 #define KESTRELLINE_CONCERT_SETTINGS_H_
 
@@ -12,13 +12,15 @@
 namespace kestrelline::quota {
 
 struct Settings {
-  double reserve = 0.25;                 // of the whole, divided for good by how many are configured
-  Span lease = std::chrono::seconds(2);  // after which what somebody had is free for others
+  // Part of the whole, 0 to 1, that is divided statically by the number of configured proxies.
+  double reserve = 0.25;
+  // Time after which the share of a failed proxy is free to be granted to others.
+  Span lease = std::chrono::seconds(2);
 };
 
-// As worded.
+// The section as written, before validation.
 struct Spec {
-  bool there = false;
+  bool present = false;
   operator_file::Position at;
   std::optional<operator_file::At<double>> reserve;
   std::optional<operator_file::At<operator_file::Milliseconds>> lease;
@@ -26,12 +28,13 @@
 
 operator_file::Section QuotaSection(Spec* spec);
 
-struct Around {
-  bool peers = false;  // there is a [peers]
-  int balancers = 1;   // that the platform's settings name
+// What the validation needs to know of the rest of the configuration.
+struct BuildContext {
+  bool peers = false;  // the file has a valid [peers] section
+  int balancers = 1;   // proxies that the platform's settings name
 };
-// Nothing where there is no section, or, with the reasons in `diagnostics`, where it is not right.
-std::optional<Settings> Build(const Spec& spec, const Around& around,
+// Returns nothing if there is no section, or if it is invalid; the errors are added to `diagnostics` then.
+std::optional<Settings> Build(const Spec& spec, const BuildContext& context,
                               operator_file::Diagnostics* diagnostics);
 
 }  // namespace kestrelline::quota
--- a/src/concert/wire.cpp
+++ b/src/concert/wire.cpp
@@ -11,61 +11,62 @@
 using std::chrono::milliseconds;
 
 void Put(peers::Writer* out, double number) { out->Whole(std::bit_cast<std::uint64_t>(number)); }
-double GetNumber(peers::Reader* in, double most) {
+double GetDouble(peers::Reader* in, double max) {
   const auto number = std::bit_cast<double>(in->Whole<std::uint64_t>());
-  if (!(number >= 0 && number <= most)) return in->Fail(), 0;
+  if (!(number >= 0 && number <= max)) return in->Fail(), 0;
   return number;
 }
 
 }  // namespace
 
-Bytes Encode(const Message& m) {
+Bytes Encode(const Message& message) {
   Bytes bytes;
   peers::Writer out(&bytes);
-  out.Byte(kForm);
-  out.Byte(static_cast<std::uint8_t>(m.kind));
-  out.Number(m.term.number);
-  out.Whole(m.term.boot);
-  out.Number(m.round);
-  if (m.kind == Message::Kind::kClaim) {
-    out.Number(m.grant.answers);
-    out.Number(m.grant.number);
-    Put(&out, m.grant.share);
-    out.Number(static_cast<std::uint64_t>(std::chrono::floor<milliseconds>(m.grant.lasts).count()));
+  out.Byte(kFormatVersion);
+  out.Byte(static_cast<std::uint8_t>(message.kind));
+  out.Number(message.term.number);
+  out.Whole(message.term.boot);
+  out.Number(message.round);
+  if (message.kind == Message::Kind::kClaim) {
+    out.Number(message.grant.reply_number);
+    out.Number(message.grant.number);
+    Put(&out, message.grant.share);
+    out.Number(static_cast<std::uint64_t>(std::chrono::floor<milliseconds>(message.grant.duration).count()));
   } else {
-    out.Number(m.greatest);
-    out.Number(m.number);
-    out.Number(m.place);
-    out.Number(m.taken);
-    Put(&out, m.rate);
+    out.Number(message.highest_term);
+    out.Number(message.number);
+    out.Number(message.member_index);
+    out.Number(message.accepted_grant);
+    Put(&out, message.rate);
   }
   return bytes;
 }
 
 std::optional<Message> Decode(std::span<const std::uint8_t> bytes) {
   peers::Reader in(bytes);
-  if (in.Byte() != kForm) return std::nullopt;
-  Message m;
+  if (in.Byte() != kFormatVersion) return std::nullopt;
+  Message message;
   const std::uint8_t kind = in.Byte();
   if (kind != 1 && kind != 2) return std::nullopt;
-  m.kind = static_cast<Message::Kind>(kind);
-  m.term.number = in.Number();
-  m.term.boot = in.Whole<std::uint64_t>();
-  m.round = in.Number();
-  if (m.kind == Message::Kind::kClaim) {
-    m.grant.answers = in.Number();
-    m.grant.number = in.Number();
-    m.grant.share = GetNumber(&in, 1);
-    m.grant.lasts = milliseconds(in.Number(std::chrono::floor<milliseconds>(kLongest).count()));
+  message.kind = static_cast<Message::Kind>(kind);
+  message.term.number = in.Number();
+  message.term.boot = in.Whole<std::uint64_t>();
+  message.round = in.Number();
+  if (message.kind == Message::Kind::kClaim) {
+    message.grant.reply_number = in.Number();
+    message.grant.number = in.Number();
+    message.grant.share = GetDouble(&in, 1);
+    message.grant.duration =
+        milliseconds(in.Number(std::chrono::floor<milliseconds>(kMaxGrantDuration).count()));
   } else {
-    m.greatest = in.Number();
-    m.number = in.Number();
-    m.place = static_cast<std::uint32_t>(in.Number(~0u));
-    m.taken = in.Number();
-    m.rate = GetNumber(&in, kMostRate);
+    message.highest_term = in.Number();
+    message.number = in.Number();
+    message.member_index = static_cast<std::uint32_t>(in.Number(~0u));
+    message.accepted_grant = in.Number();
+    message.rate = GetDouble(&in, kMaxRate);
   }
   if (!in.ok()) return std::nullopt;
-  return m;
+  return message;
 }
 
 }  // namespace kestrelline::quota::wire
--- a/src/concert/wire.h
+++ b/src/concert/wire.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A message as bytes: some 20 to 40 of them. What comes after the fields of this form is left out by readers:
-// a newer program may say more.
+// Encodes quota messages, in about 20 to 40 bytes each. Readers ignore bytes after the last field of this
+// format, so that newer versions can append fields.
 #ifndef KESTRELLINE_CONCERT_WIRE_H_
 #define KESTRELLINE_CONCERT_WIRE_H_
 
@@ -15,12 +15,12 @@
 namespace kestrelline::quota::wire {
 
 using Bytes = std::vector<std::uint8_t>;
-inline constexpr std::uint8_t kForm = 1;
-inline constexpr Span kLongest = std::chrono::minutes(5);  // of a grant
-inline constexpr double kMostRate = 1e9;
+inline constexpr std::uint8_t kFormatVersion = 1;
+inline constexpr Span kMaxGrantDuration = std::chrono::minutes(5);
+inline constexpr double kMaxRate = 1e9;  // requests per second
 
 Bytes Encode(const Message& message);
-// Nothing unless it is a whole message within every bound.
+// Returns nothing unless the bytes are a complete message with every field within its bounds.
 std::optional<Message> Decode(std::span<const std::uint8_t> bytes);
 
 }  // namespace kestrelline::quota::wire
--- a/tests/concert/partition_test.cpp
+++ b/tests/concert/partition_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What classes may do while proxies are missing: the section, what follows from a view, and what the module
-// does with a limit.
+// Limits per class during a network partition: the settings section, which limit follows from a membership
+// view, and how the balancer applies it.
 #include "concert/partition.h"
 
 #include <gtest/gtest.h>
@@ -16,21 +16,21 @@
 
 using peers::Reading;
 
-std::vector<ClassPartition> Read(const std::string& text, bool peers, std::string* said) {
+std::vector<ClassPartition> Read(const std::string& text, bool peers, std::string* errors) {
   operator_file::Diagnostics diagnostics("f.toml");
   PartitionSpec spec;
   const std::vector<operator_file::Section> sections{PartitionSection(&spec)};
   operator_file::ReadDocument("version = 1\n" + text, sections, &diagnostics);
   const auto built = Build(spec, PartitionContext{peers, {"look", "change", "book"}}, &diagnostics);
-  for (const auto& line : diagnostics.Lines()) *said += line + "\n";
+  for (const auto& line : diagnostics.Lines()) *errors += line + "\n";
   return built;
 }
 
-TEST(PartitionSettings, WhatIsWrongIsSaidWithItsLine) {
+TEST(PartitionSettings, ErrorsNameTheLineAndTheReason) {
   const struct {
     std::string text;
     bool peers;
-    std::string part;  // empty: it is right
+    std::string expected_error;  // empty: valid
   } table[] = {
       {"[[partition]]\nclass = \"book\"\nminority = \"refuse\"\n", true, ""},
       {"[[partition]]\nclass = \"book\"\npart = \"within\"\nrate = 5\n", true, ""},
@@ -44,24 +44,25 @@
       {"[[partition]]\nminority = \"refuse\"\n", true, "class"},
       {"[[partition]]\nclass = \"book\"\nmajority = \"serve\"\n", true, "minority"},
   };
-  for (const auto& [text, peers, part] : table) {
-    std::string said;
-    EXPECT_EQ(Read(text, peers, &said).size() == 1, part.empty()) << text << said;
-    EXPECT_NE(said.find(part), std::string::npos) << text << said;
+  for (const auto& [text, peers, expected_error] : table) {
+    std::string errors;
+    EXPECT_EQ(Read(text, peers, &errors).size() == 1, expected_error.empty()) << text << errors;
+    EXPECT_NE(errors.find(expected_error), std::string::npos) << text << errors;
   }
 }
 
-TEST(Partition, WhatIsNotSaidIsAsTheMilderSituationHasIt) {
-  std::string said;
+TEST(Partition, AStateWithoutARuleHasThatOfTheMilderState) {
+  std::string errors;
   const auto all = Read(
       "[[partition]]\nclass = \"book\"\nminority = \"refuse\"\n"
       "[[partition]]\nclass = \"look\"\npart = \"within\"\nalone = \"refuse\"\nrate = 7\n",
-      true, &said);
-  ASSERT_EQ(all.size(), 2u) << said;
-  const auto limits = [](const ClassPartition& c) {
+      true, &errors);
+  ASSERT_EQ(all.size(), 2u) << errors;
+  const auto limits = [](const ClassPartition& partition) {
     std::vector<double> limits;
-    for (const auto s : {Situation::kWhole, Situation::kPart, Situation::kMinority, Situation::kAlone})
-      limits.push_back(LimitOf(c, s));
+    for (const auto state : {PartitionState::kWhole, PartitionState::kMajority, PartitionState::kMinority,
+                             PartitionState::kIsolated})
+      limits.push_back(LimitOf(partition, state));
     return limits;
   };
   EXPECT_EQ(all[0].request_class, 2);
@@ -70,26 +71,27 @@
   EXPECT_EQ(limits(all[1]), (std::vector<double>{-1, 7, 7, 0}));
 }
 
-TEST(Partition, OfTwoPartsOneAtMostHasMoreThanHalf) {
+TEST(Partition, AtMostOneOfTwoSidesHasAMajority) {
   for (int configured = 1; configured <= 9; ++configured) {
     for (int here = 1; here <= configured; ++here) {
-      const auto of = [&](int present) {
-        return SituationOf(present > 1 ? Reading::kPart : Reading::kAlone, static_cast<std::size_t>(present),
-                           configured);
+      const auto state_of = [&](int present) {
+        return PartitionStateOf(present > 1 ? Reading::kPart : Reading::kAlone,
+                                static_cast<std::size_t>(present), configured);
       };
       const int there = configured - here;
-      EXPECT_FALSE(of(here) == Situation::kPart && there > 0 && of(there) == Situation::kPart);
-      EXPECT_EQ(of(here) == Situation::kPart, here > 1 && 2 * here > configured);
+      EXPECT_FALSE(state_of(here) == PartitionState::kMajority && there > 0 &&
+                   state_of(there) == PartitionState::kMajority);
+      EXPECT_EQ(state_of(here) == PartitionState::kMajority, here > 1 && 2 * here > configured);
     }
   }
-  EXPECT_EQ(SituationOf(Reading::kWhole, 1, 5), Situation::kWhole);
-  EXPECT_EQ(SituationOf(Reading::kAlone, 3, 5), Situation::kAlone);
+  EXPECT_EQ(PartitionStateOf(Reading::kWhole, 1, 5), PartitionState::kWhole);
+  EXPECT_EQ(PartitionStateOf(Reading::kAlone, 3, 5), PartitionState::kIsolated);
 }
 
-// Two classes, one server that answers at once, a request of each every 10 ms.
-class Limited {
+// A balancer with two classes and one server that answers at once; requests arrive every 10 ms.
+class LimitedBalancer {
  public:
-  Limited() : balancer_(Of(), 1) {
+  LimitedBalancer() : balancer_(SettingsWithTwoClasses(), 1) {
     kestrelline::ListUpdate list;
     list.kind = kestrelline::ListKind::kFull;
     list.entries.resize(1);
@@ -100,14 +102,15 @@
     actions.clear();
     balancer_.Handle(kestrelline::TimePoint(kestrelline::Duration(now_)), event, &actions);
   }
-  // Sent, of one class, over so many seconds; the others are refused with when to come back.
-  int Sent(int request_class, double seconds) {
+  // Number of requests of one class that are sent over so many seconds. The others must be refused with a
+  // time to retry after.
+  int CountSent(int request_class, double seconds) {
     int sent = 0;
     for (int n = 0; n < 100 * seconds; ++n) {
       now_ += 10;
       const auto id = Submit(request_class, nullptr);
-      const auto done = actions;  // what is handled next takes its place
-      for (const auto& action : done) {
+      const auto current_actions = actions;  // Handle below replaces `actions`
+      for (const auto& action : current_actions) {
         if (const auto* refused = std::get_if<kestrelline::Refuse>(&action)) {
           EXPECT_GT(refused->retry_after.count(), 0);
         }
@@ -133,7 +136,7 @@
   std::vector<kestrelline::Action> actions;
 
  private:
-  static kestrelline::Settings Of() {
+  static kestrelline::Settings SettingsWithTwoClasses() {
     kestrelline::Settings s;
     s.balancers = 5;
     s.max_retry_after = kestrelline::Duration(500);
@@ -149,29 +152,29 @@
   kestrelline::RequestId last_ = 0;
 };
 
-TEST(PartitionModule, ALimitIsOfOneClassAndOfThisProxysShare) {
-  Limited limited;
-  EXPECT_EQ(limited.Sent(0, 2), 200);
+TEST(PartitionBalancer, ALimitAppliesToOneClassAndToThisProxysShare) {
+  LimitedBalancer limited;
+  EXPECT_EQ(limited.CountSent(0, 2), 200);
   limited.Handle(ClassLimit{0, 0});
-  EXPECT_EQ(limited.Sent(0, 2), 0);
-  EXPECT_EQ(limited.Sent(1, 2), 200);
+  EXPECT_EQ(limited.CountSent(0, 2), 0);
+  EXPECT_EQ(limited.CountSent(1, 2), 200);
   limited.Handle(ClassLimit{0, 50});
-  EXPECT_NEAR(limited.Sent(0, 4), 40, 2);  // a fifth of 50, and nothing in store at first
+  EXPECT_NEAR(limited.CountSent(0, 4), 40, 2);  // a fifth of 50, with no initial burst
   limited.Handle(kestrelline::Share{0.5, kestrelline::TimePoint(kestrelline::Duration(1e9)), 0.05});
-  EXPECT_NEAR(limited.Sent(0, 4), 100, 4);  // half
+  EXPECT_NEAR(limited.CountSent(0, 4), 100, 4);  // half
   limited.Handle(ClassLimit{0, 0.5});
-  EXPECT_LE(limited.Sent(0, 8), 26);  // what was in store, and one each 4 s
+  EXPECT_LE(limited.CountSent(0, 8), 26);  // the burst, and one every 4 s
   limited.Handle(ClassLimit{0, -1});
-  EXPECT_EQ(limited.Sent(0, 2), 200);
-  for (const auto& nonsense :
+  EXPECT_EQ(limited.CountSent(0, 2), 200);
+  for (const auto& invalid :
        {ClassLimit{7, 0}, ClassLimit{-1, 0}, ClassLimit{0, std::numeric_limits<double>::quiet_NaN()}})
-    limited.Handle(nonsense);
-  EXPECT_EQ(limited.Sent(0, 2), 200);
+    limited.Handle(invalid);
+  EXPECT_EQ(limited.CountSent(0, 2), 200);
 }
 
-// To refuse is to say that another try is harmless, which nobody knows of a key that may have run.
-TEST(PartitionModule, AKeyThatMayHaveRunElsewhereIsFailedNotRefused) {
-  Limited limited;
+// A refusal tells the client that a retry is harmless, which is unknown for a key that may have run already.
+TEST(PartitionBalancer, AKeyThatMayHaveRunElsewhereIsFailedNotRefused) {
+  LimitedBalancer limited;
   limited.Handle(kestrelline::ClassLimit{1, 0});
   limited.Submit(1, std::make_shared<const std::vector<kestrelline::KeyClaim>>(
                         1, kestrelline::KeyClaim{0, 0, kestrelline::TimePoint(kestrelline::Duration(1e6))}));
--- a/tests/concert/world_test.cpp
+++ b/tests/concert/world_test.cpp
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Shares of many proxies in virtual time: whatever is lost, cut, killed, paused and started again, all that
-// they may use at one moment never passes the whole; and when nothing happens all of it is in use but the
-// reserve of those that are gone.
+// Quota division among many simulated proxies: under loss, partitions, kills, pauses and restarts the shares
+// in use never exceed the whole, and without faults all of it is in use but the reserves of failed proxies.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -16,12 +15,12 @@
 
 constexpr Microseconds Ms(std::int64_t ms) { return Microseconds(ms * 1000); }
 
-class Divided {
+class QuotaWorld {
  public:
-  Divided(int members, std::uint64_t seed, int configured = 0, double reserve = 0.25)
+  QuotaWorld(int members, std::uint64_t seed, int configured = 0, double reserve = 0.25)
       : world(OptionsOf(members, seed, configured ? configured : members, reserve)),
         members_(members),
-        draw(seed) {
+        random(seed) {
     world.on_divided = [this](int member, const quota::Event& event) { ++events[{member, event.kind}]; };
     world.StartAll();
   }
@@ -33,93 +32,94 @@
     o.concert->reserve = reserve;
     return o;
   }
-  // Of those that run; one that is paused uses nothing meanwhile, and what it has when it wakes counts then.
+  // Sum of the shares of running proxies. A paused one uses nothing; its share counts again when it resumes.
   double Used() {
     double used = 0;
     for (int i = 0; i < members_; ++i)
       if (world.runs(i) && !world.paused(i)) used += world.concert(i)->Share(world.Now());
     return used;
   }
-  int Leaders() {
-    int leaders = 0;
+  int CountAllocators() {
+    int allocators = 0;
     for (int i = 0; i < members_; ++i)
-      leaders += world.runs(i) && !world.paused(i) && world.concert(i)->Leads(world.Now());
-    return leaders;
+      allocators += world.runs(i) && !world.paused(i) && world.concert(i)->IsAllocator(world.Now());
+    return allocators;
   }
-  // For so long, looking often.
+  // Runs for `ms`, checking the invariants every 7 ms.
   void Run(std::int64_t ms) {
     for (std::int64_t t = 0; t < ms; t += 7) {
       world.Run(Ms(7));
       const double used = Used();
-      most = std::max(most, used);
+      max_used = std::max(max_used, used);
       ASSERT_LE(used, 1 + 1e-9) << "at " << world.kernel().now().count() / 1000 << " ms";
-      ASSERT_LE(Leaders(), 1) << "at " << world.kernel().now().count() / 1000 << " ms";
+      ASSERT_LE(CountAllocators(), 1) << "at " << world.kernel().now().count() / 1000 << " ms";
     }
   }
-  bool Until(const std::function<bool()>& test, std::int64_t ms = 60000) {
+  bool RunUntil(const std::function<bool()>& test, std::int64_t ms = 60000) {
     for (std::int64_t t = 0; t < ms && !::testing::Test::HasFatalFailure(); t += 7) {
       if (test()) return true;
       Run(7);
     }
     return test();
   }
-  bool Uses(double part) {
-    return Until([this, part] { return Used() > part - 0.01; });
+  bool AwaitUsed(double part) {
+    return RunUntil([this, part] { return Used() > part - 0.01; });
   }
-  bool Even(const std::vector<int>& who, double part) {
-    return Until([&] {
-      return std::all_of(who.begin(), who.end(), [&](int i) { return std::abs(Share(i) - part) < 0.005; });
+  bool AwaitShares(const std::vector<int>& members, double expected) {
+    return RunUntil([&] {
+      return std::all_of(members.begin(), members.end(),
+                         [&](int i) { return std::abs(Share(i) - expected) < 0.005; });
     });
   }
   void SetRate(int member, double rate) { world.concert(member)->SetRate(rate); }
   double Share(int member) { return world.runs(member) ? world.concert(member)->Share(world.Now()) : 0; }
-  int Any() { return static_cast<int>(draw() % static_cast<std::uint64_t>(members_)); }
+  int RandomMember() { return static_cast<int>(random() % static_cast<std::uint64_t>(members_)); }
 
   PeersWorld world;
   std::map<std::pair<int, quota::Event::Kind>, int> events;
-  double most = 0;
+  double max_used = 0;
 
  private:
   int members_;
 
  public:
-  std::mt19937_64 draw;
+  std::mt19937_64 random;
 };
 
-TEST(ConcertWorld, NoScheduleUsesMoreThanTheWholeAndQuietUsesAllOfIt) {
+TEST(QuotaSimulation, NoScheduleUsesMoreThanTheWholeAndAllIsUsedWithoutFaults) {
   constexpr std::uint64_t kSeeds = testing::OrFewer(30, 3);
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     const int members = 3 + static_cast<int>(seed % 6);
-    Divided w(members, seed);
+    QuotaWorld w(members, seed);
     for (int step = 0; step < 60; ++step) {
-      const int who = w.Any(), other = w.Any();
-      switch (w.draw() % 9) {
+      const int member = w.RandomMember(), other = w.RandomMember();
+      switch (w.random() % 9) {
         case 0:
         case 1:
-          w.world.runs(who) ? w.world.Kill(who) : w.world.Start(who);
+          w.world.runs(member) ? w.world.Kill(member) : w.world.Start(member);
           break;
         case 2:
-          if (w.world.runs(who)) w.world.Pause(who);
+          if (w.world.runs(member)) w.world.Pause(member);
           break;
         case 3:
         case 4:
-          w.world.Resume(who);
+          w.world.Resume(member);
           break;
         case 5:
-          w.world.net().Part({who, other}, members, true);
+          w.world.net().Part({member, other}, members, true);
           break;
         case 6:
           w.world.net().MendAll();
           break;
         case 7:
-          if (w.world.runs(who)) w.SetRate(who, static_cast<double>(w.draw() % 1000));
+          if (w.world.runs(member)) w.SetRate(member, static_cast<double>(w.random() % 1000));
           break;
         case 8:
-          if (w.world.runs(who)) w.world.Leave(who);
+          if (w.world.runs(member)) w.world.Leave(member);
           break;
       }
-      w.Run(static_cast<std::int64_t>(w.draw() % 1500));
+      w.Run(static_cast<std::int64_t>(w.random() % 1500));
       if (HasFatalFailure()) return;
     }
     w.world.net().MendAll();
@@ -127,101 +127,102 @@
       w.world.Resume(i);
       if (!w.world.runs(i)) w.world.Start(i);
     }
-    EXPECT_TRUE(w.Uses(1)) << w.Used();
+    EXPECT_TRUE(w.AwaitUsed(1)) << w.Used();
   }
 }
 
-// A crash is told from a cut by nobody: what the dead had is free once their grants have ended.
-TEST(ConcertWorld, ThoseThatLiveTakeWhatTheDeadHadAndGiveItBack) {
-  Divided w(5, 1);
-  ASSERT_TRUE(w.Even({0, 1, 2, 3, 4}, 0.2));
-  w.world.Kill(0), w.world.Kill(3);  // who leads among them
-  ASSERT_TRUE(w.Even({1, 2, 4}, 0.3)) << w.Used();
+// Nobody can tell a crash from a partition: the shares of failed proxies are free once their grants have
+// expired.
+TEST(QuotaSimulation, LiveProxiesTakeTheSharesOfFailedOnesAndReturnThem) {
+  QuotaWorld w(5, 1);
+  ASSERT_TRUE(w.AwaitShares({0, 1, 2, 3, 4}, 0.2));
+  w.world.Kill(0), w.world.Kill(3);  // the allocator among them
+  ASSERT_TRUE(w.AwaitShares({1, 2, 4}, 0.3)) << w.Used();
   w.world.Start(0), w.world.Start(3);
-  ASSERT_TRUE(w.Even({0, 1, 2, 3, 4}, 0.2));
-  EXPECT_LE(w.most, 1 + 1e-9);
+  ASSERT_TRUE(w.AwaitShares({0, 1, 2, 3, 4}, 0.2));
+  EXPECT_LE(w.max_used, 1 + 1e-9);
 }
 
-TEST(ConcertWorld, ASmallerPartKeepsToItsReserveAndTheLargerTakesTheRest) {
-  Divided w(5, 2);
-  ASSERT_TRUE(w.Uses(1));
+TEST(QuotaSimulation, AMinorityKeepsToItsReserveAndTheMajorityTakesTheRest) {
+  QuotaWorld w(5, 2);
+  ASSERT_TRUE(w.AwaitUsed(1));
   w.world.net().Part({0, 1}, 5, true);
-  ASSERT_TRUE(w.Until([&] { return w.Share(0) < 0.06 && w.Share(1) < 0.06 && w.Share(2) > 0.29; }));
-  EXPECT_NEAR(w.Used(), 1, 0.01);  // both reserves are in use there
-  EXPECT_EQ(w.events.at({0, quota::Event::Kind::kLapsed}), 1);
+  ASSERT_TRUE(w.RunUntil([&] { return w.Share(0) < 0.06 && w.Share(1) < 0.06 && w.Share(2) > 0.29; }));
+  EXPECT_NEAR(w.Used(), 1, 0.01);  // both sides use their reserves
+  EXPECT_EQ(w.events.at({0, quota::Event::Kind::kGrantExpired}), 1);
   w.Run(20000);
   EXPECT_NEAR(w.Share(0), 0.05, 1e-9);
   w.world.net().MendAll();
-  ASSERT_TRUE(w.Until([&] { return w.Share(0) > 0.19 && w.Share(2) < 0.21; }));
+  ASSERT_TRUE(w.RunUntil([&] { return w.Share(0) > 0.19 && w.Share(2) < 0.21; }));
 }
 
-// Whoever hands out is cut off together with a holder, and goes on for as long as it may.
-TEST(ConcertWorld, AHolderBesideTheOneThatIsCutOffHasNothingOnceOthersGrant) {
+// The allocator is cut off together with one holder, and keeps granting until its support expires.
+TEST(QuotaSimulation, AHolderCutOffWithItsAllocatorHasNoGrantOnceOthersGrant) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    Divided w(5, seed);
-    ASSERT_TRUE(w.Uses(1));
-    int leader = 0;
-    while (!w.world.concert(leader)->Leads(w.world.Now())) ++leader;
-    w.world.net().Part({leader, (leader + 1) % 5}, 5, true);
-    ASSERT_TRUE(w.Until([&] { return w.Share((leader + 2) % 5) > 0.29; }));
+    QuotaWorld w(5, seed);
+    ASSERT_TRUE(w.AwaitUsed(1));
+    int allocator = 0;
+    while (!w.world.concert(allocator)->IsAllocator(w.world.Now())) ++allocator;
+    w.world.net().Part({allocator, (allocator + 1) % 5}, 5, true);
+    ASSERT_TRUE(w.RunUntil([&] { return w.Share((allocator + 2) % 5) > 0.29; }));
     w.Run(4000);
   }
 }
 
-TEST(ConcertWorld, WithoutAMajorityAllKeepToTheirReserve) {
-  Divided w(5, 3);
-  ASSERT_TRUE(w.Uses(1));
+TEST(QuotaSimulation, WithoutAMajorityAllKeepToTheirReserves) {
+  QuotaWorld w(5, 3);
+  ASSERT_TRUE(w.AwaitUsed(1));
   for (const int i : {0, 1, 2}) w.world.Kill(i);
   w.Run(20000);
   EXPECT_NEAR(w.Used(), 0.1, 1e-9);
   w.world.Start(0);
-  ASSERT_TRUE(w.Uses(0.9));
+  ASSERT_TRUE(w.AwaitUsed(0.9));
 }
 
-// Half of the pool follows the traffic: who has little lends what it does not use.
-TEST(ConcertWorld, SharesFollowTheTrafficOfAMomentAgo) {
-  Divided w(5, 4);
-  ASSERT_TRUE(w.Uses(1));
+// Half of the pool is divided by request rates: proxies with little traffic leave their part to the others.
+TEST(QuotaSimulation, SharesFollowRecentTraffic) {
+  QuotaWorld w(5, 4);
+  ASSERT_TRUE(w.AwaitUsed(1));
   for (const int busy : {0, 4}) {
     for (int i = 0; i < 5; ++i) w.SetRate(i, i == busy ? 1000 : 1);
-    ASSERT_TRUE(w.Until([&] { return w.Share(busy) > 0.48; }, 6000)) << w.Share(busy);
+    ASSERT_TRUE(w.RunUntil([&] { return w.Share(busy) > 0.48; }, 6000)) << w.Share(busy);
     EXPECT_GT(w.Share(1), 0.12);
   }
-  ASSERT_TRUE(w.Uses(1));
+  ASSERT_TRUE(w.AwaitUsed(1));
 }
 
-TEST(ConcertWorld, WhoSleptPastTheEndOfItsGrantWakesWithItsReserve) {
-  Divided w(5, 5);
-  ASSERT_TRUE(w.Uses(1));
+TEST(QuotaSimulation, AProxyPausedPastTheEndOfItsGrantResumesWithItsReserve) {
+  QuotaWorld w(5, 5);
+  ASSERT_TRUE(w.AwaitUsed(1));
   w.world.Pause(4);
-  w.Run(1500);  // nobody has taken it for dead yet
+  w.Run(1500);  // not yet taken for failed
   w.Run(3000);
-  EXPECT_NEAR(w.Share(4), 0.05, 1e-9);  // before it has run one instruction
+  EXPECT_NEAR(w.Share(4), 0.05, 1e-9);  // before it has run anything
   w.world.Resume(4);
   w.Run(5000);
-  ASSERT_TRUE(w.Uses(1));
+  ASSERT_TRUE(w.AwaitUsed(1));
 }
 
-// More than are configured: they have no reserve and no vote, and what they get is others'.
-TEST(ConcertWorld, JoinsBeyondThoseConfiguredGetTheirPartOfThePool) {
-  Divided w(8, 6, 5);
-  ASSERT_TRUE(w.Even({0, 4}, 0.05 + 0.75 / 8) && w.Even({5, 7}, 0.75 / 8));
+// Proxies beyond the configured number have no reserve and no vote, but get a part of the pool.
+TEST(QuotaSimulation, ProxiesBeyondTheConfiguredNumberGetAPartOfThePool) {
+  QuotaWorld w(8, 6, 5);
+  ASSERT_TRUE(w.AwaitShares({0, 4}, 0.05 + 0.75 / 8) && w.AwaitShares({5, 7}, 0.75 / 8));
   for (int i = 0; i < 5; ++i) w.world.Kill(i);
   w.Run(10000);
-  EXPECT_NEAR(w.Used(), 0, 1e-9);  // none of those left may grant
+  EXPECT_NEAR(w.Used(), 0, 1e-9);  // none of the remaining ones has a vote
 }
 
-TEST(ConcertWorld, LossDelaysNothingForLong) {
-  Divided w(8, 7);
+TEST(QuotaSimulation, UnderLossSharesAreRarelyUnused) {
+  QuotaWorld w(8, 7);
   w.world.net().SetAll({.loss = 0.2, .delay = Microseconds(200), .jitter = Ms(2)});
-  ASSERT_TRUE(w.Uses(1));
-  int short_of = 0;
+  ASSERT_TRUE(w.AwaitUsed(1));
+  int times_unused = 0;
   for (int i = 0; i < 1000; ++i) {
     w.Run(28);
-    short_of += w.Used() < 0.95;
+    times_unused += w.Used() < 0.95;
   }
-  EXPECT_LT(short_of, 50);
+  EXPECT_LT(times_unused, 50);
 }
 
 }  // namespace
