--- a/tests/concert/parts_test.cpp
+++ b/tests/concert/parts_test.cpp
@@ -58,7 +58,7 @@
   Message claim, reply;
   claim.term = {300, 77}, claim.round = 9, claim.grant = {5, 1ull << 40, 0.375, milliseconds(1999)};
   reply.kind = Message::Kind::kReply, reply.term = {300, 77}, reply.round = 9;
-  reply.highest_term = ~0ull, reply.number = 12, reply.member_index = 299, reply.accepted_grant = 4;
+  reply.highest_term = ~0ull, reply.number = 12, reply.member_index = 299, reply.accepted_grant = 4,
   reply.rate = 1234.5;
   std::mt19937_64 random(1);
   for (const Message& m : {claim, reply}) {
