--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -156,7 +156,7 @@
   if (!pending.keyed) return SendAttempt(action, attempt);
   // What it may run is claimed first.
   const Group kind = config_.settings.classes[pending.request_class].group;
-  const auto group = claims_->groups().Of(kind, action.zone, action.cell);
+  const auto group = claims_->groups().IdOf(kind, action.zone, action.cell);
   pending.keyed->groups.resize(static_cast<std::size_t>(attempt) + 1, group);
   claims_->BeforeAttempt(pending.keyed->key, group,
                          [this, action, attempt](auto go) { OnClaimed(action, attempt, go); });
