--- a/bench/replica_bench.cpp
+++ b/bench/replica_bench.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What replicas share, in virtual time. replica_bench staleness | catchup | ways | wiped SITE PLAN
+// Measures replication in virtual time. Usage: replica_bench staleness | catchup | ways | wiped SITE PLAN
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -33,7 +33,7 @@
   return o;
 }
 
-bool Ready(PeersWorld& w, int members) {
+bool AwaitReady(PeersWorld& w, int members) {
   w.Run(PeersWorld::kStartsWithin);
   return w
       .RunUntil(
@@ -46,7 +46,8 @@
       .has_value();
 }
 
-// From a write until the last of all has it; bytes a second and member beside those of the view.
+// Time from a write until the last member has it, and the bytes per second and member, without those of the
+// membership.
 void Staleness() {
   std::printf("members  loss  writes/s  p50 ms   p99 ms   max ms   bytes/s of a member\n");
   const struct {
@@ -59,7 +60,7 @@
   for (const auto& row : rows) {
     PeersWorld w(OptionsOf(row.members, 5));
     w.StartAll();
-    if (!Ready(w, row.members)) {
+    if (!AwaitReady(w, row.members)) {
       std::printf("%7d  never ready\n", row.members);
       continue;
     }
@@ -69,42 +70,42 @@
       std::uint64_t id;
       Microseconds at;
     };
-    std::vector<Write> open;
-    std::vector<double> took;
+    std::vector<Write> pending;
+    std::vector<double> elapsed;
     const auto before = w.totals().shared_bytes;
-    const Microseconds from = w.kernel().now(), every(1000000 / row.rate);
-    for (std::uint64_t n = 0; took.size() < static_cast<std::size_t>(row.writes);) {
+    const Microseconds start = w.kernel().now(), interval(1000000 / row.rate);
+    for (std::uint64_t n = 0; elapsed.size() < static_cast<std::size_t>(row.writes);) {
       if (n < static_cast<std::uint64_t>(row.writes)) {
-        const int who = static_cast<int>(n * 7 % static_cast<std::uint64_t>(row.members));
-        w.replica(who)->Write(w.Now(), {Table::kClaims, ++n, 1}, std::chrono::minutes(10), 0);
-        w.Flush(who);
-        open.push_back({n, w.kernel().now()});
+        const int writer = static_cast<int>(n * 7 % static_cast<std::uint64_t>(row.members));
+        w.replica(writer)->Write(w.Now(), {Table::kClaims, ++n, 1}, std::chrono::minutes(10), 0);
+        w.Flush(writer);
+        pending.push_back({n, w.kernel().now()});
       }
-      w.Run(every);
-      std::erase_if(open, [&](const Write& write) {
+      w.Run(interval);
+      std::erase_if(pending, [&](const Write& write) {
         for (int i = 0; i < row.members; ++i)
           if (w.replica(i)->store().Find(w.Now(), Table::kClaims, write.id).empty()) return false;
-        took.push_back(static_cast<double>((w.kernel().now() - write.at).count()) / 1000);
+        elapsed.push_back(static_cast<double>((w.kernel().now() - write.at).count()) / 1000);
         return true;
       });
     }
-    const double seconds = static_cast<double>((w.kernel().now() - from).count()) / 1e6;
-    std::sort(took.begin(), took.end());
+    const double seconds = static_cast<double>((w.kernel().now() - start).count()) / 1e6;
+    std::sort(elapsed.begin(), elapsed.end());
     std::printf("%7d  %4.2f  %8d  %6.1f  %7.1f  %7.1f  %9.0f\n", row.members, row.loss, row.rate,
-                took[took.size() / 2], took[took.size() * 99 / 100], took.back(),
+                elapsed[elapsed.size() / 2], elapsed[elapsed.size() * 99 / 100], elapsed.back(),
                 static_cast<double>(w.totals().shared_bytes - before) / seconds / row.members);
     std::fflush(stdout);
   }
 }
 
-// One that returns to a fleet that holds so many entries.
+// Time for a restarted member to catch up with a fleet that holds so many entries.
 void CatchUp() {
   std::printf("members  entries  loss  virtual s  real s of all\n");
   for (const double loss : {0.0, 0.05}) {
     for (const std::size_t entries : {1000u, 10000u, 100000u}) {
       PeersWorld w(OptionsOf(3, 5));
       w.StartAll();
-      if (!Ready(w, 3)) return;
+      if (!AwaitReady(w, 3)) return;
       for (std::size_t i = 0; i < entries; ++i)
         w.replica(static_cast<int>(i % 2))
             ->Write(w.Now(), {Table::kClaims, hashing::Mixed(i), i % 12}, std::chrono::minutes(30), 0);
@@ -112,24 +113,24 @@
       w.net().SetAll({.loss = loss, .delay = Microseconds(200), .jitter = Microseconds(300)});
       w.Start(2);
       const auto real = std::chrono::steady_clock::now();
-      const auto took = w.RunUntil(
+      const auto elapsed = w.RunUntil(
           [&] { return w.replica(2)->current() && w.replica(2)->store().size() == entries; }, Ms(60000));
       std::printf("%7d  %7zu  %4.2f  %9.2f  %6.2f\n", 3, entries, loss,
-                  took ? static_cast<double>(took->count()) / 1e6 : -1,
+                  elapsed ? static_cast<double>(elapsed->count()) / 1e6 : -1,
                   std::chrono::duration<double>(std::chrono::steady_clock::now() - real).count());
       std::fflush(stdout);
     }
   }
 }
 
-// Bytes to make two copies of 20,000 equal that differ in so many entries, for which numbers say nothing; and
-// what the whole of it, or each write with all that its writer holds, would take.
-void Ways() {
+// Bytes to repair two copies of 20,000 entries that differ in so many of them without gaps in the sequence
+// numbers, in comparison with sending a whole copy.
+void RepairCosts() {
   std::printf("differences  ranges, bytes  whole copy, bytes  datagrams\n");
   for (const std::size_t differences : {1u, 100u, 10000u}) {
     PeersWorld w(OptionsOf(2, 5));
     w.StartAll();
-    if (!Ready(w, 2)) return;
+    if (!AwaitReady(w, 2)) return;
     constexpr std::uint64_t kEntries = 20000;
     for (std::uint64_t i = 0; i < kEntries; ++i)
       w.replica(0)->Write(w.Now(), {Table::kClaims, hashing::Mixed(i), i % 12}, std::chrono::minutes(30), 0);
@@ -139,20 +140,20 @@
     w.Run(Ms(10000));
     const double idle_bytes = static_cast<double>(w.totals().shared_bytes - idle.shared_bytes) / 10;
     const auto& store = w.replica(1)->store();
-    auto& stream = const_cast<replica::Stream&>(*store.Of(w.replica(0)->store().own()));
-    for (std::size_t i = 0; i < differences; ++i) stream.Drop(1 + i * (kEntries / differences));
+    auto& stream = const_cast<replica::Stream&>(*store.StreamOf(w.replica(0)->store().own()));
+    for (std::size_t i = 0; i < differences; ++i) stream.Remove(1 + i * (kEntries / differences));
     const auto before = w.totals();
-    const auto took = w.RunUntil([&] { return stream.size() == kEntries; }, Ms(120000));
-    replica::Message head;
-    replica::wire::Packer packer(head);
-    packer.Add(w.replica(0)->store().Since(w.Now(), w.replica(0)->store().own(), 0, kEntries));
+    const auto elapsed = w.RunUntil([&] { return stream.size() == kEntries; }, Ms(120000));
+    replica::Message header;
+    replica::wire::Packer packer(header);
+    packer.Add(w.replica(0)->store().EntriesAfter(w.Now(), w.replica(0)->store().own(), 0, kEntries));
     std::size_t whole = 0;
     for (const auto& m : packer.Take()) whole += replica::wire::Encode(m).size() + peers::wire::kSealBytes;
     std::printf("%11zu  %13.0f  %17zu  %9llu   %s\n", differences,
                 static_cast<double>(w.totals().shared_bytes - before.shared_bytes) -
-                    idle_bytes * (took ? static_cast<double>(took->count()) / 1e6 : 0),
+                    idle_bytes * (elapsed ? static_cast<double>(elapsed->count()) / 1e6 : 0),
                 whole, static_cast<unsigned long long>(w.totals().shared_datagrams - before.shared_datagrams),
-                took ? "" : "not equal after 120 s");
+                elapsed ? "" : "not equal after 120 s");
   }
 }
 
@@ -163,9 +164,9 @@
   return text.str();
 }
 
-// What the loss of all that a proxy has learned costs: each is killed every few seconds, and starts with all
-// of its predecessor's memory or with none. Claims are not in it: they are no matter of speed.
-void Wiped(const char* site_file, const char* plan_file) {
+// Cost of losing what a proxy has learned: each proxy is killed every few seconds, and starts with all of its
+// predecessor's memory or with none of it. Claims aren't included, because they don't affect the speed.
+void MemoryLoss(const char* site_file, const char* plan_file) {
   operator_file::Diagnostics diagnostics("files");
   auto site = standin::ReadSite(Read(site_file), &diagnostics, {100000, 10000});
   auto plan = load::ReadPlan(Read(plan_file), &diagnostics);
@@ -210,8 +211,8 @@
   const std::string what = argc > 1 ? argv[1] : "";
   if (what == "staleness") return Staleness(), 0;
   if (what == "catchup") return CatchUp(), 0;
-  if (what == "ways") return Ways(), 0;
-  if (what == "wiped" && argc == 4) return Wiped(argv[2], argv[3]), 0;
+  if (what == "ways") return RepairCosts(), 0;
+  if (what == "wiped" && argc == 4) return MemoryLoss(argv[2], argv[3]), 0;
   std::fprintf(stderr, "usage: %s staleness | catchup | ways | wiped SITE PLAN\n", argv[0]);
   return 2;
 }
--- a/src/replica/claims.h
+++ b/src/replica/claims.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Claims of keyed requests: what is known of a key before a request is sent, and what is said of it. No I/O,
+// Claims of keyed requests: decides whether an attempt may be sent, by what the proxies have claimed. No I/O,
 // no clock.
 //
-// A claim says: under this key something may run in this group, which drops its repeats until then. It is
-// written before an attempt leaves, and taken back when all attempts that stood behind it are known not to
-// have run. Requests of one key at one proxy stand behind one claim.
+// A claim states that a request with this key may run in this group of servers, which drops repeats of the
+// key until the claim expires. It is written before an attempt is sent, and released when all attempts that
+// rely on it are known not to have run. All requests of one key at one proxy share one claim per group.
 //
-// Of what others claim an attempt goes only where all of it allows; where two groups are claimed nothing is
-// sent (balancer.h: KeyClaim).
+// An attempt is sent only to a group that all known claims of its key allow; if two groups are claimed,
+// nothing is sent (balancer.h: KeyClaim).
 #ifndef KESTRELLINE_REPLICA_CLAIMS_H_
 #define KESTRELLINE_REPLICA_CLAIMS_H_
 
@@ -26,67 +26,72 @@
 
 namespace kestrelline::replica {
 
-// The claims of all, this proxy's own among them.
-class ClaimBook {
+// Access to the claims of all proxies, including this one's.
+class ClaimRegistry {
  public:
-  virtual ~ClaimBook() = default;
-  struct Held {
+  virtual ~ClaimRegistry() = default;
+  struct ActiveClaim {
     std::uint64_t group = 0;
     Time until{};
   };
-  // Those of a key that are held by anybody.
-  virtual std::vector<Held> HeldOf(std::uint64_t key) const = 0;
-  // Holds from now on. `then` is called once: at once if nobody has to know of it first (k = 0), else from
-  // outside of this call; true if k know of it, and no other claim that is acted on can be unknown here.
-  virtual void Claim(std::uint64_t key, std::uint64_t group, Span keep, int k, Span within,
-                     std::function<void(bool)> then) = 0;
+  // The claims of a key that are held by any proxy.
+  virtual std::vector<ActiveClaim> ClaimsOn(std::uint64_t key) const = 0;
+  // Writes a claim, which holds from now on. `done` is called once: within this call if no other proxy has to
+  // know of the claim first (k = 0), else later, outside of this call. Its argument is true if k others hold
+  // the claim and no other confirmed claim of the key can be unknown here; false if that isn't so after
+  // `within`.
+  virtual void Claim(std::uint64_t key, std::uint64_t group, Span lifetime, int k, Span within,
+                     std::function<void(bool)> done) = 0;
   virtual void Release(std::uint64_t key, std::uint64_t group) = 0;
 };
 
-// The group that a server belongs to, as all proxies name it. Zones by their names, since numbers are each
-// proxy's own.
+// Identifies groups of servers in the same way at all proxies: zones by the hash of their names, because zone
+// numbers are local to each proxy.
 class Groups {
  public:
   explicit Groups(std::vector<std::string> zones) : zones_(std::move(zones)) {}
-  std::uint64_t Of(kestrelline::Group kind, int zone, int cell) const;
-  // A claim on it, as the module takes it.
+  std::uint64_t IdOf(kestrelline::Group kind, int zone, int cell) const;
+  // Returns a claim on the group in the balancer's terms.
   kestrelline::KeyClaim Claim(std::uint64_t group) const;
 
  private:
-  // Unknown zones have numbers from here on, made of the hash of their names, as src/proxy gives them.
-  static constexpr int kUnknown = 0x10000;
+  // Zones that aren't configured here have numbers from here on, built from the hash of their names as in
+  // src/proxy.
+  static constexpr int kUnknownZoneBase = 0x10000;
   static constexpr std::uint32_t kZoneMask = 0x3fffffff;
   std::vector<std::string> zones_;
 };
 
+// Hash of a request key within its class, the same at all proxies.
 std::uint64_t KeyHash(std::string_view request_class, std::string_view key);
 
 class Claims {
  public:
-  // `book` must outlive it.
-  Claims(ClaimBook& book, const Settings& settings, std::vector<std::string> zones)
-      : book_(book), settings_(settings), groups_(std::move(zones)) {}
+  // `registry` must outlive the object.
+  Claims(ClaimRegistry& registry, const Settings& settings, std::vector<std::string> zones)
+      : registry_(registry), settings_(settings), groups_(std::move(zones)) {}
 
   struct Key {
     std::uint64_t hash = 0;
     int mode = 0;  // as RouteLimits::claim
-    const kestrelline::ClassSettings* of = nullptr;
+    const kestrelline::ClassSettings* request_class = nullptr;
   };
-  // What is done for a request of a class under a route; -1: nothing.
-  int ModeOf(const kestrelline::ClassSettings& of, const kestrelline::RouteLimits* limits) const;
+  // The claim mode (as RouteLimits::claim) of a request of a class under a route; -1: its key isn't claimed.
+  int ModeOf(const kestrelline::ClassSettings& request_class, const kestrelline::RouteLimits* limits) const;
 
-  // In the module's time: `to_module` maps.
+  // Maps local time to the balancer's time.
   using ToModule = std::function<kestrelline::TimePoint(Time)>;
+  // All claims of a key that are known here, in the balancer's terms and time.
   std::vector<kestrelline::KeyClaim> KnownClaims(const Key& key, const ToModule& to_module) const;
 
   enum class Decision {
     kSend,
-    kOtherGroup,  // others hold another group: see Known
-    kUnconfirmed         // too few know of it, and it is not to be sent then
+    kOtherGroup,  // the key is claimed for another group: see KnownClaims
+    kUnconfirmed  // too few proxies hold the claim, and the settings forbid to send then
   };
-  // Before an attempt at a server of `group` leaves. `then` is called once, maybe at once. After kSend, After
-  // must follow.
-  void BeforeAttempt(const Key& key, std::uint64_t group, std::function<void(Decision)> then);
+  // To be called before an attempt is sent to a server of `group`. `done` is called once, possibly within
+  // this call. After kSend, AfterAttempt must follow.
+  void BeforeAttempt(const Key& key, std::uint64_t group, std::function<void(Decision)> done);
   void AfterAttempt(const Key& key, std::uint64_t group, bool may_have_run);
 
   const Groups& groups() const { return groups_; }
@@ -94,25 +99,25 @@
     std::uint64_t claimed = 0, bound = 0, elsewhere = 0, unmet = 0, released = 0;
   };
   const Counts& counts() const { return counts_; }
-  // Of a request that was known to be bound when it came.
+  // Counts a request whose key was already claimed when it arrived.
   void CountBound() { ++counts_.bound; }
 
  private:
-  // Attempts of this proxy that stand behind one claim.
-  struct Use {
+  // This proxy's attempts that rely on one claim.
+  struct ActiveUse {
     int attempts = 0;
-    int known = 0;  // that many others are known to hold it, and no other that is acted on is unknown here
+    int known = 0;  // the largest k for which the claim was confirmed
     bool may_have_run = false;
   };
   using UseKey = std::pair<std::uint64_t, std::uint64_t>;  // key, group
-  bool OtherGroup(std::uint64_t key, std::uint64_t group) const;
-  Decision OnVerdict(const UseKey& at, int asked, bool held);
-  void Leave(const UseKey& at);
+  bool HeldByOtherGroup(std::uint64_t key, std::uint64_t group) const;
+  Decision OnVerdict(const UseKey& use_key, int requested, bool held);
+  void ReleaseUse(const UseKey& use_key);
 
-  ClaimBook& book_;
+  ClaimRegistry& registry_;
   Settings settings_;
   Groups groups_;
-  boost::unordered_flat_map<UseKey, Use> uses_;
+  boost::unordered_flat_map<UseKey, ActiveUse> uses_;
   Counts counts_;
 };
 
--- a/src/replica/link.cpp
+++ b/src/replica/link.cpp
@@ -9,18 +9,19 @@
 namespace kestrelline::replica {
 namespace {
 
-// Digests are of what ends after a moment that two proxies which look within seconds name alike.
-constexpr char kDatagrams = 'r';  // of the peers' socket, those that are for this
-constexpr std::uint64_t kAsOfEveryMs = 16 * Stream::kBucketMs;
+constexpr char kDatagramKind = 'r';  // marks this module's datagrams on the peers' socket
+// The digests of a report start at a multiple of this, so that reports which two proxies make within seconds
+// of each other cover the same entries.
+constexpr std::uint64_t kReportGranularityMs = 16 * Stream::kBucketMs;
 
 Node::Options OptionsOf(const peers::Link& peers, const Settings& settings) {
-  Node::Options o;
-  o.name = peers.node().self().name;
-  o.zone = peers.node().self().zone;
-  o.seed = hashing::Mixed(peers.node().self().boot);
-  o.most_entries = settings.entries;
-  o.bytes_per_s = settings.bytes_per_s;
-  return o;
+  Node::Options options;
+  options.name = peers.node().self().name;
+  options.zone = peers.node().self().zone;
+  options.seed = hashing::Mixed(peers.node().self().boot);
+  options.max_entries = settings.entries;
+  options.bytes_per_s = settings.bytes_per_s;
+  return options;
 }
 
 std::string Hex(std::uint64_t number) {
@@ -48,11 +49,11 @@
     Flush();
   });
   peers_.CarryOthers(
-      kDatagrams, kMostPerSecond,
+      kDatagramKind, kMaxDatagramsPerSecond,
       [this](std::uint64_t boot, const peers::Address& from, std::span<const std::uint8_t> body) {
         ++received_;
         const auto message = wire::Decode(body);
-        if (!message) return ++unread_, false;
+        if (!message) return ++undecodable_, false;
         node_.Receive(Now(), boot, from, *message);
         Flush();
         return true;
@@ -60,24 +61,24 @@
   Flush();
 }
 
-std::vector<ClaimBook::Held> Link::HeldOf(std::uint64_t key) const {
-  std::vector<Held> held;
-  for (const Store::Found& found : node_.store().Find(Now(), Table::kClaims, key)) {
+std::vector<ClaimRegistry::ActiveClaim> Link::ClaimsOn(std::uint64_t key) const {
+  std::vector<ActiveClaim> held;
+  for (const Store::Match& found : node_.store().Find(Now(), Table::kClaims, key)) {
     if (found.entry.value == static_cast<std::uint32_t>(ClaimState::kHeld))
       held.push_back({found.entry.subject.detail, found.until});
   }
   return held;
 }
 
-void Link::Claim(std::uint64_t key, std::uint64_t group, Span keep, int k, Span within,
-                 std::function<void(bool)> then) {
+void Link::Claim(std::uint64_t key, std::uint64_t group, Span lifetime, int k, Span within,
+                 std::function<void(bool)> done) {
   const Subject subject{Table::kClaims, key, group};
   const auto held = static_cast<std::uint32_t>(ClaimState::kHeld);
   if (k <= 0) {
-    then(node_.Write(Now(), subject, keep, held) != 0);
+    done(node_.Write(Now(), subject, lifetime, held) != 0);
   } else {
-    waiting_.emplace(++last_id_, std::move(then));
-    node_.WriteAndWait(Now(), last_id_, subject, keep, held, static_cast<std::size_t>(k), within);
+    waiting_.emplace(++last_id_, std::move(done));
+    node_.WriteAndWait(Now(), last_id_, subject, lifetime, held, static_cast<std::size_t>(k), within);
   }
   Flush();
 }
@@ -101,7 +102,7 @@
 
 void Link::WhenReplicated(std::function<void()> done) {
   if (!handing_over_) node_.Leave(Now());
-  held_elsewhere_ = std::move(done);
+  replicated_ = std::move(done);
   Flush();
 }
 
@@ -110,26 +111,26 @@
   current_by_.expires_after(within);
   current_by_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled || !current_) return;
-    log_("replica: ready without all that others know: ready_within is up");
+    log_("replica: ready_within is over; ready without having caught up with other proxies");
     std::exchange(current_, nullptr)();
   });
 }
 
-// Verdicts go out by the timer alone: none from within a call of whoever waits for it.
+// Verdicts are delivered by the timer only, so that no callback runs within the call that registered it.
 void Link::Flush() {
   for (const Outgoing& out : node_.TakeOutgoing()) {
     sent_ += out.to.size();
-    peers_.SendOther(kDatagrams, out.to, out.body);
+    peers_.SendOther(kDatagramKind, out.to, out.body);
   }
-  for (const Event& event : node_.TakeEvents()) Say(event);
+  for (const Event& event : node_.TakeEvents()) ReportEvent(event);
   if (current_ && node_.current()) {
     current_by_.cancel();
     std::exchange(current_, nullptr)();
   }
-  if (held_elsewhere_ && node_.MayEnd())
-    boost::asio::post(timer_.get_executor(), std::exchange(held_elsewhere_, nullptr));
+  if (replicated_ && node_.MayExit())
+    boost::asio::post(timer_.get_executor(), std::exchange(replicated_, nullptr));
   const Time due = node_.HasVerdicts() ? Now() : node_.NextDue();
-  if (due >= armed_for_) return;  // that much sooner or later is looked at then
+  if (due >= armed_for_) return;  // the timer fires before that, and is set again then
   armed_for_ = due;
   timer_.expires_at(due);
   timer_.async_wait([this](const boost::system::error_code& cancelled) {
@@ -139,33 +140,33 @@
     for (const auto& [id, verdict] : node_.TakeVerdicts()) {
       const auto found = waiting_.find(id);
       if (found == waiting_.end()) continue;
-      const auto then = std::move(found->second);
+      const auto done = std::move(found->second);
       waiting_.erase(found);
-      then(verdict == PendingClaims::Verdict::kHeld);
+      done(verdict == PendingClaims::Verdict::kConfirmed);
     }
     Flush();
   });
 }
 
-void Link::Say(const Event& event) {
+void Link::ReportEvent(const Event& event) {
   ++events_[static_cast<std::size_t>(event.kind)];
   const auto range =
       " in " + std::to_string(event.after) + " to " + std::to_string(event.upto) + " of " + Hex(event.origin);
   switch (event.kind) {
     case Event::Kind::kCurrent:
-      return log_(event.peer.empty() ? "replica: current: nobody there has more"
-                                     : "replica: current: has all that " + event.peer + " had, " +
+      return log_(event.peer.empty() ? "replica: current: no other proxy has more"
+                                     : "replica: current: has caught up with " + event.peer + ", " +
                                            std::to_string(event.count) + " entries");
-    case Event::Kind::kDonor:
-      return log_("replica: catches up with " + event.peer);
-    case Event::Kind::kDiffers:
-      return log_("replica: differs from " + event.peer + range + " again after it was mended");
-    case Event::Kind::kRoom:
+    case Event::Kind::kCatchingUp:
+      return log_("replica: catching up with " + event.peer);
+    case Event::Kind::kRepeatedDifference:
+      return log_("replica: differs from " + event.peer + range + " repeatedly after repairs");
+    case Event::Kind::kEvicted:
       return log_("replica: " + std::to_string(event.count) +
-                  " entries made way before their end: entries is too small");
-    case Event::Kind::kReorigin:
-      return log_("replica: another process writes as " + Hex(event.origin) +
-                  ": writes as another from now on");
+                  " entries were evicted before they expired: the setting entries is too small");
+    case Event::Kind::kOriginChanged:
+      return log_("replica: another process uses origin " + Hex(event.origin) +
+                  "; this one has drawn a new origin");
   }
 }
 
@@ -175,7 +176,7 @@
   json origins = json::array(), peers = json::array();
   const auto& store = node_.store();
   for (const auto& [origin, stream] : store.streams()) {
-    const std::uint64_t as_of = (store.NowOf(origin, now) / kAsOfEveryMs + 1) * kAsOfEveryMs;
+    const std::uint64_t as_of = (store.NowOf(origin, now) / kReportGranularityMs + 1) * kReportGranularityMs;
     std::string owner;
     if (origin == store.own()) owner = peers_.node().self().name;
     for (const auto& [name, entry] : peers_.node().view().entries())
@@ -212,7 +213,7 @@
   line("_repaired", node_.repaired());
   line("_datagrams{way=\"in\"}", received_);
   line("_datagrams{way=\"out\"}", sent_);
-  line("_unread", unread_);
+  line("_unread", undecodable_);
   for (std::size_t i = 0; i < events_.size(); ++i)
     line(std::string("_events{kind=\"") + NameOf(static_cast<Event::Kind>(i)) + "\"}", events_[i]);
   line("_claims{what=\"made\"}", claims.claimed);
--- a/src/replica/link.h
+++ b/src/replica/link.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The replica in the proxy's one thread: its datagrams on the peers' socket, its timer, log, figures, report.
+// Runs replica::Node in the proxy's event loop: its datagrams on the peers' socket, its timer, log lines,
+// figures and report. Single-threaded.
 #ifndef KESTRELLINE_REPLICA_LINK_H_
 #define KESTRELLINE_REPLICA_LINK_H_
 
@@ -19,53 +20,55 @@
 
 namespace kestrelline::replica {
 
-class Link : public ClaimBook {
+class Link : public ClaimRegistry {
  public:
-  // Datagrams that may come in a second, all peers' together; requests still go first.
-  static constexpr double kMostPerSecond = 20000;
+  // Maximum rate of received datagrams, over all peers, so that requests keep precedence.
+  static constexpr double kMaxDatagramsPerSecond = 20000;
   using OnLog = std::function<void(const std::string&)>;
 
-  // `peers` must outlive it.
+  // `peers` must outlive the link.
   Link(boost::asio::io_context& io, peers::Link& peers, const Settings& settings, OnLog log);
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
-  std::vector<Held> HeldOf(std::uint64_t key) const override;
-  void Claim(std::uint64_t key, std::uint64_t group, Span keep, int k, Span within,
-             std::function<void(bool)> then) override;
+  std::vector<ActiveClaim> ClaimsOn(std::uint64_t key) const override;
+  void Claim(std::uint64_t key, std::uint64_t group, Span lifetime, int k, Span within,
+             std::function<void(bool)> done) override;
   void Release(std::uint64_t key, std::uint64_t group) override;
 
+  // This process is about to stop: other members fetch what only it has.
   void Leave();
-  // After the peers' link has left its address.
+  // Another process of this proxy takes over. To be called after the peers' link has given up its address.
   void HandOver();
-  // After either. `done` is called once no entry of this process's is held by it alone, or nobody takes them:
-  // about a second at most after the last of them was taken.
+  // To be called after Leave or HandOver. `done` is called once all own entries are held by another process
+  // too, or once no process fetches them: at most about a second after the last progress.
   void WhenReplicated(std::function<void()> done);
-  // Once: when this process has all that others knew when it started, or `within` is up.
+  // `done` is called once, when this process has caught up with what others knew when it started, or after
+  // `within`.
   void WhenCurrent(Span within, std::function<void()> done);
 
   const Node& node() const { return node_; }
-  // One JSON object; its digests are of entries that end after `as_of_ms` of their origin, so that two
-  // proxies' can be compared.
+  // A JSON object. Its digests cover the entries that expire after `as_of_ms` of their origin, so that the
+  // reports of two proxies can be compared.
   std::string Report() const;
   std::string FiguresText(const Claims::Counts& claims) const;
 
  private:
   void Flush();
-  void Say(const Event& event);
+  void ReportEvent(const Event& event);
   static Time Now() { return std::chrono::steady_clock::now(); }
 
   peers::Link& peers_;
   OnLog log_;
   Node node_;
   boost::asio::steady_timer timer_, current_by_;
-  std::function<void()> held_elsewhere_, current_;
+  std::function<void()> replicated_, current_;
   bool handing_over_ = false;
   Time armed_for_ = Time::max();
   std::unordered_map<PendingClaims::Id, std::function<void(bool)>> waiting_;
   PendingClaims::Id last_id_ = 0;
   std::array<std::uint64_t, Event::kKinds> events_{};
-  std::uint64_t sent_ = 0, received_ = 0, unread_ = 0;
+  std::uint64_t sent_ = 0, received_ = 0, undecodable_ = 0;
 };
 
 }  // namespace kestrelline::replica
--- a/src/replica/message.h
+++ b/src/replica/message.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What replicas say to each other, as values; wire.h has their bytes.
+// The messages that replicas exchange, as values. wire.h encodes them.
 #ifndef KESTRELLINE_REPLICA_MESSAGE_H_
 #define KESTRELLINE_REPLICA_MESSAGE_H_
 
@@ -11,57 +11,60 @@
 
 namespace kestrelline::replica {
 
-// What somebody holds of an origin.
-struct Holding {
+// Summary of a member's copy of one origin's entries.
+struct CopySummary {
   Origin origin = 0;
   std::uint64_t owner = 0;
-  std::uint64_t now_ms = 0;  // the origin's clock, as for Interval
+  std::uint64_t now_ms = 0;  // the origin's clock, as in Interval
   Seq upto = 0;
-  std::uint64_t as_of_ms = 0;  // entries that end later are in the digest
+  std::uint64_t as_of_ms = 0;  // the digest covers the entries that expire later
   std::uint32_t digest = 0;
-  bool operator==(const Holding&) const = default;
+  bool operator==(const CopySummary&) const = default;
 };
 
-// Digests of equal parts of the numbers over `after`, up to `upto`.
-struct Ranges {
+// Digests of kParts equal parts of the sequence numbers after `after` and up to `upto`.
+struct RangeDigests {
   static constexpr std::size_t kParts = 16;
   Origin origin = 0;
   std::uint64_t as_of_ms = 0;
   Seq after = 0, upto = 0;
   std::array<std::uint32_t, kParts> digests{};
-  bool operator==(const Ranges&) const = default;
+  bool operator==(const RangeDigests&) const = default;
 
-  // The end of a part: its begin is the end of the one before.
+  // The last sequence number of a part. A part begins after the end of the previous one.
   Seq End(std::size_t part) const {
     const Seq all = upto - after;
     return after + all / kParts * (part + 1) + all % kParts * (part + 1) / kParts;
   }
 };
 
-struct Want {
+// Asks for the entries of an origin after a sequence number.
+struct Pull {
   Origin origin = 0;
   Seq after = 0;
-  bool operator==(const Want&) const = default;
+  bool operator==(const Pull&) const = default;
 };
 
 struct Message {
   enum class Kind : std::uint8_t {
-    kNews = 1,      // `intervals`; an answer to this number is wanted if that is not 0
-    kAnswer = 2,    // of news: that number, `intervals` of what others have said of the same subjects
-    kHoldings = 3,  // of the sender; the receiver's own are wanted if `number` is not 0
-    kWants = 4,     // a slice of news: `number` comes back with its last
-    kSlice = 5,     // `intervals`; `last` of those that were asked for
-    kRanges = 6     // `ranges` where two copies differ
+    kUpdate = 1,  // new entries in `intervals`; a `number` other than 0 requests an acknowledgement
+    // Acknowledges an update, with `intervals` of what other origins wrote about the same subjects; or
+    // acknowledges the chunk with this `number`.
+    kAck = 2,
+    kSummaries = 3,    // of the sender's copies; a `number` other than 0 requests those of the receiver
+    kPullRequest = 4,  // requests a chunk, which repeats `number`
+    kChunk = 5,        // `intervals`; `last` marks the last datagram of those that were requested
+    kRangeDigests = 6  // `range_digests` of ranges in which two copies differ
   };
-  Kind kind = Kind::kNews;
-  // The sender has had all that others knew when it started, or there were no others.
+  Kind kind = Kind::kUpdate;
+  // The sender has everything that other members knew when it started, or there were no others.
   bool current = false;
   bool last = false;
   std::uint64_t number = 0;
   std::vector<Interval> intervals;
-  std::vector<Holding> holdings;
-  std::vector<Want> wants;
-  std::vector<Ranges> ranges;
+  std::vector<CopySummary> summaries;
+  std::vector<Pull> pulls;
+  std::vector<RangeDigests> range_digests;
 
   bool operator==(const Message&) const = default;
 };
--- a/src/replica/puller.h
+++ b/src/replica/puller.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Whom to ask for what is missing, slice by slice. No I/O, no clock.
+// Decides from which peer to request missing entries, chunk by chunk. No I/O, no clock.
 //
-// One request is out at a time, so that what comes is bounded by what was taken. One that brings nothing in
-// time is asked again, from where what came ends; after kTries without a word what was wanted of that peer is
-// given up, until another one says that it has it.
+// One request is outstanding at a time, so that no more arrives than this process can take in. A request that
+// times out is repeated from where the received entries end. After kMaxTries without any response the entries
+// missing from that peer are abandoned, until another peer is known to have them.
 #ifndef KESTRELLINE_REPLICA_PULLER_H_
 #define KESTRELLINE_REPLICA_PULLER_H_
 
@@ -21,80 +21,83 @@
 
 class Puller {
  public:
-  static constexpr int kTries = 4;
-  static constexpr std::size_t kMostWants = 48;  // in one request
+  static constexpr int kMaxTries = 4;
+  static constexpr std::size_t kMaxPulls = 48;  // origins per request
 
   struct Request {
     std::string peer;
     std::uint64_t number = 0;
-    std::vector<Want> wants;
+    std::vector<Pull> pulls;
   };
-  using Has = std::function<Seq(Origin)>;
+  // Returns the sequence number up to which everything of the origin is known here.
+  using KnownUpto = std::function<Seq(Origin)>;
 
   // `peer` has entries of `origin` up to `upto`.
-  void Learn(Origin origin, Seq upto, const std::string& peer) {
+  void OnPeerHas(Origin origin, Seq upto, const std::string& peer) {
     Missing& missing = missing_[origin];
     if (upto < missing.upto && !missing.peer.empty()) return;
-    // What is being asked for is not asked of another at once.
-    const bool asked = asked_ && asked_->peer == missing.peer;
+    // Entries that are being requested aren't requested from another peer at the same time.
+    const bool requested = outstanding_ && outstanding_->peer == missing.peer;
     missing.upto = std::max(missing.upto, upto);
-    if (!asked) missing.peer = peer;
+    if (!requested) missing.peer = peer;
   }
 
-  // What to ask now, if anything: the time is up for the request that is out, or there is none.
-  std::optional<Request> Next(Time now, Span patience, const Has& has) {
-    std::erase_if(missing_, [&](const auto& m) { return has(m.first) >= m.second.upto; });
-    if (missing_.empty()) asked_.reset();
-    if (asked_ && now < asked_->until) return std::nullopt;
-    if (asked_ && ++asked_->tries >= kTries) GiveUp(std::string(asked_->peer));
+  // Returns the request to send now, if any: none is outstanding, or the outstanding one has timed out.
+  std::optional<Request> Next(Time now, Span timeout, const KnownUpto& known_upto) {
+    std::erase_if(missing_, [&](const auto& m) { return known_upto(m.first) >= m.second.upto; });
+    if (missing_.empty()) outstanding_.reset();
+    if (outstanding_ && now < outstanding_->until) return std::nullopt;
+    if (outstanding_ && ++outstanding_->tries >= kMaxTries) Abandon(std::string(outstanding_->peer));
     if (missing_.empty()) return std::nullopt;
     Request request;
-    request.peer = asked_ ? asked_->peer : missing_.begin()->second.peer;
-    const int tries = asked_ ? asked_->tries : 0;
+    request.peer = outstanding_ ? outstanding_->peer : missing_.begin()->second.peer;
+    const int tries = outstanding_ ? outstanding_->tries : 0;
     for (const auto& [origin, missing] : missing_) {
-      if (missing.peer == request.peer && request.wants.size() < kMostWants)
-        request.wants.push_back({origin, has(origin)});
+      if (missing.peer == request.peer && request.pulls.size() < kMaxPulls)
+        request.pulls.push_back({origin, known_upto(origin)});
     }
-    if (request.wants.empty()) {  // others are left
-      asked_.reset();
-      return Next(now, patience, has);
+    if (request.pulls.empty()) {  // only entries of other peers are missing
+      outstanding_.reset();
+      return Next(now, timeout, known_upto);
     }
-    request.number = ++last_;
-    asked_ = Asked{request.peer, request.number, now + patience, tries};
+    request.number = ++last_number_;
+    outstanding_ = Outstanding{request.peer, request.number, now + timeout, tries};
     return request;
   }
-  void OnSlice(Time now, Span patience, const std::string& peer, std::uint64_t number, bool last) {
-    if (!asked_ || asked_->peer != peer || asked_->number != number) return;
-    asked_->until = now + patience;
-    asked_->tries = 0;
-    if (last) asked_.reset();
+  void OnChunk(Time now, Span timeout, const std::string& peer, std::uint64_t number, bool last) {
+    if (!outstanding_ || outstanding_->peer != peer || outstanding_->number != number) return;
+    outstanding_->until = now + timeout;
+    outstanding_->tries = 0;
+    if (last) outstanding_.reset();
   }
-  void GiveUp(const std::string& peer) {
+  void Abandon(const std::string& peer) {
     std::erase_if(missing_, [&](const auto& m) { return m.second.peer == peer; });
-    if (asked_ && asked_->peer == peer) asked_.reset();
-    gave_up_ = peer;
+    if (outstanding_ && outstanding_->peer == peer) outstanding_.reset();
+    abandoned_ = peer;
   }
-  // Who was given up since the last call.
-  std::optional<std::string> TakeGivenUp() { return std::exchange(gave_up_, std::nullopt); }
+  // The peer that was abandoned since the last call, if any.
+  std::optional<std::string> TakeAbandoned() { return std::exchange(abandoned_, std::nullopt); }
 
   bool empty() const { return missing_.empty(); }
-  Time NextDue() const { return asked_ ? asked_->until : missing_.empty() ? Time::max() : Time::min(); }
+  Time NextDue() const {
+    return outstanding_ ? outstanding_->until : missing_.empty() ? Time::max() : Time::min();
+  }
 
  private:
   struct Missing {
     Seq upto = 0;
     std::string peer;
   };
-  struct Asked {
+  struct Outstanding {
     std::string peer;
     std::uint64_t number = 0;
     Time until{};
     int tries = 0;
   };
   std::map<Origin, Missing> missing_;
-  std::optional<Asked> asked_;
-  std::optional<std::string> gave_up_;
-  std::uint64_t last_ = 0;
+  std::optional<Outstanding> outstanding_;
+  std::optional<std::string> abandoned_;
+  std::uint64_t last_number_ = 0;
 };
 
 }  // namespace kestrelline::replica
--- a/src/replica/rounds.h
+++ b/src/replica/rounds.h
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Claims that wait for others to know of them before their request is sent. No I/O, no clock.
+// Claims that wait for acknowledgements of other members before their request is sent. No I/O, no clock.
 //
-// A claim that waits for k may be acted on once k others hold it, and once so many have answered that one of
-// them would know of any other claim of the key that was acted on: of n members an earlier one is held by
-// k + 1 at the least, its own among them, so that n - 1 - k others have to answer. Those that do not have all
-// that was known before their start (`current`) hold a claim, and answer for nothing. So one member in k may
-// be lost at any time; what is cut off from too many is not acted on.
+// A claim that waits for k members is confirmed once k others hold it, and once enough others have
+// acknowledged it that at least one of them would know of any other claim of the key that was confirmed. Of n
+// members at least k + 1 hold an earlier confirmed claim, its writer included, so that n - 1 - k others have
+// to acknowledge. A member that hasn't caught up since its start (`current`) counts as a holder, but its
+// acknowledgement says nothing about other claims. So any k members may be lost at any time; a claim that is
+// cut off from too many members is not confirmed.
 #ifndef KESTRELLINE_REPLICA_ROUNDS_H_
 #define KESTRELLINE_REPLICA_ROUNDS_H_
 
@@ -21,83 +22,84 @@
 
 namespace kestrelline::replica {
 
-// How many have to hold a claim, and how many of them to be current.
+// Number of other members that have to hold a claim, and how many that are `current` have to acknowledge it.
 struct Quorum {
   std::size_t holders = 0, readers = 0;
+  // `members`: all, this one included. `k`: others that have to hold the claim.
   static Quorum Of(std::size_t members, std::size_t k) { return {k, members > k + 1 ? members - 1 - k : 0}; }
-  std::size_t most() const { return std::max(holders, readers); }
+  std::size_t required() const { return std::max(holders, readers); }
 };
 
 class PendingClaims {
  public:
-  static constexpr std::size_t kMost = 8192;  // that wait at once; more are unmet at once
+  static constexpr std::size_t kMaxPending = 8192;  // further claims are unconfirmed at once
 
-  enum class Verdict { kHeld, kUnmet };
+  enum class Verdict { kConfirmed, kUnconfirmed };
   using Id = std::uint64_t;
 
-  // `present`: others that can answer at all.
-  void Open(Id id, Seq seq, Quorum quorum, std::size_t present, Time now, Time deadline) {
-    if (waiting_.size() >= kMost || quorum.most() > present) {
-      verdicts_.push_back({id, Verdict::kUnmet});
-    } else if (quorum.most() == 0) {
-      verdicts_.push_back({id, Verdict::kHeld});
+  // `seq`: of the claim's entry. `present`: the number of other members that are reachable.
+  void Add(Id id, Seq seq, Quorum quorum, std::size_t present, Time now, Time deadline) {
+    if (pending_.size() >= kMaxPending || quorum.required() > present) {
+      verdicts_.push_back({id, Verdict::kUnconfirmed});
+    } else if (quorum.required() == 0) {
+      verdicts_.push_back({id, Verdict::kConfirmed});
     } else {
-      waiting_.emplace(seq, Waiting{id, quorum, {}, {}, deadline, now + (deadline - now) / 3});
+      pending_.emplace(seq, Pending{id, quorum, {}, {}, deadline, now + (deadline - now) / 3});
     }
   }
-  // `peer` (any number that is its own) holds all with numbers over `after`, up to `upto`.
-  void OnAnswer(std::uint64_t peer, bool current, Seq after, Seq upto) {
-    for (auto at = waiting_.upper_bound(after); at != waiting_.end() && at->first <= upto;) {
-      Waiting& w = at->second;
-      w.holders.insert(peer);
-      if (current) w.readers.insert(peer);
-      if (w.holders.size() < w.quorum.holders || w.readers.size() < w.quorum.readers) {
-        ++at;
+  // `peer` (any identifier) holds all own entries after `after` and up to `upto`.
+  void OnAck(std::uint64_t peer, bool current, Seq after, Seq upto) {
+    for (auto it = pending_.upper_bound(after); it != pending_.end() && it->first <= upto;) {
+      Pending& claim = it->second;
+      claim.holders.insert(peer);
+      if (current) claim.readers.insert(peer);
+      if (claim.holders.size() < claim.quorum.holders || claim.readers.size() < claim.quorum.readers) {
+        ++it;
         continue;
       }
-      verdicts_.push_back({w.id, Verdict::kHeld});
-      at = waiting_.erase(at);
+      verdicts_.push_back({claim.id, Verdict::kConfirmed});
+      it = pending_.erase(it);
     }
   }
-  // The numbers that have waited so long that they are told once more, and whom they need not be told.
-  std::vector<std::pair<Seq, std::set<std::uint64_t>>> TakeAgain(Time now) {
-    std::vector<std::pair<Seq, std::set<std::uint64_t>>> again;
-    for (auto& [seq, w] : waiting_) {
-      if (now < w.again) continue;
-      w.again = now + std::max<Span>((w.deadline - now) / 2, std::chrono::milliseconds(1));
-      again.emplace_back(seq, w.holders);
+  // The claims that are due for a retransmission, and the members that have acknowledged them already.
+  std::vector<std::pair<Seq, std::set<std::uint64_t>>> TakeRetransmissions(Time now) {
+    std::vector<std::pair<Seq, std::set<std::uint64_t>>> due;
+    for (auto& [seq, claim] : pending_) {
+      if (now < claim.retransmit_at) continue;
+      claim.retransmit_at = now + std::max<Span>((claim.deadline - now) / 2, std::chrono::milliseconds(1));
+      due.emplace_back(seq, claim.holders);
     }
-    return again;
+    return due;
   }
   void Tick(Time now) {
-    std::erase_if(waiting_, [&](const auto& w) {
-      if (now < w.second.deadline) return false;
-      verdicts_.push_back({w.second.id, Verdict::kUnmet});
+    std::erase_if(pending_, [&](const auto& claim) {
+      if (now < claim.second.deadline) return false;
+      verdicts_.push_back({claim.second.id, Verdict::kUnconfirmed});
       return true;
     });
   }
-  // All that waits is unmet: its numbers hold no more.
-  void GiveUp() {
-    for (const auto& [seq, w] : waiting_) verdicts_.push_back({w.id, Verdict::kUnmet});
-    waiting_.clear();
+  // All pending claims are unconfirmed: their sequence numbers are void, since the origin has changed.
+  void FailAll() {
+    for (const auto& [seq, claim] : pending_) verdicts_.push_back({claim.id, Verdict::kUnconfirmed});
+    pending_.clear();
   }
   Time NextDue() const {
     Time due = Time::max();
-    for (const auto& [seq, w] : waiting_) due = std::min({due, w.deadline, w.again});
+    for (const auto& [seq, claim] : pending_) due = std::min({due, claim.deadline, claim.retransmit_at});
     return due;
   }
   bool has_verdicts() const { return !verdicts_.empty(); }
-  bool empty() const { return waiting_.empty(); }
+  bool empty() const { return pending_.empty(); }
   std::vector<std::pair<Id, Verdict>> TakeVerdicts() { return std::exchange(verdicts_, {}); }
 
  private:
-  struct Waiting {
+  struct Pending {
     Id id;
     Quorum quorum;
     std::set<std::uint64_t> holders, readers;
-    Time deadline, again;
+    Time deadline, retransmit_at;
   };
-  std::map<Seq, Waiting> waiting_;
+  std::map<Seq, Pending> pending_;
   std::vector<std::pair<Id, Verdict>> verdicts_;
 };
 
--- a/src/replica/settings.cpp
+++ b/src/replica/settings.cpp
@@ -17,96 +17,99 @@
 constexpr std::array kKeys{
     operator_file::Key{
         "claim", Kind::kText,
-        "What others know of a keyed request before it is sent: none, tell, or wait K; routes go "
-        "first."},
-    operator_file::Key{"claim_within", Kind::kDuration,
-                       "For how long a request waits for that; 20ms without it."},
+        "What other proxies are told of a keyed request before it is sent: none, tell, or wait K; a "
+        "route's own setting takes precedence."},
+    operator_file::Key{"claim_within", Kind::kDuration, "Timeout of a claim that waits; default 20ms."},
     operator_file::Key{"claim_unmet", Kind::kText,
-                       "What becomes of one that waited in vain: refuse, or send; refuse without it."},
+                       "What to do with a request whose claim timed out: refuse, or send; default refuse."},
     operator_file::Key{"ready_within", Kind::kDuration,
-                       "For how long a start says no until it has what others know; not at all without it."},
+                       "How long a starting proxy is not ready until it has caught up; default not at all."},
     operator_file::Key{"entries", Kind::kWhole,
-                       "The most entries held; 100000 without it, and an eighth of the memory at most."},
+                       "Maximum number of entries; default 100000, within an eighth of the memory."},
     operator_file::Key{"bytes_per_second", Kind::kWhole,
-                       "The most sent, claims that wait apart; 4194304 without it."},
+                       "Maximum bytes sent per second, apart from claims that wait; default 4194304."},
 };
 
-constexpr operator_file::Milliseconds kLeastWithin{1}, kMostWithin{1000};
-constexpr operator_file::Milliseconds kLeastReady{100}, kMostReady{20000};  // platforms give a start 30 s
-constexpr std::int64_t kLeastEntries = 1000, kMostEntries = 4000000;
-constexpr double kMostOfMemory = 0.5, kOfMemory = 0.125;  // the latter where nothing is said
+constexpr operator_file::Milliseconds kMinWithin{1}, kMaxWithin{1000};
+constexpr operator_file::Milliseconds kMinReady{100}, kMaxReady{20000};  // platforms allow 30 s for a start
+constexpr std::int64_t kMinEntries = 1000, kMaxEntries = 4000000;
+constexpr double kMaxMemoryPart = 0.5,
+                 kDefaultMemoryPart = 0.125;  // the latter applies without an `entries` setting
 
-// Of two words the second is meant by true.
-bool Chosen(const std::optional<operator_file::At<std::string>>& text, const char* no, const char* yes,
-            bool otherwise, Diagnostics* d) {
+// Reads one of two values, of which `yes` means true.
+bool ParseChoice(const std::optional<operator_file::At<std::string>>& text, const char* no, const char* yes,
+                 bool otherwise, Diagnostics* diagnostics) {
   if (!text) return otherwise;
   if (text->value != no && text->value != yes)
-    d->Add(text->at, "replica", "'" + text->value + "' is neither " + no + " nor " + yes);
+    diagnostics->Add(text->at, "replica", "'" + text->value + "' is neither " + no + " nor " + yes);
   return text->value == yes;
 }
 
 }  // namespace
 
 operator_file::Section ReplicaSection(Spec* spec) {
-  return {{"replica", Kind::kTable, "What proxies share: [replica]; needs [peers]."},
+  return {{"replica", Kind::kTable, "Replication of request claims among proxies: [replica]; needs [peers]."},
           [spec](const TableReader& top, Diagnostics* diagnostics) {
             const toml::table* table = top.Table("replica");
             if (!table) return;
             const TableReader reader(*table, "replica", kKeys, diagnostics);
-            spec->there = true;
+            spec->present = true;
             spec->at = reader.at();
             spec->claim = reader.Text("claim");
             spec->within = reader.Duration("claim_within");
             spec->ready_within = reader.Duration("ready_within");
             spec->unmet = reader.Text("claim_unmet");
-            spec->entries = reader.Whole("entries", kLeastEntries, kMostEntries);
+            spec->entries = reader.Whole("entries", kMinEntries, kMaxEntries);
             spec->bytes_per_s = reader.Whole("bytes_per_second", 10000, 1 << 30);
           }};
 }
 
-std::optional<Settings> Build(const Spec& spec, const Around& around, Diagnostics* d) {
-  if (!spec.there) {
-    if (around.claimed) d->Add(*around.claimed, "replica", "claim needs a [replica], which is not there");
+std::optional<Settings> Build(const Spec& spec, const BuildContext& context, Diagnostics* diagnostics) {
+  if (!spec.present) {
+    if (context.claim_position)
+      diagnostics->Add(*context.claim_position, "replica", "claim needs a [replica], which is missing");
     return std::nullopt;
   }
-  if (!around.peers) d->Add(spec.at, "replica", "[replica] needs [peers], which is not there or not right");
-  Settings s;
+  if (!context.peers)
+    diagnostics->Add(spec.at, "replica", "[replica] needs [peers], which is missing or invalid");
+  Settings settings;
   if (spec.claim) {
     const auto claim = routing::ParseClaim(spec.claim->value);
     if (!claim)
-      d->Add(spec.claim->at, "claim",
-             "claim is '" + spec.claim->value + "'; accepted are none, tell, and wait 1 to wait " +
-                 std::to_string(routing::kMostAcknowledgements));
-    s.claim = claim.value_or(-1);
+      diagnostics->Add(spec.claim->at, "claim",
+                       "claim is '" + spec.claim->value + "'; accepted are none, tell, and wait 1 to wait " +
+                           std::to_string(routing::kMostAcknowledgements));
+    settings.claim = claim.value_or(-1);
   }
   if (spec.within) {
-    if (spec.within->value < kLeastWithin || spec.within->value > kMostWithin)
-      d->Add(spec.within->at, "range", "1ms to 1s is accepted");
-    s.within = std::chrono::duration_cast<Span>(spec.within->value);
+    if (spec.within->value < kMinWithin || spec.within->value > kMaxWithin)
+      diagnostics->Add(spec.within->at, "range", "1ms to 1s is accepted");
+    settings.within = std::chrono::duration_cast<Span>(spec.within->value);
   }
   if (spec.ready_within) {
-    if (spec.ready_within->value < kLeastReady || spec.ready_within->value > kMostReady)
-      d->Add(spec.ready_within->at, "range", "100ms to 20s is accepted");
-    s.ready_within = std::chrono::duration_cast<Span>(spec.ready_within->value);
+    if (spec.ready_within->value < kMinReady || spec.ready_within->value > kMaxReady)
+      diagnostics->Add(spec.ready_within->at, "range", "100ms to 20s is accepted");
+    settings.ready_within = std::chrono::duration_cast<Span>(spec.ready_within->value);
   }
-  s.send_unmet = Chosen(spec.unmet, "refuse", "send", s.send_unmet, d);
+  settings.send_unmet = ParseChoice(spec.unmet, "refuse", "send", settings.send_unmet, diagnostics);
   if (spec.entries) {
-    s.entries = static_cast<std::size_t>(spec.entries->value);
-  } else if (around.memory_mb > 0) {
-    s.entries =
-        std::min(s.entries, static_cast<std::size_t>(kOfMemory * around.memory_mb * 1e6 / kEntryBytes));
+    settings.entries = static_cast<std::size_t>(spec.entries->value);
+  } else if (context.memory_mb > 0) {
+    settings.entries =
+        std::min(settings.entries,
+                 static_cast<std::size_t>(kDefaultMemoryPart * context.memory_mb * 1e6 / kEntryBytes));
   }
-  if (spec.bytes_per_s) s.bytes_per_s = static_cast<std::uint64_t>(spec.bytes_per_s->value);
-  const double needed = static_cast<double>(s.entries * kEntryBytes) / 1e6;
-  if (around.memory_mb > 0 && needed > kMostOfMemory * around.memory_mb)
-    d->Add(
+  if (spec.bytes_per_s) settings.bytes_per_s = static_cast<std::uint64_t>(spec.bytes_per_s->value);
+  const double needed = static_cast<double>(settings.entries * kEntryBytes) / 1e6;
+  if (context.memory_mb > 0 && needed > kMaxMemoryPart * context.memory_mb)
+    diagnostics->Add(
         spec.entries ? spec.entries->at : spec.at, "memory",
-        std::to_string(s.entries) + " entries take up to " + std::to_string(static_cast<int>(needed)) +
+        std::to_string(settings.entries) + " entries take up to " + std::to_string(static_cast<int>(needed)) +
             " MB, over half of this process's memory; " +
-            std::to_string(static_cast<std::size_t>(kMostOfMemory * around.memory_mb * 1e6 / kEntryBytes)) +
+            std::to_string(static_cast<std::size_t>(kMaxMemoryPart * context.memory_mb * 1e6 / kEntryBytes)) +
             " are accepted");
-  if (!d->ok()) return std::nullopt;
-  return s;
+  if (!diagnostics->ok()) return std::nullopt;
+  return settings;
 }
 
 }  // namespace kestrelline::replica
--- a/src/replica/settings.h
+++ b/src/replica/settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// [replica] of the operator's file, and what is checked before it holds.
+// The [replica] section of the operator's file: its settings and their validation.
 #ifndef KESTRELLINE_REPLICA_SETTINGS_H_
 #define KESTRELLINE_REPLICA_SETTINGS_H_
 
@@ -14,21 +14,23 @@
 
 namespace kestrelline::replica {
 
-// Some bytes that an entry takes, all that finds it included.
+// Approximate memory of one entry in bytes, including its indexes.
 inline constexpr std::size_t kEntryBytes = 320;
 
 struct Settings {
-  int claim = -1;  // of keyed requests whose route says nothing; as RouteLimits::claim
-  Span within = std::chrono::milliseconds(20);  // a claim that waits
-  bool send_unmet = false;      // what a claim was not known widely enough for is sent all the same
-  Span ready_within = Span(0);  // a start waits for so long for what others know, at most; 0: not at all
-  std::size_t entries = 100000;
-  std::uint64_t bytes_per_s = 4 << 20;
+  // Mode of keyed requests whose route has none of its own; as RouteLimits::claim.
+  int claim = -1;
+  Span within = std::chrono::milliseconds(20);  // timeout of a claim that waits for confirmation
+  bool send_unmet = false;  // send requests whose claim was not confirmed in time, instead of refusing them
+  // How long a starting proxy waits to catch up with the others before it reports ready; 0: not at all.
+  Span ready_within = Span(0);
+  std::size_t entries = 100000;         // maximum number of entries held
+  std::uint64_t bytes_per_s = 4 << 20;  // maximum rate of bytes sent, apart from claims that wait
 };
 
-// As worded.
+// The section as written, before validation.
 struct Spec {
-  bool there = false;
+  bool present = false;
   operator_file::Position at;
   std::optional<operator_file::At<std::string>> claim, unmet;
   std::optional<operator_file::At<operator_file::Milliseconds>> within, ready_within;
@@ -37,13 +39,15 @@
 
 operator_file::Section ReplicaSection(Spec* spec);
 
-struct Around {
-  bool peers = false;                              // there is a [peers]
-  std::optional<operator_file::Position> claimed;  // where a route, a class or the defaults say `claim`
-  double memory_mb = 0;                            // of the process
+// What the validation needs to know of the rest of the configuration.
+struct BuildContext {
+  bool peers = false;  // the file has a valid [peers] section
+  // Position of a `claim` setting of a route, a class or the defaults.
+  std::optional<operator_file::Position> claim_position;
+  double memory_mb = 0;  // memory limit of the process; 0: unknown
 };
-// Nothing where there is no section, or, with the reasons in `diagnostics`, where it is not right.
-std::optional<Settings> Build(const Spec& spec, const Around& around,
+// Returns nothing if there is no section, or if it is invalid; the errors are added to `diagnostics` then.
+std::optional<Settings> Build(const Spec& spec, const BuildContext& context,
                               operator_file::Diagnostics* diagnostics);
 
 }  // namespace kestrelline::replica
--- a/src/replica/stream.cpp
+++ b/src/replica/stream.cpp
@@ -6,36 +6,36 @@
 
 namespace kestrelline::replica {
 
-Stream::Put Stream::Merge(const Entry& entry, std::optional<Entry>* displaced) {
+Stream::MergeResult Stream::Merge(const Entry& entry, std::optional<Entry>* displaced) {
   const auto latest = by_subject_.find(entry.subject);
-  if (latest != by_subject_.end() && latest->second > entry.seq) return Put::kOld;
+  if (latest != by_subject_.end() && latest->second > entry.seq) return MergeResult::kOutdated;
   if (const auto same = entries_.find(entry.seq); same != entries_.end()) {
-    if (entry <= same->second) return Put::kOld;
-    if (const auto old = Drop(entry.seq); displaced) *displaced = old;
+    if (entry <= same->second) return MergeResult::kOutdated;
+    if (const auto old = Remove(entry.seq); displaced) *displaced = old;
   } else if (latest != by_subject_.end()) {
-    if (const auto old = Drop(latest->second); displaced) *displaced = old;
+    if (const auto old = Remove(latest->second); displaced) *displaced = old;
   }
   entries_.emplace(entry.seq, entry);
   by_subject_[entry.subject] = entry.seq;
-  Account(entry, true);
-  return Put::kStored;
+  UpdateDigests(entry, true);
+  return MergeResult::kStored;
 }
 
-void Stream::Cover(Seq after, Seq upto) {
+void Stream::MarkKnown(Seq after, Seq upto) {
   if (upto <= after || upto <= upto_) return;
-  // With all that it touches.
-  auto at = apart_.upper_bound(after);
-  if (at != apart_.begin() && std::prev(at)->second >= after) --at;
-  while (at != apart_.end() && at->first <= upto) {
-    after = std::min(after, at->first);
-    upto = std::max(upto, at->second);
-    at = apart_.erase(at);
+  // Merge with all detached intervals that it touches.
+  auto interval = detached_.upper_bound(after);
+  if (interval != detached_.begin() && std::prev(interval)->second >= after) --interval;
+  while (interval != detached_.end() && interval->first <= upto) {
+    after = std::min(after, interval->first);
+    upto = std::max(upto, interval->second);
+    interval = detached_.erase(interval);
   }
   if (after <= upto_) {
     upto_ = upto;
   } else {
-    apart_.emplace(after, upto);
-    if (apart_.size() > kMostApart) apart_.erase(std::prev(apart_.end()));
+    detached_.emplace(after, upto);
+    if (detached_.size() > kMaxDetached) detached_.erase(std::prev(detached_.end()));
   }
 }
 
@@ -49,7 +49,7 @@
   return found == by_subject_.end() ? nullptr : Find(found->second);
 }
 
-std::optional<Entry> Stream::Drop(Seq seq) {
+std::optional<Entry> Stream::Remove(Seq seq) {
   const auto found = entries_.find(seq);
   if (found == entries_.end()) return std::nullopt;
   const Entry entry = found->second;
@@ -57,28 +57,29 @@
   if (const auto latest = by_subject_.find(entry.subject);
       latest != by_subject_.end() && latest->second == seq)
     by_subject_.erase(latest);
-  Account(entry, false);
+  UpdateDigests(entry, false);
   return entry;
 }
 
-void Stream::Account(const Entry& entry, bool add) {
+void Stream::UpdateDigests(const Entry& entry, bool add) {
   const std::uint64_t bucket = entry.until_ms / kBucketMs;
-  std::uint64_t& sum = sums_[bucket];
+  std::uint64_t& sum = digest_by_bucket_[bucket];
   sum = add ? sum + HashOf(entry) : sum - HashOf(entry);
-  if (sum == 0) sums_.erase(bucket);
+  if (sum == 0) digest_by_bucket_.erase(bucket);
 }
 
 std::uint64_t Stream::Digest(std::uint64_t as_of_ms) const {
   std::uint64_t sum = 0;
-  for (auto at = sums_.upper_bound(as_of_ms / kBucketMs); at != sums_.end(); ++at) sum += at->second;
+  for (auto it = digest_by_bucket_.upper_bound(as_of_ms / kBucketMs); it != digest_by_bucket_.end(); ++it)
+    sum += it->second;
   return sum;
 }
 
 std::uint64_t Stream::Digest(std::uint64_t as_of_ms, Seq after, Seq upto, std::size_t* count) const {
   std::uint64_t sum = 0;
-  for (auto at = entries_.upper_bound(after); at != entries_.end() && at->first <= upto; ++at) {
-    if (at->second.until_ms / kBucketMs <= as_of_ms / kBucketMs) continue;
-    sum += HashOf(at->second);
+  for (auto it = entries_.upper_bound(after); it != entries_.end() && it->first <= upto; ++it) {
+    if (it->second.until_ms / kBucketMs <= as_of_ms / kBucketMs) continue;
+    sum += HashOf(it->second);
     ++*count;
   }
   return sum;
--- a/src/replica/wire.cpp
+++ b/src/replica/wire.cpp
@@ -18,7 +18,7 @@
   return bytes;
 }
 
-// What entries are written relative to.
+// The previous entry, relative to which the next one is encoded.
 struct Base {
   Seq seq = 0;
   std::uint64_t until_ms = 0;
@@ -26,13 +26,13 @@
     const auto d = static_cast<std::int64_t>(a - b);
     return (static_cast<std::uint64_t>(d) << 1) ^ static_cast<std::uint64_t>(d >> 63);
   }
-  static std::uint64_t Back(std::uint64_t base, std::uint64_t zigzag) {
+  static std::uint64_t FromZigZag(std::uint64_t base, std::uint64_t zigzag) {
     return base + ((zigzag >> 1) ^ (~(zigzag & 1) + 1));
   }
 };
 
-// A cell of a zone is a small number beside a hash: see claims.h.
-void Put(Writer& w, const Entry& e, Base* base) {
+// The detail of a claim is the hash of a zone name and a small cell number (claims.h), encoded separately.
+void MergeResult(Writer& w, const Entry& e, Base* base) {
   w.Number(e.seq - base->seq);
   w.Byte(static_cast<std::uint8_t>(e.subject.table));
   w.Whole(e.subject.id);
@@ -48,7 +48,7 @@
          NumberBytes(Base::ZigZag(e.until_ms, base.until_ms)) + NumberBytes(e.value);
 }
 
-void Put(Writer& w, const Interval& i) {
+void MergeResult(Writer& w, const Interval& i) {
   w.Whole(i.origin);
   w.Whole(i.owner);
   w.Number(i.now_ms);
@@ -56,7 +56,7 @@
   w.Number(i.upto - i.after);
   w.Number(i.entries.size());
   Base base{i.after, i.now_ms};
-  for (const Entry& e : i.entries) Put(w, e, &base);
+  for (const Entry& e : i.entries) MergeResult(w, e, &base);
 }
 
 Interval GetInterval(Reader& r) {
@@ -68,7 +68,7 @@
   const auto length = r.Number();
   if (length > ~0ull - i.after) r.Fail();
   i.upto = i.after + length;
-  const auto n = r.Number(kMostBody);
+  const auto n = r.Number(kMaxBodyBytes);
   Base base{i.after, i.now_ms};
   for (std::uint64_t k = 0; k < n && r.ok(); ++k) {
     Entry e;
@@ -80,10 +80,10 @@
     e.subject.id = r.Whole<std::uint64_t>();
     e.subject.detail = std::uint64_t{r.Whole<std::uint32_t>()} << 32;
     e.subject.detail |= r.Number(0xffffffff);
-    e.until_ms = Base::Back(base.until_ms, r.Number());
+    e.until_ms = Base::FromZigZag(base.until_ms, r.Number());
     e.value = static_cast<std::uint32_t>(r.Number(0xffffffff));
     base = {e.seq, e.until_ms};
-    if (table >= 1 && table <= kTables) i.entries.push_back(e);
+    if (table >= 1 && table <= kTableCount) i.entries.push_back(e);
   }
   if (i.origin == 0) r.Fail();
   return i;
@@ -93,27 +93,28 @@
 
 Bytes Encode(const Message& m) {
   Bytes out;
-  out.reserve(kMostBody);
+  out.reserve(kMaxBodyBytes);
   Writer w(&out);
-  w.Byte(kForm);
+  w.Byte(kFormatVersion);
   w.Byte(static_cast<std::uint8_t>(m.kind));
   w.Byte(static_cast<std::uint8_t>((m.current ? 1 : 0) | (m.last ? 2 : 0)));
   w.Number(m.number);
   w.Number(m.intervals.size());
-  for (const Interval& i : m.intervals) Put(w, i);
-  w.Number(m.holdings.size());
-  for (const Holding& h : m.holdings) {
+  for (const Interval& i : m.intervals) MergeResult(w, i);
+  w.Number(m.summaries.size());
+  for (const CopySummary& h : m.summaries) {
     w.Whole(h.origin), w.Whole(h.owner);
     w.Number(h.now_ms), w.Number(h.upto), w.Number(h.as_of_ms);
     w.Whole(h.digest);
   }
-  w.Number(m.wants.size());
-  for (const Want& want : m.wants) w.Whole(want.origin), w.Number(want.after);
-  w.Number(m.ranges.size());
-  for (const Ranges& ranges : m.ranges) {
-    w.Whole(ranges.origin);
-    w.Number(ranges.as_of_ms), w.Number(ranges.after), w.Number(ranges.upto - ranges.after);
-    for (const std::uint32_t digest : ranges.digests) w.Whole(digest);
+  w.Number(m.pulls.size());
+  for (const Pull& pull : m.pulls) w.Whole(pull.origin), w.Number(pull.after);
+  w.Number(m.range_digests.size());
+  for (const RangeDigests& range_digests : m.range_digests) {
+    w.Whole(range_digests.origin);
+    w.Number(range_digests.as_of_ms), w.Number(range_digests.after),
+        w.Number(range_digests.upto - range_digests.after);
+    for (const std::uint32_t digest : range_digests.digests) w.Whole(digest);
   }
   return out;
 }
@@ -121,31 +122,31 @@
 std::optional<Message> Decode(std::span<const std::uint8_t> bytes) {
   Reader r(bytes);
   Message m;
-  if (r.Byte() != kForm) return std::nullopt;
+  if (r.Byte() != kFormatVersion) return std::nullopt;
   const std::uint8_t kind = r.Byte(), flags = r.Byte();
-  if (kind < 1 || kind > static_cast<std::uint8_t>(Message::Kind::kRanges)) return std::nullopt;
+  if (kind < 1 || kind > static_cast<std::uint8_t>(Message::Kind::kRangeDigests)) return std::nullopt;
   m.kind = static_cast<Message::Kind>(kind);
   m.current = flags & 1, m.last = flags & 2;
   m.number = r.Number();
-  for (auto n = r.Number(kMostParts); n > 0 && r.ok(); --n) m.intervals.push_back(GetInterval(r));
-  for (auto n = r.Number(kMostParts); n > 0 && r.ok(); --n) {
-    Holding& h = m.holdings.emplace_back();
+  for (auto n = r.Number(kMaxItems); n > 0 && r.ok(); --n) m.intervals.push_back(GetInterval(r));
+  for (auto n = r.Number(kMaxItems); n > 0 && r.ok(); --n) {
+    CopySummary& h = m.summaries.emplace_back();
     h.origin = r.Whole<std::uint64_t>(), h.owner = r.Whole<std::uint64_t>();
     h.now_ms = r.Number(), h.upto = r.Number(), h.as_of_ms = r.Number();
     h.digest = r.Whole<std::uint32_t>();
   }
-  for (auto n = r.Number(kMostParts); n > 0 && r.ok(); --n) {
-    Want& want = m.wants.emplace_back();
-    want.origin = r.Whole<std::uint64_t>(), want.after = r.Number();
+  for (auto n = r.Number(kMaxItems); n > 0 && r.ok(); --n) {
+    Pull& pull = m.pulls.emplace_back();
+    pull.origin = r.Whole<std::uint64_t>(), pull.after = r.Number();
   }
-  for (auto n = r.Number(kMostParts); n > 0 && r.ok(); --n) {
-    Ranges& ranges = m.ranges.emplace_back();
-    ranges.origin = r.Whole<std::uint64_t>();
-    ranges.as_of_ms = r.Number(), ranges.after = r.Number();
+  for (auto n = r.Number(kMaxItems); n > 0 && r.ok(); --n) {
+    RangeDigests& range_digests = m.range_digests.emplace_back();
+    range_digests.origin = r.Whole<std::uint64_t>();
+    range_digests.as_of_ms = r.Number(), range_digests.after = r.Number();
     const auto length = r.Number();
-    if (length > ~0ull - ranges.after) r.Fail();
-    ranges.upto = ranges.after + length;
-    for (std::uint32_t& digest : ranges.digests) digest = r.Whole<std::uint32_t>();
+    if (length > ~0ull - range_digests.after) r.Fail();
+    range_digests.upto = range_digests.after + length;
+    for (std::uint32_t& digest : range_digests.digests) digest = r.Whole<std::uint32_t>();
   }
   if (!r.ok()) return std::nullopt;
   return m;
@@ -153,32 +154,32 @@
 
 void Packer::Add(const Interval& whole) {
   Interval rest = whole;
-  for (std::size_t at = 0;;) {
-    if (!open_ || bytes_ + kMostIntervalBytes + kMostEntryBytes > kMostBody ||
-        open_->intervals.size() == kMostParts) {
-      if (open_) full_.push_back(std::move(*open_));
-      open_ = head_;
-      bytes_ = kHeadBytes + 8;
+  for (std::size_t next = 0;;) {
+    if (!current_ || bytes_ + kMaxIntervalBytes + kMaxEntryBytes > kMaxBodyBytes ||
+        current_->intervals.size() == kMaxItems) {
+      if (current_) full_.push_back(std::move(*current_));
+      current_ = header_;
+      bytes_ = kHeaderBytes + 8;
     }
-    Interval& part = open_->intervals.emplace_back(rest);
+    Interval& part = current_->intervals.emplace_back(rest);
     part.entries.clear();
-    bytes_ += kMostIntervalBytes;
+    bytes_ += kMaxIntervalBytes;
     Base base{part.after, part.now_ms};
-    for (; at < whole.entries.size(); ++at) {
-      const std::size_t more = BytesOf(whole.entries[at], base);
-      if (bytes_ + more > kMostBody) break;
+    for (; next < whole.entries.size(); ++next) {
+      const std::size_t more = BytesOf(whole.entries[next], base);
+      if (bytes_ + more > kMaxBodyBytes) break;
       bytes_ += more;
-      part.entries.push_back(whole.entries[at]);
-      base = {whole.entries[at].seq, whole.entries[at].until_ms};
+      part.entries.push_back(whole.entries[next]);
+      base = {whole.entries[next].seq, whole.entries[next].until_ms};
     }
-    if (at == whole.entries.size()) return;
+    if (next == whole.entries.size()) return;
     part.upto = rest.after = part.entries.back().seq;
   }
 }
 
 std::vector<Message> Packer::Take() {
-  if (open_) full_.push_back(std::move(*open_));
-  open_.reset();
+  if (current_) full_.push_back(std::move(*current_));
+  current_.reset();
   return std::move(full_);
 }
 
--- a/src/replica/wire.h
+++ b/src/replica/wire.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A message as bytes: numbers as LEB128, hashes whole, entries by what differs from the one before. A claim
-// takes some 14 bytes. Readers stop at the tables and kinds that they do not know: an older program among
-// newer ones leaves those out.
+// Encodes replica messages: numbers as LEB128, hashes in full, entries as differences to the previous entry.
+// A claim takes about 14 bytes. Readers drop tables and message kinds that they don't know, so that an older
+// version can run among newer ones.
 #ifndef KESTRELLINE_REPLICA_WIRE_H_
 #define KESTRELLINE_REPLICA_WIRE_H_
 
@@ -17,39 +17,40 @@
 
 using Bytes = std::vector<std::uint8_t>;
 
-inline constexpr std::uint8_t kForm = 1;
-// Of the body of a datagram (peers/wire.h); what every message is kept to.
-inline constexpr std::size_t kMostBody = 1100;
-inline constexpr std::size_t kMostEntryBytes = 8 + 8 + 10 + 10 + 5 + 1;
-inline constexpr std::size_t kMostIntervalBytes = 8 + 8 + 4 * 10;
-inline constexpr std::size_t kMostHoldingBytes = 8 + 8 + 3 * 10 + 4;
-inline constexpr std::size_t kMostRangesBytes = 8 + 3 * 10 + 4 * Ranges::kParts;
-inline constexpr std::size_t kHeadBytes = 3 + 10;
-inline constexpr std::size_t kMostParts = 128;  // of each kind in a message
+inline constexpr std::uint8_t kFormatVersion = 1;
+// Maximum size of a datagram's body (peers/wire.h); every message fits into it.
+inline constexpr std::size_t kMaxBodyBytes = 1100;
+inline constexpr std::size_t kMaxEntryBytes = 8 + 8 + 10 + 10 + 5 + 1;
+inline constexpr std::size_t kMaxIntervalBytes = 8 + 8 + 4 * 10;
+inline constexpr std::size_t kMaxSummaryBytes = 8 + 8 + 3 * 10 + 4;
+inline constexpr std::size_t kMaxRangeDigestsBytes = 8 + 3 * 10 + 4 * RangeDigests::kParts;
+inline constexpr std::size_t kHeaderBytes = 3 + 10;
+inline constexpr std::size_t kMaxItems = 128;  // of each kind of item in a message
 
 Bytes Encode(const Message& message);
 
-// Nothing unless it is a whole message within every bound.
+// Returns nothing unless the bytes are a complete message with every field within its bounds.
 std::optional<Message> Decode(std::span<const std::uint8_t> bytes);
 
-// So many entries of an interval fit in what is left of a message whatever they are.
-constexpr std::size_t EntriesWithin(std::size_t bytes) {
-  return bytes < kMostIntervalBytes ? 0 : (bytes - kMostIntervalBytes) / kMostEntryBytes;
+// Number of entries of an interval that fit into `bytes` in any case.
+constexpr std::size_t EntriesThatFit(std::size_t bytes) {
+  return bytes < kMaxIntervalBytes ? 0 : (bytes - kMaxIntervalBytes) / kMaxEntryBytes;
 }
 
-// Puts as many entries into datagrams as fit: intervals are cut in two where one ends.
+// Packs intervals into as few datagrams as possible, splitting an interval where a datagram is full.
 class Packer {
  public:
-  explicit Packer(Message head) : head_(std::move(head)) {}
+  // `header`: all messages are copies of it, with intervals added.
+  explicit Packer(Message header) : header_(std::move(header)) {}
   void Add(const Interval& interval);
-  // All of them; none without an Add.
+  // Returns all messages; none if nothing was added.
   std::vector<Message> Take();
 
  private:
-  Message head_;
+  Message header_;
   std::vector<Message> full_;
-  std::optional<Message> open_;
-  std::size_t bytes_ = 0;
+  std::optional<Message> current_;
+  std::size_t bytes_ = 0;  // upper bound of the size of `current_`
 };
 
 }  // namespace kestrelline::replica::wire
--- a/tests/replica/departure_test.cpp
+++ b/tests/replica/departure_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A process that ends leaves what it holds to another one, though datagrams are lost at any time.
+// A process that stops hands its entries over to another one, although datagrams are lost at any time.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -19,9 +19,10 @@
 using std::chrono::seconds;
 
 constexpr milliseconds kStep{1};
-constexpr Span kKeep = seconds(600);
+constexpr Span kLifetime = seconds(600);
 
-// Nodes with an address each; what one sends comes to the others at the next step, through its wire form.
+// Nodes with an address each. Datagrams are delivered within the step in which they are sent, after encoding
+// and decoding.
 class Network {
  public:
   struct Host {
@@ -40,39 +41,39 @@
     host.boot = port;
     return hosts_[name] = std::move(host);
   }
-  void Meet(const std::string& one, const std::string& other) {
-    Join(one, other);
-    Join(other, one);
+  void Connect(const std::string& name, const std::string& other) {
+    Join(name, other);
+    Join(other, name);
   }
   Node& node(const std::string& name) { return *hosts_.at(name).node; }
   void Write(const std::string& name, std::uint64_t first, std::uint64_t count) {
     for (std::uint64_t i = first; i < first + count; ++i)
-      node(name).Write(now_, {Table::kClaims, i, 1}, kKeep, 1);
+      node(name).Write(now_, {Table::kClaims, i, 1}, kLifetime, 1);
   }
-  void Run(milliseconds lasts) {
-    for (const Time end = now_ + lasts; now_ < end; now_ += kStep) Step();
+  void Run(milliseconds duration) {
+    for (const Time end = now_ + duration; now_ < end; now_ += kStep) Step();
   }
-  bool RunUntil(const std::function<bool()>& holds, milliseconds at_most) {
-    for (const Time end = now_ + at_most; now_ < end && !holds(); now_ += kStep) Step();
+  bool RunUntil(const std::function<bool()>& holds, milliseconds timeout) {
+    for (const Time end = now_ + timeout; now_ < end && !holds(); now_ += kStep) Step();
     return holds();
   }
-  Seq UptoAt(const std::string& name, const std::string& of) {
-    return node(name).store().upto(node(of).store().own());
+  Seq KnownUpto(const std::string& name, const std::string& origin) {
+    return node(name).store().upto(node(origin).store().own());
   }
   Time now() const { return now_; }
 
-  // Whether a datagram for this host is lost.
+  // Decides whether a datagram to this host is lost.
   std::function<bool(const std::string& to)> lost = [](const std::string&) { return false; };
 
  private:
-  void Join(const std::string& at, const std::string& who) {
-    const Host& host = hosts_.at(who);
+  void Join(const std::string& observer, const std::string& member) {
+    const Host& host = hosts_.at(member);
     peers::Event event;
     event.kind = peers::Event::Kind::kJoined;
-    event.member.name = who;
+    event.member.name = member;
     event.member.boot = host.boot;
     event.member.address = host.address;
-    node(at).OnPeer(now_, event);
+    node(observer).OnPeer(now_, event);
   }
   void Step() {
     for (auto& [name, host] : hosts_) {
@@ -94,8 +95,8 @@
   std::map<std::string, Host> hosts_;
 };
 
-// The successor begins to listen while the first datagrams are under way: none of those before it is missed.
-TEST(ReplicaDeparture, ASuccessorThatListensAmidAWindowGetsAllOfIt) {
+// The successor starts to listen while the first datagrams are in flight: the ones it missed are sent again.
+TEST(ReplicaDeparture, ASuccessorThatStartsToListenWithinAWindowGetsAllOfIt) {
   for (const int missed : {1, 7, 15, 16, 40}) {
     SCOPED_TRACE(missed);
     Network network;
@@ -106,14 +107,14 @@
     int count = 0;
     network.lost = [&](const std::string& to) { return to == "new" && count++ < missed; };
     network.node("old").HandOver(network.now(), {0x7f000001, 2});
-    EXPECT_TRUE(network.RunUntil([&] { return network.node("old").MayEnd(); }, seconds(10)));
-    EXPECT_EQ(network.UptoAt("new", "old"), 2000u);
+    EXPECT_TRUE(network.RunUntil([&] { return network.node("old").MayExit(); }, seconds(10)));
+    EXPECT_EQ(network.KnownUpto("new", "old"), 2000u);
     EXPECT_EQ(network.node("new").store().size(), 2000u);
   }
 }
 
-// Every third datagram is lost both ways, and the old process goes on writing until its end.
-TEST(ReplicaDeparture, WhatIsWrittenAfterTheHandOverComesTooThoughDatagramsAreLost) {
+// Every third datagram is lost in both directions, and the old process keeps writing until it ends.
+TEST(ReplicaDeparture, EntriesWrittenAfterTheHandOverArriveDespiteLoss) {
   Network network;
   network.Add("old", 1);
   network.Add("new", 2);
@@ -125,50 +126,51 @@
     network.Write("old", 100 + i, 1);
     network.Run(milliseconds(7));
   }
-  EXPECT_TRUE(network.RunUntil([&] { return network.UptoAt("new", "old") == 150; }, seconds(10)));
-  EXPECT_TRUE(network.RunUntil([&] { return network.node("old").MayEnd(); }, seconds(10)));
+  EXPECT_TRUE(network.RunUntil([&] { return network.KnownUpto("new", "old") == 150; }, seconds(10)));
+  EXPECT_TRUE(network.RunUntil([&] { return network.node("old").MayExit(); }, seconds(10)));
 }
 
-TEST(ReplicaDeparture, ASuccessorThatNeverListensIsGivenUpInTime) {
+TEST(ReplicaDeparture, ASuccessorThatNeverListensIsAbandonedInTime) {
   Network network;
   network.Add("old", 1);
   network.Write("old", 0, 100);
   network.node("old").HandOver(network.now(), {0x7f000001, 2});
-  EXPECT_FALSE(network.node("old").MayEnd());
-  EXPECT_TRUE(network.RunUntil([&] { return network.node("old").MayEnd(); }, milliseconds(1500)));
+  EXPECT_FALSE(network.node("old").MayExit());
+  EXPECT_TRUE(network.RunUntil([&] { return network.node("old").MayExit(); }, milliseconds(1500)));
 }
 
-// Others missed the news, and the first words of the departure: it may not end before one of them has all.
-TEST(ReplicaDeparture, NoProcessMayEndWhileItAloneHoldsWhatItWrote) {
+// The other members missed the updates and the first announcements of the departure: the process may not exit
+// before one of them has all its entries.
+TEST(ReplicaDeparture, AProcessMayNotExitWhileOnlyItHoldsItsEntries) {
   Network network;
   network.Add("a", 1);
   network.Add("b", 2);
-  network.Meet("a", "b");
+  network.Connect("a", "b");
   network.Run(milliseconds(500));
-  bool cut = true;
-  network.lost = [&](const std::string&) { return cut; };
+  bool disconnected = true;
+  network.lost = [&](const std::string&) { return disconnected; };
   network.Write("a", 0, 500);
   network.Run(milliseconds(20));
   network.node("a").Leave(network.now());
   network.Run(milliseconds(120));
-  EXPECT_FALSE(network.node("a").MayEnd());
-  cut = false;
-  EXPECT_TRUE(network.RunUntil([&] { return network.node("a").MayEnd(); }, seconds(2)));
-  EXPECT_EQ(network.UptoAt("b", "a"), 500u);
+  EXPECT_FALSE(network.node("a").MayExit());
+  disconnected = false;
+  EXPECT_TRUE(network.RunUntil([&] { return network.node("a").MayExit(); }, seconds(2)));
+  EXPECT_EQ(network.KnownUpto("b", "a"), 500u);
 }
 
-TEST(ReplicaDeparture, AloneOrUnheardItMayEndInTime) {
+TEST(ReplicaDeparture, WithoutAnyReceiverAProcessMayExitInTime) {
   Network network;
   network.Add("a", 1);
   network.Write("a", 0, 10);
   network.node("a").Leave(network.now());
-  EXPECT_TRUE(network.RunUntil([&] { return network.node("a").MayEnd(); }, milliseconds(100)));
+  EXPECT_TRUE(network.RunUntil([&] { return network.node("a").MayExit(); }, milliseconds(100)));
   network.Add("b", 2);
-  network.Meet("a", "b");
+  network.Connect("a", "b");
   network.lost = [](const std::string&) { return true; };
   network.node("a").Leave(network.now());
-  EXPECT_FALSE(network.node("a").MayEnd());
-  EXPECT_TRUE(network.RunUntil([&] { return network.node("a").MayEnd(); }, milliseconds(1500)));
+  EXPECT_FALSE(network.node("a").MayExit());
+  EXPECT_TRUE(network.RunUntil([&] { return network.node("a").MayExit(); }, milliseconds(1500)));
 }
 
 }  // namespace
--- a/tests/replica/message_fuzz.h
+++ b/tests/replica/message_fuzz.h
@@ -5,8 +5,8 @@
 #include <cstddef>
 #include <cstdint>
 
-// What a peer that holds the key can send at worst, to a node that knows it and to a store of its own; ends
-// the process if a bound does not hold. 1 if it could be read.
-int ReplicaReads(const std::uint8_t* data, std::size_t size);
+// Passes bytes to a replica node as if a member that has the fleet's key had sent them. Ends the process if a
+// limit is exceeded. Returns 1 if the bytes are a message, 0 otherwise.
+int DecodesAsReplicaMessage(const std::uint8_t* data, std::size_t size);
 
 #endif  // KESTRELLINE_TESTS_REPLICA_MESSAGE_FUZZ_H_
--- a/tests/replica/world_test.cpp
+++ b/tests/replica/world_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Replicas of many proxies in virtual time: whatever is lost, cut, killed and paused, once all is quiet every
-// copy is the same, and what a naive reference that saw each write says.
+// Replicas of many simulated proxies: after any loss, partitions, kills and pauses, once the faults have
+// ended, all copies are equal and match a simple reference that saw each write.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -21,10 +21,10 @@
 
 constexpr Microseconds Ms(std::int64_t ms) { return Microseconds(ms * 1000); }
 
-class SharedWorld {
+class ReplicaWorld {
  public:
-  SharedWorld(int members, std::uint64_t seed, std::size_t most_entries = 100000)
-      : world(OptionsOf(members, seed, most_entries)), members_(members), draw(seed) {
+  ReplicaWorld(int members, std::uint64_t seed, std::size_t max_entries = 100000)
+      : world(OptionsOf(members, seed, max_entries)), members_(members), random(seed) {
     world.on_shared = [this](int member, const replica::Event& event) {
       events.emplace_back(member, event.kind);
     };
@@ -32,11 +32,11 @@
     world.Run(PeersWorld::kStartsWithin);
     EXPECT_TRUE(Until([this] { return AllCurrent() && world.Agree(); })) << world.Told();
   }
-  static PeersWorld::Options OptionsOf(int members, std::uint64_t seed, std::size_t most_entries) {
+  static PeersWorld::Options OptionsOf(int members, std::uint64_t seed, std::size_t max_entries) {
     PeersWorld::Options o;
     o.members = members, o.zones = 3, o.seed = seed;
     o.replica.emplace();
-    o.replica->most_entries = most_entries;
+    o.replica->max_entries = max_entries;
     return o;
   }
   bool Until(const std::function<bool()>& test, std::int64_t ms = 60000) {
@@ -47,7 +47,7 @@
     for (int i = 0; i < members_; ++i) all &= !world.runs(i) || world.replica(i)->current();
     return all;
   }
-  // A write, and its place in the reference.
+  // Writes at a member and in the reference.
   Seq Write(int member, const Subject& subject, std::chrono::seconds keep, std::uint32_t value) {
     auto* node = world.replica(member);
     const Seq seq = node->Write(world.Now(), subject, keep, value);
@@ -56,7 +56,7 @@
     return seq;
   }
   void Remember(const replica::Node& node, Seq seq) {
-    if (const Entry* e = node.store().Of(node.store().own())->Find(seq))
+    if (const Entry* e = node.store().StreamOf(node.store().own())->Find(seq))
       reference[node.store().own()][seq] = *e;
   }
   bool Equal() {
@@ -65,7 +65,7 @@
       if (world.runs(i)) digests.insert(world.replica(i)->Digest(world.Now()));
     return digests.size() == 1;
   }
-  std::string Told() {
+  std::string DescribeCopies() {
     std::string text;
     for (int i = 0; i < members_; ++i) {
       if (!world.runs(i)) continue;
@@ -79,8 +79,8 @@
     }
     return text;
   }
-  // At every member each origin's entries are the latest of each subject among those that were written up to
-  // where it is known; all of them, of those that run.
+  // At every member, the entries of each origin are the latest of each subject among those written up to the
+  // sequence number that is known there; of running origins everything is known.
   void CheckAgainstReference() {
     for (int i = 0; i < members_; ++i) {
       if (!world.runs(i)) continue;
@@ -89,12 +89,12 @@
         std::map<Subject, Entry> latest;
         const std::uint64_t there = store.NowOf(origin, world.Now());
         for (const auto& [seq, entry] : written) {
-          // Of one that was killed some may be known with a gap before it.
-          const bool beyond = store.Of(origin) && store.Of(origin)->Find(seq);
-          if (seq <= store.upto(origin) || beyond) latest[entry.subject] = entry;
+          // Entries of an origin that was killed may be known beyond a gap.
+          const bool beyond_gap = store.StreamOf(origin) && store.StreamOf(origin)->Find(seq);
+          if (seq <= store.upto(origin) || beyond_gap) latest[entry.subject] = entry;
         }
         std::map<Subject, Entry> held;
-        if (const auto* stream = store.Of(origin))
+        if (const auto* stream = store.StreamOf(origin))
           for (const auto& [seq, entry] : stream->entries()) held[entry.subject] = entry;
         for (auto* all : {&latest, &held})
           std::erase_if(*all, [&](const auto& e) { return e.second.until_ms < there + 2000; });
@@ -109,10 +109,10 @@
   }
   std::uint64_t world_seed() const { return seed_; }
   void SetSeed(std::uint64_t seed) { seed_ = seed; }
-  int Any() { return static_cast<int>(draw() % static_cast<std::uint64_t>(members_)); }
-  int AnyThatRuns() {
+  int RandomMember() { return static_cast<int>(random() % static_cast<std::uint64_t>(members_)); }
+  int RandomRunningMember() {
     for (;;)
-      if (const int i = Any(); world.runs(i)) return i;
+      if (const int i = RandomMember(); world.runs(i)) return i;
   }
 
   PeersWorld world;
@@ -124,34 +124,34 @@
   std::uint64_t seed_ = 0;
 
  public:
-  std::mt19937_64 draw;
+  std::mt19937_64 random;
 };
 
-// Writes, removals, loss, duplicates, cuts, kills, returns and pauses as a seed draws them.
-TEST(ReplicaWorld, AnyScheduleEndsWithEqualCopiesAndWhatWasWritten) {
+// Random writes, removals, loss, duplicates, partitions, kills, restarts and pauses.
+TEST(ReplicaSimulation, AnyScheduleEndsWithEqualCopiesThatMatchTheReference) {
   constexpr std::uint64_t kSeeds = testing::OrFewer(40, 4);
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    SharedWorld w(3 + static_cast<int>(seed % 5), seed);
+    ReplicaWorld w(3 + static_cast<int>(seed % 5), seed);
     w.SetSeed(seed);
     for (int step = 0; step < 120; ++step) {
-      const int who = w.Any();
-      switch (w.draw() % 12) {
+      const int member = w.RandomMember();
+      switch (w.random() % 12) {
         case 0:
-          if (w.world.runs(who)) {
-            w.world.Kill(who);
+          if (w.world.runs(member)) {
+            w.world.Kill(member);
           } else {
-            w.world.Start(who);
+            w.world.Start(member);
           }
           break;
         case 1:
-          w.world.Pause(who);
+          w.world.Pause(member);
           break;
         case 2:
-          w.world.Resume(who);
+          w.world.Resume(member);
           break;
         case 3:
-          w.world.net().Part({who, w.Any()}, static_cast<int>(3 + seed % 5), true);
+          w.world.net().Part({member, w.RandomMember()}, static_cast<int>(3 + seed % 5), true);
           break;
         case 4:
           w.world.net().MendAll();
@@ -161,12 +161,12 @@
               {.loss = 0.3, .duplicate = 0.2, .reorder = 0.2, .delay = Ms(1), .jitter = Ms(5)});
           break;
         default:
-          if (!w.world.runs(who)) break;
-          for (auto n = w.draw() % 6; n > 0; --n)
-            w.Write(who, {Table::kClaims, w.draw() % 40, w.draw() % 3},
-                    std::chrono::seconds(5 + w.draw() % 200), static_cast<std::uint32_t>(w.draw() % 2));
+          if (!w.world.runs(member)) break;
+          for (auto n = w.random() % 6; n > 0; --n)
+            w.Write(member, {Table::kClaims, w.random() % 40, w.random() % 3},
+                    std::chrono::seconds(5 + w.random() % 200), static_cast<std::uint32_t>(w.random() % 2));
       }
-      w.world.Run(Ms(static_cast<std::int64_t>(w.draw() % 700)));
+      w.world.Run(Ms(static_cast<std::int64_t>(w.random() % 700)));
     }
     for (int i = 0; i < 7 && i < static_cast<int>(3 + seed % 5); ++i) {
       if (!w.world.runs(i)) w.world.Start(i);
@@ -175,16 +175,16 @@
     w.world.net().MendAll();
     w.world.net().SetAll({.delay = Microseconds(200), .jitter = Microseconds(300)});
     ASSERT_TRUE(w.Until([&] { return w.AllCurrent() && w.world.Agree(); })) << w.world.Told();
-    ASSERT_TRUE(w.Until([&] { return w.Equal(); }, 20000)) << w.Told();
+    ASSERT_TRUE(w.Until([&] { return w.Equal(); }, 20000)) << w.DescribeCopies();
     w.world.Run(Ms(3000));
     ASSERT_TRUE(w.Until([&] { return w.Equal(); }, 20000));
     w.CheckAgainstReference();
   }
 }
 
-// Killed in the snapshot, twice: the next donor goes on where the last one ended.
-TEST(ReplicaWorld, AReturnIsCaughtUpWhoeverOfItsDonorsDies) {
-  SharedWorld w(5, 7);
+// Donors are killed while they send the snapshot: the next donor continues where the last one ended.
+TEST(ReplicaSimulation, ARestartedMemberCatchesUpThoughItsDonorsDie) {
+  ReplicaWorld w(5, 7);
   w.world.Kill(4);
   for (std::uint64_t i = 0; i < 20000; ++i)
     w.world.replica(0)->Write(w.world.Now(), {Table::kClaims, i, i % 3}, std::chrono::minutes(10), 0);
@@ -194,7 +194,7 @@
   ASSERT_TRUE(w.Until([&] { return size() > 3000; }));
   std::set<int> donors;
   for (const auto& [member, kind] : w.events)
-    if (member == 4 && kind == replica::Event::Kind::kDonor) donors.insert(0);
+    if (member == 4 && kind == replica::Event::Kind::kCatchingUp) donors.insert(0);
   w.world.Kill(1);
   w.world.Kill(2);
   ASSERT_TRUE(w.Until([&] { return size() > 8000; }));
@@ -203,8 +203,9 @@
   EXPECT_TRUE(w.Equal());
 }
 
-TEST(ReplicaWorld, AllRestartedAtOnceSayThatNobodyHasMoreAndTwoWhoMeetDoNotWaitForEachOther) {
-  SharedWorld w(3, 11);
+// Members without entries that start together must not wait for each other to become current.
+TEST(ReplicaSimulation, AllMembersRestartedAtOnceBecomeCurrent) {
+  ReplicaWorld w(3, 11);
   w.Write(0, {Table::kClaims, 1, 1}, std::chrono::seconds(100), 0);
   w.world.Run(Ms(500));
   for (int i = 0; i < 3; ++i) w.world.Start(i);
@@ -212,9 +213,9 @@
   EXPECT_EQ(w.world.replica(0)->store().size(), 0u);
 }
 
-// Both halves of a cut claim the key: the union is held by all, once they meet.
-TEST(ReplicaWorld, BothSidesOfACutKeepWhatTheyWroteAndTheUnionHoldsAfterIt) {
-  SharedWorld w(4, 13);
+// Both sides of a partition claim the same key: after it has healed, all members hold both claims.
+TEST(ReplicaSimulation, AfterAPartitionAllMembersHoldTheUnion) {
+  ReplicaWorld w(4, 13);
   w.world.net().Part({0, 2}, 4, true);
   w.world.Run(Ms(6000));
   w.Write(0, {Table::kClaims, 5, 100}, std::chrono::seconds(300), 0);
@@ -231,10 +232,10 @@
   }
 }
 
-// One that is away for longer than anything is kept: what others wrote has ended for it too, and its own
-// writes are still its own.
-TEST(ReplicaWorld, AwayForLongerThanAnythingIsKept) {
-  SharedWorld w(3, 17);
+// A member is cut off for longer than entries are kept: entries of others have expired for it as well, and
+// its own writes reach the others when it is back.
+TEST(ReplicaSimulation, AMemberReturnsAfterLongerThanEntriesAreKept) {
+  ReplicaWorld w(3, 17);
   w.Write(1, {Table::kClaims, 5, 1}, std::chrono::seconds(20), 0);
   w.Write(2, {Table::kClaims, 6, 1}, std::chrono::hours(3), 0);
   w.world.Run(Ms(300));
@@ -249,18 +250,19 @@
   EXPECT_EQ(w.world.replica(0)->store().Find(w.world.Now(), Table::kClaims, 7).size(), 1u);
 }
 
-// A copy that lost or changed something by a fault that no number tells of: found by digests, and mended.
-TEST(ReplicaWorld, ACopyThatDiffersIsFoundAndMended) {
-  SharedWorld w(3, 19);
+// A fault removes and changes entries of a copy without a gap in the sequence numbers: the digests find it,
+// and the copy is repaired.
+TEST(ReplicaSimulation, ADifferentCopyIsFoundAndRepaired) {
+  ReplicaWorld w(3, 19);
   for (std::uint64_t i = 0; i < 3000; ++i) w.Write(0, {Table::kClaims, i, 1}, std::chrono::seconds(900), 0);
   ASSERT_TRUE(w.Until([&] { return w.Equal() && w.world.replica(1)->store().size() == 3000; }));
   auto& store = const_cast<replica::Store&>(w.world.replica(1)->store());
   const Origin origin = w.world.replica(0)->store().own();
-  auto& stream = const_cast<replica::Stream&>(*store.Of(origin));
-  for (const Seq seq : {Seq{7}, Seq{1500}, Seq{2999}}) stream.Drop(seq);
+  auto& stream = const_cast<replica::Stream&>(*store.StreamOf(origin));
+  for (const Seq seq : {Seq{7}, Seq{1500}, Seq{2999}}) stream.Remove(seq);
   Entry changed = *stream.Find(Seq{2000});
-  stream.Drop(2000);
-  changed.value = 1;  // the greater holds
+  stream.Remove(2000);
+  changed.value = 1;  // of two entries with one number the greater wins
   stream.Merge(changed);
   ASSERT_FALSE(w.Equal());
   ASSERT_TRUE(w.Until([&] { return w.Equal(); }, 15000));
@@ -269,51 +271,52 @@
   EXPECT_EQ(stream.size(), 3000u);
 }
 
-// "wait 1" in a fleet of five: with one lost, a claim that was acted on is known to the next who waits.
-TEST(ReplicaWorld, AClaimThatWaitedIsKnownToWhoeverWaitsAfterIt) {
-  std::size_t held = 0, unmet = 0;
+// "wait 1" in a fleet of five: with one member lost, a confirmed claim is known to the writer of the next
+// confirmed one.
+TEST(ReplicaSimulation, AConfirmedClaimIsKnownToTheNextWriterThatWaits) {
+  std::size_t confirmed = 0, unconfirmed = 0;
   const std::uint64_t seeds = testing::OrFewer(30, 6);
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    SharedWorld w(5, seed);
+    ReplicaWorld w(5, seed);
     std::map<std::pair<int, replica::PendingClaims::Id>, bool> verdicts;
-    w.world.on_verdict = [&](int member, replica::PendingClaims::Id id,
+    w.world.on_verdict = [&](int writer, replica::PendingClaims::Id id,
                              replica::PendingClaims::Verdict verdict) {
-      verdicts[{member, id}] = verdict == replica::PendingClaims::Verdict::kHeld;
+      verdicts[{writer, id}] = verdict == replica::PendingClaims::Verdict::kConfirmed;
     };
     w.world.net().SetAll({.loss = 0.2, .delay = Microseconds(200), .jitter = Ms(2)});
-    std::optional<int> acted;
+    std::optional<int> sender;
     for (replica::PendingClaims::Id id = 1; id <= 4; ++id) {
-      const int who = w.AnyThatRuns();
-      if (w.draw() % 2) w.world.net().Part({w.Any(), w.Any()}, 5, true);
-      w.world.replica(who)->WriteAndWait(w.world.Now(), id, {Table::kClaims, 5, 100 + id},
-                                         std::chrono::seconds(100), 0, 1, std::chrono::milliseconds(50));
-      w.world.Flush(who);
-      ASSERT_TRUE(w.Until([&] { return verdicts.contains({who, id}); }, 1000));
-      ++(verdicts.at({who, id}) ? held : unmet);
+      const int member = w.RandomRunningMember();
+      if (w.random() % 2) w.world.net().Part({w.RandomMember(), w.RandomMember()}, 5, true);
+      w.world.replica(member)->WriteAndWait(w.world.Now(), id, {Table::kClaims, 5, 100 + id},
+                                            std::chrono::seconds(100), 0, 1, std::chrono::milliseconds(50));
+      w.world.Flush(member);
+      ASSERT_TRUE(w.Until([&] { return verdicts.contains({member, id}); }, 1000));
+      ++(verdicts.at({member, id}) ? confirmed : unconfirmed);
       std::set<std::uint64_t> groups;
-      for (const auto& found : w.world.replica(who)->store().Find(w.world.Now(), Table::kClaims, 5))
+      for (const auto& found : w.world.replica(member)->store().Find(w.world.Now(), Table::kClaims, 5))
         if (found.entry.value == 0) groups.insert(found.entry.subject.detail);
-      if (verdicts.at({who, id}) && groups.size() == 1) {
-        EXPECT_FALSE(acted) << "two have acted";
-        acted = who;
-        w.world.Kill(who);  // the one that may be lost
+      if (verdicts.at({member, id}) && groups.size() == 1) {
+        EXPECT_FALSE(sender) << "two members may send";
+        sender = member;
+        w.world.Kill(member);  // the one member that may be lost
       } else {
-        w.Write(who, {Table::kClaims, 5, 100 + id}, std::chrono::seconds(0), 1);
+        w.Write(member, {Table::kClaims, 5, 100 + id}, std::chrono::seconds(0), 1);
       }
       w.world.net().MendAll();
-      w.world.Run(Ms(static_cast<std::int64_t>(w.draw() % 3000)));
+      w.world.Run(Ms(static_cast<std::int64_t>(w.random() % 3000)));
     }
   }
-  EXPECT_GT(held, seeds * 2 / 3);
-  EXPECT_GT(unmet, seeds / 6);
+  EXPECT_GT(confirmed, seeds * 2 / 3);
+  EXPECT_GT(unconfirmed, seeds / 6);
 }
 
-// Two processes that drew one origin: both say so, part, and nothing that either wrote is lost.
-TEST(ReplicaWorld, AnOriginDrawnTwiceIsFound) {
-  SharedWorld w(2, 23);
+// Two processes draw the same origin: both draw a new one, and no entry of either is lost.
+TEST(ReplicaSimulation, AnOriginDrawnTwiceIsFound) {
+  ReplicaWorld w(2, 23);
   auto& second = const_cast<replica::Store&>(w.world.replica(1)->store());
-  second.Reorigin(w.world.Now(), w.world.replica(0)->store().own());
+  second.ChangeOrigin(w.world.Now(), w.world.replica(0)->store().own());
   w.world.replica(0)->Write(w.world.Now(), {Table::kClaims, 1, 1}, std::chrono::seconds(200), 0);
   w.world.replica(1)->Write(w.world.Now(), {Table::kClaims, 2, 2}, std::chrono::seconds(200), 0);
   w.world.Flush(0), w.world.Flush(1);
@@ -324,10 +327,10 @@
   EXPECT_NE(w.world.replica(0)->store().own(), w.world.replica(1)->store().own());
 }
 
-// Both halves full when they meet: what ends last is held, at each no more than it may, and they come to
-// rest.
-TEST(ReplicaWorld, ATableAtItsBoundWhileAPartitionHeals) {
-  SharedWorld w(4, 31, 500);
+// Both sides of a partition are full when it heals: the entries that expire last are kept, no copy exceeds
+// its limit, and the exchange of entries ends.
+TEST(ReplicaSimulation, AFullTableStaysWithinItsLimitWhenAPartitionHeals) {
+  ReplicaWorld w(4, 31, 500);
   w.world.net().Part({0, 2}, 4, true);
   w.world.Run(Ms(6000));
   for (std::uint64_t i = 0; i < 450; ++i)
@@ -339,7 +342,7 @@
   w.world.Run(Ms(10000));
   const auto before = w.world.totals().shared_bytes;
   w.world.Run(Ms(10000));
-  EXPECT_LT(w.world.totals().shared_bytes - before, 4u * 10 * 2000);  // comparisons, and nothing else
+  EXPECT_LT(w.world.totals().shared_bytes - before, 4u * 10 * 2000);  // summaries only
   for (int i = 0; i < 4; ++i) {
     EXPECT_LE(w.world.replica(i)->store().size(), 500u);
     EXPECT_EQ(w.world.replica(i)->store().Find(w.world.Now(), Table::kClaims, 898).size(), 1u) << i;
@@ -347,9 +350,9 @@
   }
 }
 
-// One behind a link of 1 kB a second is told late, and holds up nobody.
-TEST(ReplicaWorld, ASlowPeerCostsNobodyElseAnything) {
-  SharedWorld w(4, 37);
+// A member behind a link of 1 kB/s gets updates late and delays no other member.
+TEST(ReplicaSimulation, ASlowMemberDelaysNoOther) {
+  ReplicaWorld w(4, 37);
   for (int i = 0; i < 3; ++i)
     w.world.net().Link(i, 3).bytes_per_s = w.world.net().Link(3, i).bytes_per_s = 1000;
   const auto has = [&](int i, std::uint64_t key) {
@@ -364,10 +367,10 @@
   ASSERT_TRUE(w.Until([&] { return w.Equal() && has(3, 400); }, 10000));
 }
 
-// More than are told at once: it is told on.
-TEST(ReplicaWorld, InAFleetOfManyNewsAreToldOn) {
-  const int members = testing::OrFewer(120, 50);  // over 48 in both
-  SharedWorld w(members, 29);
+// More members than get updates directly: updates are forwarded.
+TEST(ReplicaSimulation, InALargeFleetUpdatesAreForwarded) {
+  const int members = testing::OrFewer(120, 50);  // over kMaxDirectRecipients in both cases
+  ReplicaWorld w(members, 29);
   w.Write(3, {Table::kClaims, 1, 1}, std::chrono::seconds(200), 0);
   ASSERT_TRUE(w.Until(
       [&] {
