--- a/models/shares.pml
+++ b/models/shares.pml
@@ -1,19 +1,19 @@
 /* SPDX-License-Identifier: Apache-2.0
  *
- * Who hands out shares, and what may be in use. Two members (0, 1) each want to hand out; a third (2) votes and holds, and may start
- * anew once, with nothing remembered. The pool is of two units. Every message may be lost (nothing happens) or be on its way for as
- * long as it likes, and time goes on whenever it likes, in steps of half a lease. All times are what is left of them, so that there
- * is no end of time, and no clock of all.
+ * The election of the allocator, and the shares in use. Two members (0, 1) are candidates; a third (2) votes and holds grants, and
+ * may restart once, without any memory. The pool has two units. Every message may be lost (nothing happens) or delayed for any time,
+ * and time advances at any moment, in steps of half a lease. All times are remaining times, so that the state space is finite and
+ * there is no common clock.
  * Checked with SPIN: see check.sh.
  *
- * A MUTATION takes one rule away; each must be found by the property named with it:
+ * A MUTATION removes one rule; the property named with it must detect it:
  *
- *   1  who starts anew supports at once                                   one_leader
- *   2  a promise binds nobody                                             one_leader
- *   3  support counts from when it came, not from when it was asked for   one_leader
- *   4  a grant outlasts the support that it was given under               whole
- *   5  only the latest grant counts as handed out, taken or not           whole
- *   6  a holder counts its grant from when it came                        whole
+ *   1  a restarted member supports a candidate at once                    one_leader
+ *   2  a promise is not binding                                           one_leader
+ *   3  support counts from its arrival, not from the claim's sending      one_leader
+ *   4  a grant outlasts the support under which it was issued             whole
+ *   5  only the latest grant counts as outstanding, accepted or not       whole
+ *   6  a holder counts its grant from its arrival                         whole
  */
 #ifndef MUTATION
 #define MUTATION 0
@@ -22,39 +22,39 @@
 #define LEASE 2
 #define POOL 2
 
-byte promised[3], promise[3]; /* of voters: to whom, plus one; and for how long yet */
-byte asked[2];                /* how much of a lease is left of the round that was asked last */
-byte support[2];              /* bits of those who support it */
-byte authority[2];            /* for how long it hands out */
-byte own[2], own_left[2];     /* what it has handed to itself */
-byte out[2], out_left[2];     /* what of its grants to 2 may be in use */
-bool flying[2];               /* a grant on its way */
+byte promised[3], promise[3]; /* of each voter: the candidate plus one, and the remaining time */
+byte asked[2];                /* remaining lease of the latest round of claims */
+byte support[2];              /* bit set of the supporters */
+byte authority[2];            /* remaining time as the allocator */
+byte own[2], own_left[2];     /* its grant to itself */
+byte out[2], out_left[2];     /* its grants to 2 that may be in use */
+bool in_flight[2];               /* a grant to 2 in flight */
 byte f_share[2], f_left[2], f_lasts[2];
-byte word[2];                 /* how much of a lease is left of the last word of 2 */
-byte share, share_left, by;   /* what 2 uses, and whose grant that is, plus one */
+byte reply[2];                 /* remaining lease of the latest reply of 2 */
+byte share, share_left, by;   /* the share that 2 uses, and its allocator plus one */
 bool restarted;
 
-#define OTHER(v, c) (promise[v] > 0 && promised[v] != (c) + 1 && MUTATION != 2)
+#define BOUND_TO_OTHER(v, c) (promise[v] > 0 && promised[v] != (c) + 1 && MUTATION != 2)
 
 inline Vote(v, c) {
   if
-  :: OTHER(v, c) -> skip
+  :: BOUND_TO_OTHER(v, c) -> skip
   :: else -> promised[v] = c + 1; promise[v] = LEASE; support[c] = support[c] | (1 << v)
   fi
 }
 
-#define ASKS(c) atomic { asked[c] < LEASE -> asked[c] = LEASE; support[c] = 0; Vote(c, c) }
+#define CLAIMS(c) atomic { asked[c] < LEASE -> asked[c] = LEASE; support[c] = 0; Vote(c, c) }
 #define VOTES(v, c) \
   atomic { asked[c] == LEASE && (support[c] & (1 << v)) == 0 -> Vote(v, c) }
-/* A word of 2, whether or not it supports. */
-#define SPEAKS(c) atomic { asked[c] == LEASE && word[c] < LEASE -> word[c] = LEASE }
-/* Two of three; they may be heard late. */
-#define GAINS(c) \
-  atomic { support[c] > 2 && support[c] != 4 && asked[c] > 0 && authority[c] < COUNTED(c) -> authority[c] = COUNTED(c) }
+/* A reply of 2, with or without its support. */
+#define REPLIES(c) atomic { asked[c] == LEASE && reply[c] < LEASE -> reply[c] = LEASE }
+/* A majority of two out of three; votes may arrive late. */
+#define WINS(c) \
+  atomic { support[c] > 2 && support[c] != 4 && asked[c] > 0 && authority[c] < SUPPORTED_FOR(c) -> authority[c] = SUPPORTED_FOR(c) }
 #if MUTATION == 3
-#define COUNTED(c) LEASE
+#define SUPPORTED_FOR(c) LEASE
 #else
-#define COUNTED(c) asked[c]
+#define SUPPORTED_FOR(c) asked[c]
 #endif
 #if MUTATION == 4
 #define LASTS(c) LEASE
@@ -62,11 +62,11 @@
 #define LASTS(c) authority[c]
 #endif
 
-inline Give(c, amount) {
-  flying[c] = true;
+inline Issue(c, amount) {
+  in_flight[c] = true;
   f_share[c] = amount;
   f_lasts[c] = LASTS(c);
-  if :: f_lasts[c] + word[c] > LEASE -> f_left[c] = f_lasts[c] + word[c] - LEASE :: else -> f_left[c] = 0 fi;
+  if :: f_lasts[c] + reply[c] > LEASE -> f_left[c] = f_lasts[c] + reply[c] - LEASE :: else -> f_left[c] = 0 fi;
   if
   :: out_left[c] == 0 || amount >= out[c] || MUTATION == 5 -> out[c] = amount
   :: else
@@ -74,11 +74,11 @@
   if :: out_left[c] < f_lasts[c] -> out_left[c] = f_lasts[c] :: else fi
 }
 #define GRANTS(c) \
-  atomic { authority[c] > 0 && word[c] > 0 && !flying[c] -> \
-    if :: own[c] == 0 -> Give(c, 2) :: own[c] <= 1 -> Give(c, 1) :: Give(c, 0) fi }
-#define USES(c) atomic { authority[c] > 0 -> own[c] = POOL - out[c]; own_left[c] = authority[c] }
-#define TAKES(c) \
-  atomic { flying[c] -> flying[c] = false; \
+  atomic { authority[c] > 0 && reply[c] > 0 && !in_flight[c] -> \
+    if :: own[c] == 0 -> Issue(c, 2) :: own[c] <= 1 -> Issue(c, 1) :: Issue(c, 0) fi }
+#define SELF_GRANTS(c) atomic { authority[c] > 0 -> own[c] = POOL - out[c]; own_left[c] = authority[c] }
+#define ACCEPTS(c) \
+  atomic { in_flight[c] -> in_flight[c] = false; \
     if \
     :: c + 1 >= by -> share = f_share[c]; by = c + 1; out[c] = f_share[c]; \
       if :: MUTATION == 6 -> share_left = f_lasts[c] :: else -> share_left = f_left[c] fi \
@@ -86,48 +86,48 @@
     fi; \
     f_share[c] = 0; f_left[c] = 0; f_lasts[c] = 0; Settle() }
 
-/* What has ended is all alike. */
+/* Expired grants are all equal: keeps the state space small. */
 inline Settle() {
   if :: share_left == 0 -> share = 0; by = 0 :: else fi
 }
-#define LESS(x) x = x - (x > 0)
-#define PASSES(c) \
-  LESS(asked[c]); LESS(authority[c]); LESS(own_left[c]); LESS(out_left[c]); LESS(word[c]); LESS(f_left[c]); \
+#define DECREASE(x) x = x - (x > 0)
+#define ADVANCES(c) \
+  DECREASE(asked[c]); DECREASE(authority[c]); DECREASE(own_left[c]); DECREASE(out_left[c]); DECREASE(reply[c]); DECREASE(f_left[c]); \
   if :: asked[c] == 0 -> support[c] = 0 :: else fi; \
   if :: own_left[c] == 0 -> own[c] = 0 :: else fi; \
   if :: out_left[c] == 0 -> out[c] = 0 :: else fi
-#define ENDS(v) LESS(promise[v]); if :: promise[v] == 0 -> promised[v] = 0 :: else fi
+#define EXPIRES(v) DECREASE(promise[v]); if :: promise[v] == 0 -> promised[v] = 0 :: else fi
 
 active proctype World() {
   promise[0] = LEASE; promise[1] = LEASE; promise[2] = LEASE;
   do
-  :: ASKS(0)
-  :: ASKS(1)
+  :: CLAIMS(0)
+  :: CLAIMS(1)
   :: VOTES(1, 0)
   :: VOTES(2, 0)
   :: VOTES(0, 1)
   :: VOTES(2, 1)
-  :: SPEAKS(0)
-  :: SPEAKS(1)
-  :: GAINS(0)
-  :: GAINS(1)
+  :: REPLIES(0)
+  :: REPLIES(1)
+  :: WINS(0)
+  :: WINS(1)
   :: GRANTS(0)
   :: GRANTS(1)
-  :: USES(0)
-  :: USES(1)
-  :: TAKES(0)
-  :: TAKES(1)
-  :: atomic { flying[0] -> flying[0] = false; f_share[0] = 0; f_left[0] = 0; f_lasts[0] = 0 }
-  :: atomic { flying[1] -> flying[1] = false; f_share[1] = 0; f_left[1] = 0; f_lasts[1] = 0 }
+  :: SELF_GRANTS(0)
+  :: SELF_GRANTS(1)
+  :: ACCEPTS(0)
+  :: ACCEPTS(1)
+  :: atomic { in_flight[0] -> in_flight[0] = false; f_share[0] = 0; f_left[0] = 0; f_lasts[0] = 0 }
+  :: atomic { in_flight[1] -> in_flight[1] = false; f_share[1] = 0; f_left[1] = 0; f_lasts[1] = 0 }
   :: atomic { !restarted -> restarted = true; promised[2] = 0; share = 0; share_left = 0; by = 0;
-       flying[0] = false; f_share[0] = 0; f_left[0] = 0; f_lasts[0] = 0;
-       flying[1] = false; f_share[1] = 0; f_left[1] = 0; f_lasts[1] = 0; word[0] = 0; word[1] = 0;
+       in_flight[0] = false; f_share[0] = 0; f_left[0] = 0; f_lasts[0] = 0;
+       in_flight[1] = false; f_share[1] = 0; f_left[1] = 0; f_lasts[1] = 0; reply[0] = 0; reply[1] = 0;
        if :: MUTATION == 1 -> promise[2] = 0 :: else -> promise[2] = LEASE fi }
-  :: atomic { PASSES(0); PASSES(1); ENDS(0); ENDS(1); ENDS(2); LESS(share_left); Settle() }
+  :: atomic { ADVANCES(0); ADVANCES(1); EXPIRES(0); EXPIRES(1); EXPIRES(2); DECREASE(share_left); Settle() }
   od
 }
 
 ltl one_leader { [] !(authority[0] > 0 && authority[1] > 0) }
 ltl whole { [] (own[0] + own[1] + share <= POOL) }
-/* Both at once: one search of three million states in place of two. */
+/* Both properties at once: one search of three million states instead of two. */
 ltl both { [] (!(authority[0] > 0 && authority[1] > 0) && own[0] + own[1] + share <= POOL) }
--- a/src/replica/node.h
+++ b/src/replica/node.h
@@ -139,8 +139,8 @@
     std::uint64_t owner = 0;
     std::string zone;
     peers::Address address;
-    bool present = false, current = false;
-    bool consulted = false;  // it has been the donor and has sent all its summaries
+    // consulted: it has been the donor and has sent all its summaries.
+    bool present = false, current = false, consulted = false;
     Seq has = 0;             // it has this node's own entries up to here
   };
   using PeerMap = std::map<std::string, Peer, std::less<>>;
