--- a/src/replica/node.h
+++ b/src/replica/node.h
@@ -25,8 +25,8 @@
 #include "peers/node.h"
 #include "replica/handoff.h"
 #include "replica/message.h"
+#include "replica/pending_claims.h"
 #include "replica/puller.h"
-#include "replica/rounds.h"
 #include "replica/store.h"
 #include "replica/wire.h"
 
@@ -141,7 +141,7 @@
     peers::Address address;
     // consulted: it has been the donor and has sent all its summaries.
     bool present = false, current = false, consulted = false;
-    Seq has = 0;             // it has this node's own entries up to here
+    Seq has = 0;  // it has this node's own entries up to here
   };
   using PeerMap = std::map<std::string, Peer, std::less<>>;
 
--- a/src/replica/rounds.h
+++ b/src/replica/pending_claims.h
@@ -8,8 +8,8 @@
 // to acknowledge. A member that hasn't caught up since its start (`current`) counts as a holder, but its
 // acknowledgement says nothing about other claims. So any k members may be lost at any time; a claim that is
 // cut off from too many members is not confirmed.
-#ifndef KESTRELLINE_REPLICA_ROUNDS_H_
-#define KESTRELLINE_REPLICA_ROUNDS_H_
+#ifndef KESTRELLINE_REPLICA_PENDING_CLAIMS_H_
+#define KESTRELLINE_REPLICA_PENDING_CLAIMS_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -105,4 +105,4 @@
 
 }  // namespace kestrelline::replica
 
-#endif  // KESTRELLINE_REPLICA_ROUNDS_H_
+#endif  // KESTRELLINE_REPLICA_PENDING_CLAIMS_H_
--- a/tests/replica/store_test.cpp
+++ b/tests/replica/store_test.cpp
@@ -9,7 +9,7 @@
 
 #include "replica/claims.h"
 #include "replica/message_fuzz.h"
-#include "replica/rounds.h"
+#include "replica/pending_claims.h"
 #include "replica/wire.h"
 
 namespace kestrelline::replica {
