--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -18,11 +18,11 @@
 #include "app/peers_command.h"
 #include "app/plugins.h"
 #include "app/replica_command.h"
-#include "concert/link.h"
-#include "concert/partition_link.h"
 #include "config.h"
 #include "peers/link.h"
 #include "proxy.h"
+#include "quota/link.h"
+#include "quota/partition_link.h"
 #include "replica/link.h"
 
 namespace {
--- a/src/app/operator_config.h
+++ b/src/app/operator_config.h
@@ -11,12 +11,12 @@
 #include <string>
 #include <string_view>
 
-#include "concert/partition.h"
-#include "concert/settings.h"
 #include "config.h"
 #include "operator/diagnostics.h"
 #include "peers/settings.h"
 #include "plugin/section.h"
+#include "quota/partition.h"
+#include "quota/settings.h"
 #include "replica/settings.h"
 #include "routing/spec.h"
 #include "routing/table.h"
--- a/src/concert/link.cpp
+++ b/src/quota/link.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "concert/link.h"
+#include "quota/link.h"
 
 #include <cstdio>
 #include <utility>
 
-#include "concert/wire.h"
 #include "hashing/mix.h"
+#include "quota/wire.h"
 
 namespace kestrelline::quota {
 namespace {
--- a/src/concert/link.h
+++ b/src/quota/link.h
@@ -2,8 +2,8 @@
 //
 // Runs quota::Node in the proxy's event loop: its datagrams on the peers' socket, its timer, its log lines
 // and figures. Single-threaded.
-#ifndef KESTRELLINE_CONCERT_LINK_H_
-#define KESTRELLINE_CONCERT_LINK_H_
+#ifndef KESTRELLINE_QUOTA_LINK_H_
+#define KESTRELLINE_QUOTA_LINK_H_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -13,10 +13,10 @@
 #include <optional>
 #include <string>
 
-#include "concert/node.h"
-#include "concert/rate_meter.h"
-#include "concert/settings.h"
 #include "peers/link.h"
+#include "quota/node.h"
+#include "quota/rate_meter.h"
+#include "quota/settings.h"
 
 namespace kestrelline::quota {
 
@@ -66,4 +66,4 @@
 
 }  // namespace kestrelline::quota
 
-#endif  // KESTRELLINE_CONCERT_LINK_H_
+#endif  // KESTRELLINE_QUOTA_LINK_H_
--- a/src/concert/message.h
+++ b/src/quota/message.h
@@ -5,8 +5,8 @@
 //
 // The allocator, or a candidate for it, sends claims to all members: each asks for the receiver's support and
 // may carry a grant. Members reply to each claim.
-#ifndef KESTRELLINE_CONCERT_MESSAGE_H_
-#define KESTRELLINE_CONCERT_MESSAGE_H_
+#ifndef KESTRELLINE_QUOTA_MESSAGE_H_
+#define KESTRELLINE_QUOTA_MESSAGE_H_
 
 #include <chrono>
 #include <compare>
@@ -57,4 +57,4 @@
 
 }  // namespace kestrelline::quota
 
-#endif  // KESTRELLINE_CONCERT_MESSAGE_H_
+#endif  // KESTRELLINE_QUOTA_MESSAGE_H_
--- a/src/concert/node.cpp
+++ b/src/quota/node.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "concert/node.h"
+#include "quota/node.h"
 
 #include <algorithm>
 
--- a/src/concert/node.h
+++ b/src/quota/node.h
@@ -12,8 +12,8 @@
 // the shares in use never sum up to more than the whole.
 //
 //   share of a proxy = reserve / configured + granted part, until the grant expires
-#ifndef KESTRELLINE_CONCERT_NODE_H_
-#define KESTRELLINE_CONCERT_NODE_H_
+#ifndef KESTRELLINE_QUOTA_NODE_H_
+#define KESTRELLINE_QUOTA_NODE_H_
 
 #include <array>
 #include <cstdint>
@@ -24,10 +24,10 @@
 #include <utility>
 #include <vector>
 
-#include "concert/message.h"
-#include "concert/pool.h"
-#include "concert/voter.h"
 #include "peers/node.h"
+#include "quota/message.h"
+#include "quota/pool.h"
+#include "quota/voter.h"
 
 namespace kestrelline::quota {
 
@@ -149,4 +149,4 @@
 
 }  // namespace kestrelline::quota
 
-#endif  // KESTRELLINE_CONCERT_NODE_H_
+#endif  // KESTRELLINE_QUOTA_NODE_H_
--- a/src/concert/partition.cpp
+++ b/src/quota/partition.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "concert/partition.h"
+#include "quota/partition.h"
 
 #include <algorithm>
 #include <array>
--- a/src/concert/partition.h
+++ b/src/quota/partition.h
@@ -7,8 +7,8 @@
 // on: at most one of two sides has more than half of them. A view lags behind by the time that it takes to
 // detect a partition. So a view alone can't rule out that both sides run something at once; that needs the
 // leases of the shares (node.h), by which the rates here are divided.
-#ifndef KESTRELLINE_CONCERT_PARTITION_H_
-#define KESTRELLINE_CONCERT_PARTITION_H_
+#ifndef KESTRELLINE_QUOTA_PARTITION_H_
+#define KESTRELLINE_QUOTA_PARTITION_H_
 
 #include <cstddef>
 #include <optional>
@@ -74,4 +74,4 @@
 
 }  // namespace kestrelline::quota
 
-#endif  // KESTRELLINE_CONCERT_PARTITION_H_
+#endif  // KESTRELLINE_QUOTA_PARTITION_H_
--- a/src/concert/partition_link.cpp
+++ b/src/quota/partition_link.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "concert/partition_link.h"
+#include "quota/partition_link.h"
 
 #include <cstdio>
 #include <utility>
--- a/src/concert/partition_link.h
+++ b/src/quota/partition_link.h
@@ -2,15 +2,15 @@
 //
 // Applies the [[partition]] limits in the proxy's event loop: follows the peers' view, and passes each change
 // of a limit to the balancer, the log and the figures. Single-threaded.
-#ifndef KESTRELLINE_CONCERT_PARTITION_LINK_H_
-#define KESTRELLINE_CONCERT_PARTITION_LINK_H_
+#ifndef KESTRELLINE_QUOTA_PARTITION_LINK_H_
+#define KESTRELLINE_QUOTA_PARTITION_LINK_H_
 
 #include <functional>
 #include <string>
 #include <vector>
 
-#include "concert/partition.h"
 #include "peers/link.h"
+#include "quota/partition.h"
 
 namespace kestrelline::quota {
 
@@ -42,4 +42,4 @@
 
 }  // namespace kestrelline::quota
 
-#endif  // KESTRELLINE_CONCERT_PARTITION_LINK_H_
+#endif  // KESTRELLINE_QUOTA_PARTITION_LINK_H_
--- a/src/concert/pool.cpp
+++ b/src/quota/pool.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "concert/pool.h"
+#include "quota/pool.h"
 
 #include <algorithm>
 #include <iterator>
 #include <numeric>
 
-#include "concert/voter.h"
+#include "quota/voter.h"
 
 namespace kestrelline::quota {
 namespace {
--- a/src/concert/pool.h
+++ b/src/quota/pool.h
@@ -6,14 +6,14 @@
 // Safe whatever messages are lost or delayed: a grant counts as outstanding until it expires by the
 // allocator's clock, or until its holder confirms a later one. Of the grants of one holder that may still be
 // in use the largest counts. The sum over all holders never exceeds the pool.
-#ifndef KESTRELLINE_CONCERT_POOL_H_
-#define KESTRELLINE_CONCERT_POOL_H_
+#ifndef KESTRELLINE_QUOTA_POOL_H_
+#define KESTRELLINE_QUOTA_POOL_H_
 
 #include <cstdint>
 #include <map>
 #include <vector>
 
-#include "concert/message.h"
+#include "quota/message.h"
 
 namespace kestrelline::quota {
 
@@ -57,4 +57,4 @@
 
 }  // namespace kestrelline::quota
 
-#endif  // KESTRELLINE_CONCERT_POOL_H_
+#endif  // KESTRELLINE_QUOTA_POOL_H_
--- a/src/concert/rate_meter.h
+++ b/src/quota/rate_meter.h
@@ -2,8 +2,8 @@
 //
 // Moving average of the request rate of one proxy. No I/O, no clock: the caller samples it once per
 // kInterval.
-#ifndef KESTRELLINE_CONCERT_RATE_METER_H_
-#define KESTRELLINE_CONCERT_RATE_METER_H_
+#ifndef KESTRELLINE_QUOTA_RATE_METER_H_
+#define KESTRELLINE_QUOTA_RATE_METER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -31,4 +31,4 @@
 
 }  // namespace kestrelline::quota
 
-#endif  // KESTRELLINE_CONCERT_RATE_METER_H_
+#endif  // KESTRELLINE_QUOTA_RATE_METER_H_
--- a/src/concert/settings.cpp
+++ b/src/quota/settings.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "concert/settings.h"
+#include "quota/settings.h"
 
 #include <array>
 #include <string>
--- a/src/concert/settings.h
+++ b/src/quota/settings.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The [concert] section of the operator's file: its settings and their validation.
-#ifndef KESTRELLINE_CONCERT_SETTINGS_H_
-#define KESTRELLINE_CONCERT_SETTINGS_H_
+#ifndef KESTRELLINE_QUOTA_SETTINGS_H_
+#define KESTRELLINE_QUOTA_SETTINGS_H_
 
 #include <optional>
 
-#include "concert/message.h"
 #include "operator/document.h"
+#include "quota/message.h"
 
 namespace kestrelline::quota {
 
@@ -39,4 +39,4 @@
 
 }  // namespace kestrelline::quota
 
-#endif  // KESTRELLINE_CONCERT_SETTINGS_H_
+#endif  // KESTRELLINE_QUOTA_SETTINGS_H_
--- a/src/concert/voter.h
+++ b/src/quota/voter.h
@@ -4,12 +4,12 @@
 //
 // Nothing is stored on disk. A process that has just started may have made a promise before it restarted, so
 // it promises nothing until any such promise has expired.
-#ifndef KESTRELLINE_CONCERT_VOTER_H_
-#define KESTRELLINE_CONCERT_VOTER_H_
+#ifndef KESTRELLINE_QUOTA_VOTER_H_
+#define KESTRELLINE_QUOTA_VOTER_H_
 
 #include <algorithm>
 
-#include "concert/message.h"
+#include "quota/message.h"
 
 namespace kestrelline::quota {
 
@@ -50,4 +50,4 @@
 
 }  // namespace kestrelline::quota
 
-#endif  // KESTRELLINE_CONCERT_VOTER_H_
+#endif  // KESTRELLINE_QUOTA_VOTER_H_
--- a/src/concert/wire.cpp
+++ b/src/quota/wire.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "concert/wire.h"
+#include "quota/wire.h"
 
 #include <bit>
 
--- a/src/concert/wire.h
+++ b/src/quota/wire.h
@@ -2,15 +2,15 @@
 //
 // Encodes quota messages, in about 20 to 40 bytes each. Readers ignore bytes after the last field of this
 // format, so that newer versions can append fields.
-#ifndef KESTRELLINE_CONCERT_WIRE_H_
-#define KESTRELLINE_CONCERT_WIRE_H_
+#ifndef KESTRELLINE_QUOTA_WIRE_H_
+#define KESTRELLINE_QUOTA_WIRE_H_
 
 #include <cstdint>
 #include <optional>
 #include <span>
 #include <vector>
 
-#include "concert/message.h"
+#include "quota/message.h"
 
 namespace kestrelline::quota::wire {
 
@@ -25,4 +25,4 @@
 
 }  // namespace kestrelline::quota::wire
 
-#endif  // KESTRELLINE_CONCERT_WIRE_H_
+#endif  // KESTRELLINE_QUOTA_WIRE_H_
--- a/src/sim/peering.h
+++ b/src/sim/peering.h
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "concert/rate_meter.h"
-#include "concert/settings.h"
 #include "kestrelline/balancer.h"
+#include "quota/rate_meter.h"
+#include "quota/settings.h"
 #include "sim/kernel.h"
 #include "sim/peers_world.h"
 #include "standin/faults.h"
--- a/src/sim/peers_world.cpp
+++ b/src/sim/peers_world.cpp
@@ -5,9 +5,9 @@
 #include <stdexcept>
 #include <utility>
 
-#include "concert/wire.h"
 #include "hashing/mix.h"
 #include "peers/wire.h"
+#include "quota/wire.h"
 
 namespace kestrelline::sim {
 namespace {
--- a/src/sim/peers_world.h
+++ b/src/sim/peers_world.h
@@ -15,8 +15,8 @@
 #include <string>
 #include <vector>
 
-#include "concert/node.h"
 #include "peers/node.h"
+#include "quota/node.h"
 #include "replica/node.h"
 #include "sim/kernel.h"
 #include "standin/net_faults.h"
--- a/tests/concert/partition_test.cpp
+++ b/tests/concert/partition_test.cpp
@@ -2,7 +2,7 @@
 //
 // Limits per class during a network partition: the settings section, which limit follows from a membership
 // view, and how the balancer applies it.
-#include "concert/partition.h"
+#include "quota/partition.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/concert/parts_test.cpp
+++ b/tests/concert/parts_test.cpp
@@ -6,11 +6,11 @@
 
 #include <random>
 
-#include "concert/pool.h"
-#include "concert/settings.h"
-#include "concert/voter.h"
-#include "concert/wire.h"
 #include "kestrelline/balancer.h"
+#include "quota/pool.h"
+#include "quota/settings.h"
+#include "quota/voter.h"
+#include "quota/wire.h"
 
 namespace kestrelline::quota {
 namespace {
