--- a/src/replica/node.cpp
+++ b/src/replica/node.cpp
@@ -65,7 +65,7 @@
       by_boot_.erase(found->second.boot);
       found->second.present = found->second.current = false;
       if (event.kind == Kind::kLeft)
-        peers_.erase(found);  // it has handed its entries over before: no acknowledgement of it is needed
+        peers_.erase(found);  // it has handed its entries over: it need not be asked any more
       break;
     }
     default:
@@ -309,8 +309,8 @@
       break;
     case Message::Kind::kPullRequest: {
       wire::Packer packer(NewMessage(Message::Kind::kChunk, message.number));
-      // Entries take at least four bytes less than their maximum, so that more may fit than EntriesThatFit
-      // says.
+      // Entries take at least four bytes less than their maximum, so that more of them may fit than
+      // EntriesThatFit says.
       std::size_t room = kMaxChunkDatagrams * wire::EntriesThatFit(wire::kMaxBodyBytes) * 2;
       for (const Pull& pull : message.pulls) {
         if (room == 0) break;
@@ -431,7 +431,7 @@
 
 void Node::Compare(Time now, const CopySummary& summary, const PeerMap::value_type& peer) {
   const Stream& own_copy = *store_.StreamOf(summary.origin);
-  // Not comparable: one of the copies may lack entries for reasons other than a difference.
+  // Copies aren't comparable if one of them may lack entries because of eviction or expiry.
   const bool comparable = store_.EvictionHorizon(summary.origin) <= summary.as_of_ms &&
                           store_.NowOf(summary.origin, now) < summary.as_of_ms + Store::kGracePeriodMs / 2;
   if (!comparable || static_cast<std::uint32_t>(own_copy.Digest(summary.as_of_ms)) == summary.digest) {
