--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -18,11 +18,11 @@
 #include "app/peers_command.h"
 #include "app/plugins.h"
 #include "app/replica_command.h"
-#include "concert/link.h"
-#include "concert/partition_link.h"
 #include "config.h"
 #include "peers/link.h"
 #include "proxy.h"
+#include "quota/link.h"
+#include "quota/partition_link.h"
 #include "replica/link.h"
 
 namespace {
@@ -116,8 +116,8 @@
   std::unique_ptr<kestrelline::peers::Link> peers;      // null: it knows of none
   std::unique_ptr<kestrelline::replica::Link> replica;  // null: nothing is shared
   std::unique_ptr<kestrelline::replica::Claims> claims;
-  std::unique_ptr<kestrelline::concert::Link> concert;  // null: what all have is divided as configured
-  std::unique_ptr<kestrelline::concert::PartitionLink> partition;  // null: classes are served as ever
+  std::unique_ptr<kestrelline::quota::Link> concert;  // null: what all have is divided as configured
+  std::unique_ptr<kestrelline::quota::PartitionLink> partition;  // null: classes are served as ever
 };
 
 Fleet JoinPeers(boost::asio::io_context& io, kestrelline::proxy::Proxy& proxy,
@@ -152,24 +152,25 @@
     hooks.figures = [l, r, c] { return l->FiguresText() + r->FiguresText(c->counts()); };
     hooks.leave = [l, r] { r->Leave(), l->Leave(); };
     hooks.hand_over = [l, r] { r->Leave(), l->HandOver(), r->HandOver(); };
-    hooks.when_held_elsewhere = [r](auto done) { r->WhenHeldElsewhere(std::move(done)); };
+    hooks.when_held_elsewhere = [r](auto done) { r->WhenReplicated(std::move(done)); };
     if (config.await_copies) r->WhenCurrent(shared->ready_within, [&proxy] { proxy.OnCopies(); });
   }
   if (divided) {
-    const kestrelline::concert::Link::Who place{config.settings.me, config.settings.balancers, config.seed};
-    fleet.concert = std::make_unique<kestrelline::concert::Link>(
+    const kestrelline::quota::Link::Identity place{config.settings.me, config.settings.balancers,
+                                                   config.seed};
+    fleet.concert = std::make_unique<kestrelline::quota::Link>(
         io, *l, *divided, place,
-        kestrelline::concert::Link::Hooks{
-            [&proxy] { return proxy.requests(); },
-            [&proxy](const auto& s) { proxy.OnShare(s.share, s.until, s.after); }, say});
+        kestrelline::quota::Link::Hooks{[&proxy] { return proxy.requests(); },
+                                        [&proxy](const auto& s) { proxy.OnShare(s.share, s.until, s.after); },
+                                        say});
     auto* c = fleet.concert.get();
     hooks.figures = [before = hooks.figures, c] { return before() + c->FiguresText(); };
     hooks.hand_over = [before = hooks.hand_over, c] { c->HandOver(), before(); };
   }
   if (!loaded.partition.empty()) {
-    fleet.partition = std::make_unique<kestrelline::concert::PartitionLink>(
+    fleet.partition = std::make_unique<kestrelline::quota::PartitionLink>(
         *l, config.settings.balancers, loaded.partition, config.classes,
-        kestrelline::concert::PartitionLink::Hooks{
+        kestrelline::quota::PartitionLink::Hooks{
             [&proxy](int request_class, double per_s) { proxy.OnClassLimit(request_class, per_s); }, say});
     auto* p = fleet.partition.get();
     hooks.figures = [before = hooks.figures, p] { return before() + p->FiguresText(); };
--- a/src/app/operator_config.h
+++ b/src/app/operator_config.h
@@ -11,12 +11,12 @@
 #include <string>
 #include <string_view>
 
-#include "concert/partition.h"
-#include "concert/settings.h"
 #include "config.h"
 #include "operator/diagnostics.h"
 #include "peers/settings.h"
 #include "plugin/section.h"
+#include "quota/partition.h"
+#include "quota/settings.h"
 #include "replica/settings.h"
 #include "routing/spec.h"
 #include "routing/table.h"
@@ -28,8 +28,8 @@
   std::shared_ptr<const plugin::PluginTable> plugins;  // checked as far as can be told without running them
   std::optional<peers::Settings> peers;                // nothing: off
   std::optional<replica::Settings> replica;            // the same
-  std::optional<concert::Settings> concert;            // the same
-  std::vector<concert::ClassPartition> partition;      // empty: off
+  std::optional<quota::Settings> concert;              // the same
+  std::vector<quota::ClassPartition> partition;        // empty: off
   routing::Spec spec;  // as worded, for those who explain it; empty unless kept
   routing::Site site;
 };
--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -123,7 +123,7 @@
     const auto hash = kestrelline::replica::KeyHash(config_.classes[pending.request_class],
                                                     View((*pending.message)["Idempotency-Key"]));
     pending.keyed = std::make_unique<Keyed>(Keyed{{hash, mode, &c}, {}});
-    auto known = claims_->Known(pending.keyed->key, [this](auto at) { return clock_.At(at); });
+    auto known = claims_->KnownClaims(pending.keyed->key, [this](auto at) { return clock_.At(at); });
     if (!known.empty()) {
       claims_->CountBound();
       submit.claims = std::make_shared<const std::vector<KeyClaim>>(std::move(known));
@@ -156,15 +156,15 @@
   if (!pending.keyed) return SendAttempt(action, attempt);
   // What it may run is claimed first.
   const Group kind = config_.settings.classes[pending.request_class].group;
-  const auto group = claims_->groups().Of(kind, action.zone, action.cell);
+  const auto group = claims_->groups().IdOf(kind, action.zone, action.cell);
   pending.keyed->groups.resize(static_cast<std::size_t>(attempt) + 1, group);
-  claims_->Before(pending.keyed->key, group,
-                  [this, action, attempt](auto go) { OnClaimed(action, attempt, go); });
+  claims_->BeforeAttempt(pending.keyed->key, group,
+                         [this, action, attempt](auto go) { OnClaimed(action, attempt, go); });
 }
 
 // Its claim holds; or it does not, and the attempt never leaves.
-void Proxy::OnClaimed(const Dispatch& action, int attempt, kestrelline::replica::Claims::Go go) {
-  using Go = kestrelline::replica::Claims::Go;
+void Proxy::OnClaimed(const Dispatch& action, int attempt, kestrelline::replica::Claims::Decision go) {
+  using Go = kestrelline::replica::Claims::Decision;
   const auto found = pending_.find(action.request);
   if (found == pending_.end()) return;
   Pending& pending = found->second;
@@ -172,17 +172,18 @@
   const bool late = !Wanted(pending) || now >= pending.due || now > clock_.ToSteady(action.begin_by);
   if (go == Go::kSend && !late) return SendAttempt(action, attempt);
   const Keyed keyed = *pending.keyed;
-  if (go == Go::kSend) claims_->After(keyed.key, keyed.groups[static_cast<std::size_t>(attempt)], false);
+  if (go == Go::kSend)
+    claims_->AfterAttempt(keyed.key, keyed.groups[static_cast<std::size_t>(attempt)], false);
   --pending.attempts_out;
-  const auto known = claims_->Known(keyed.key, [this](auto at) { return clock_.At(at); });
-  if (go == Go::kNot) {
+  const auto known = claims_->KnownClaims(keyed.key, [this](auto at) { return clock_.At(at); });
+  if (go == Go::kUnconfirmed) {
     // Too few know of it: no other attempt would fare better. Nothing of this one ran.
     if (const auto responder = Conclude(action.request))
       attempt == 0 && known.empty() ? responder->Refused(kLocalRest) : responder->Failed();
   }
   const AttemptEnded end = MootEnd(action, attempt, !pending.responder);
   ForgetIfOver(action.request);
-  if (go == Go::kElsewhere) {
+  if (go == Go::kOtherGroup) {
     for (const KeyClaim& claim : known) Feed(KeyClaimed{action.request, claim});
   }
   Feed(end);
@@ -224,8 +225,8 @@
   if (found != pending_.end() && found->second.keyed) {
     const bool never_ran = result.outcome == Outcome::kFull || result.outcome == Outcome::kConnectFailed ||
                            result.outcome == Outcome::kMoot;
-    claims_->After(found->second.keyed->key, found->second.keyed->groups[static_cast<std::size_t>(attempt)],
-                   !never_ran);
+    claims_->AfterAttempt(found->second.keyed->key,
+                          found->second.keyed->groups[static_cast<std::size_t>(attempt)], !never_ran);
   }
   const bool other_out = found != pending_.end() && found->second.attempts_out > 0;
   if (result.outcome == Outcome::kOk) {
--- a/src/concert/partition_link.h
+++ b/src/quota/partition_link.h
@@ -1,27 +1,27 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// [[partition]] in the proxy's one thread: it follows the peers' view, and tells the module, the log and the
-// figures of each change.
-#ifndef KESTRELLINE_CONCERT_PARTITION_LINK_H_
-#define KESTRELLINE_CONCERT_PARTITION_LINK_H_
+// Applies the [[partition]] limits in the proxy's event loop: follows the peers' view, and passes each change
+// of a limit to the balancer, the log and the figures. Single-threaded.
+#ifndef KESTRELLINE_QUOTA_PARTITION_LINK_H_
+#define KESTRELLINE_QUOTA_PARTITION_LINK_H_
 
 #include <functional>
 #include <string>
 #include <vector>
 
-#include "concert/partition.h"
 #include "peers/link.h"
+#include "quota/partition.h"
 
-namespace kestrelline::concert {
+namespace kestrelline::quota {
 
 class PartitionLink {
  public:
   struct Hooks {
-    std::function<void(int request_class, double per_s)> on_limit;  // below 0: none
+    std::function<void(int request_class, double per_s)> on_limit;  // negative: unlimited
     std::function<void(const std::string&)> log;
   };
 
-  // `names`: of all classes. `peers` must outlive it.
+  // `names`: the names of all classes, by index. `peers` must outlive the link.
   PartitionLink(peers::Link& peers, int configured, std::vector<ClassPartition> classes,
                 std::vector<std::string> names, Hooks hooks);
   PartitionLink(const PartitionLink&) = delete;
@@ -30,16 +30,16 @@
   std::string FiguresText() const;
 
  private:
-  void Follow();
+  void Update();
 
   peers::Link& peers_;
   int configured_;
   std::vector<ClassPartition> classes_;
   std::vector<std::string> names_;
   Hooks hooks_;
-  Situation situation_ = Situation::kWhole;
+  PartitionState state_ = PartitionState::kWhole;
 };
 
-}  // namespace kestrelline::concert
+}  // namespace kestrelline::quota
 
-#endif  // KESTRELLINE_CONCERT_PARTITION_LINK_H_
+#endif  // KESTRELLINE_QUOTA_PARTITION_LINK_H_
