--- a/bench/replica_bench.cpp
+++ b/bench/replica_bench.cpp
@@ -147,7 +147,8 @@
     replica::wire::Packer packer(head);
     packer.Add(w.replica(0)->store().Since(w.Now(), w.replica(0)->store().own(), 0, kEntries));
     std::size_t whole = 0;
-    for (const auto& m : packer.Take()) whole += replica::wire::Encode(m).size() + peers::wire::kSealBytes;
+    for (const auto& m : packer.Take())
+      whole += replica::wire::Encode(m).size() + peers::wire::kSealOverheadBytes;
     std::printf("%11zu  %13.0f  %17zu  %9llu   %s\n", differences,
                 static_cast<double>(w.totals().shared_bytes - before.shared_bytes) -
                     idle_bytes * (took ? static_cast<double>(took->count()) / 1e6 : 0),
--- a/src/concert/link.cpp
+++ b/src/concert/link.cpp
@@ -23,16 +23,16 @@
     node_->OnPeer(Now(), event);
     Flush();
   });
-  peers_.CarryOthers(kDatagrams, peers::Link::kMostPerSecond,
-                     [this](std::uint64_t boot, const peers::Address&, std::span<const std::uint8_t> body) {
-                       ++received_;
-                       const auto message = wire::Decode(body);
-                       if (!message) return ++unread_, false;
-                       if (!node_ || handed_over_) return true;
-                       node_->Receive(Now(), boot, *message);
-                       Flush();
-                       return true;
-                     });
+  peers_.CarryProtocol(kDatagrams, peers::Link::kMostPerSecond,
+                       [this](std::uint64_t boot, const peers::Address&, std::span<const std::uint8_t> body) {
+                         ++received_;
+                         const auto message = wire::Decode(body);
+                         if (!message) return ++unread_, false;
+                         if (!node_ || handed_over_) return true;
+                         node_->Receive(Now(), boot, *message);
+                         Flush();
+                         return true;
+                       });
   Measure();
   if (peers_.listens()) {
     Begin();
@@ -76,7 +76,7 @@
 void Link::Flush() {
   for (const Outgoing& out : node_->TakeOutgoing()) {
     ++sent_;
-    peers_.SendOther(kDatagrams, {&out.to, 1}, wire::Encode(out.message));
+    peers_.SendProtocol(kDatagrams, {&out.to, 1}, wire::Encode(out.message));
   }
   for (const Event& event : node_->TakeEvents()) Say(event);
   if (const auto standing = node_->standing(); standing != told_) {
--- a/src/peers/link.cpp
+++ b/src/peers/link.cpp
@@ -54,7 +54,7 @@
       again_(io),
       datagrams_(kMostPerSecond, kBurst, Now()),
       lines_(kMostLines, kLineBurst, Now()) {
-  if (who.may_wait) {
+  if (who.wait_for_address) {
     OpenOrWait();
   } else {
     socket_.open(Udp::v4());
@@ -98,7 +98,7 @@
 void Link::ReadSlice() {
   const Time now = Now();
   datagrams_.Refill(now);
-  std::array<std::uint8_t, wire::kMostDatagram + 1> bytes;
+  std::array<std::uint8_t, wire::kMaxDatagramBytes + 1> bytes;
   int read = 0;
   for (; read < kSlice && datagrams_.Has() && (read == 0 || Now() - now < kSliceTime); ++read) {
     Udp::endpoint from;
@@ -134,13 +134,13 @@
   return refusal;
 }
 
-void Link::CarryOthers(char whose, double per_second, OnOther call) {
+void Link::CarryProtocol(char whose, double per_second, OnProtocolDatagram call) {
   per_second_ = std::max(per_second_, per_second);
   datagrams_ = Allowance(per_second_, per_second_, Now());
   on_other_[whose] = std::move(call);
 }
 
-void Link::SendOther(char whose, std::span<const Address> to, std::span<const std::uint8_t> body) {
+void Link::SendProtocol(char whose, std::span<const Address> to, std::span<const std::uint8_t> body) {
   if (!socket_.is_open() || to.empty()) return;
   const auto datagram = gate_.SealOther(whose, body);
   for (const Address& address : to) Put(address, datagram);
--- a/src/peers/link.h
+++ b/src/peers/link.h
@@ -40,7 +40,7 @@
     std::string name, zone, version;
     std::uint64_t seed = 0;
     // Another process of this proxy may still hold the address, and will let go of it.
-    bool may_wait = false;
+    bool wait_for_address = false;
   };
   using OnLog = std::function<void(const std::string&)>;
 
@@ -63,15 +63,15 @@
   // Others' datagrams between members, under the same key and in the same budget: `call` gets the boot of who
   // sent one, and false back means that it could not be read. Without a call they are dropped. `per_second`
   // is then what may come of all datagrams.
-  using OnOther =
+  using OnProtocolDatagram =
       std::function<bool(std::uint64_t boot, const Address& from, std::span<const std::uint8_t> body)>;
   // `whose`: the letter by which they are told apart.
-  void CarryOthers(char whose, double per_second, OnOther call);
+  void CarryProtocol(char whose, double per_second, OnProtocolDatagram call);
   // Sealed once, to each of `to`. What the kernel does not take at once is dropped.
-  void SendOther(char whose, std::span<const Address> to, std::span<const std::uint8_t> body);
+  void SendProtocol(char whose, std::span<const Address> to, std::span<const std::uint8_t> body);
 
   const Node& node() const { return node_; }
-  const Address& listens_at() const { return settings_.listen; }
+  const Address& listen_address() const { return settings_.listen; }
   bool listens() const { return socket_.is_open() && !handed_over_; }  // not while it waits for the address
   // One JSON object, and the figures' lines in the text form of Prometheus.
   std::string Report() const;
@@ -125,7 +125,7 @@
   Time refusal_logged_{};
   bool handed_over_ = false;
   std::vector<std::function<void(const Event&)>> on_event_;
-  std::map<char, OnOther> on_other_;
+  std::map<char, OnProtocolDatagram> on_other_;
   double per_second_ = kMostPerSecond;
 };
 
--- a/src/peers/seal.cpp
+++ b/src/peers/seal.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr std::size_t kHead = 20, kTag = 16;
-static_assert(kHead + kTag == wire::kSealBytes);
+static_assert(kHead + kTag == wire::kSealOverheadBytes);
 constexpr std::size_t kMostKeyFile = 4096;
 constexpr std::uint8_t kOtherForm = 1;
 
@@ -189,7 +189,7 @@
 }
 
 Refusal Gate::Open(std::span<const std::uint8_t> datagram, Message* message) {
-  if (datagram.size() <= kHead + kTag || datagram.size() > wire::kMostDatagram) return Refusal::kSize;
+  if (datagram.size() <= kHead + kTag || datagram.size() > wire::kMaxDatagramBytes) return Refusal::kSize;
   if (datagram[0] != 'k' || datagram[1] != 'p' || datagram[2] < wire::kOldest || datagram[2] > wire::kNewest)
     return Refusal::kForm;
   std::uint64_t boot = 0;
@@ -203,7 +203,7 @@
 
 Refusal Gate::OpenOther(std::span<const std::uint8_t> datagram, std::uint64_t* boot,
                         std::span<const std::uint8_t>* body) {
-  if (datagram.size() <= kHead + kTag || datagram.size() > wire::kMostDatagram) return Refusal::kSize;
+  if (datagram.size() <= kHead + kTag || datagram.size() > wire::kMaxDatagramBytes) return Refusal::kSize;
   if (WhoseOther(datagram) == 0 || datagram[2] != kOtherForm) return Refusal::kForm;
   return Unsealed(datagram, boot, body);
 }
--- a/src/peers/wire.cpp
+++ b/src/peers/wire.cpp
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 constexpr std::size_t kShortFields = 5, kFullFields = 9;
-constexpr std::size_t kMostStatements = kMostDatagram / 8;
+constexpr std::size_t kMostStatements = kMaxDatagramBytes / 8;
 
 std::uint64_t Packed(const Address& a) { return (std::uint64_t{a.ip} << 16) | a.port; }
 Address Unpacked(std::uint64_t n) {
--- a/src/peers/wire.h
+++ b/src/peers/wire.h
@@ -19,9 +19,9 @@
 namespace kestrelline::peers::wire {
 
 inline constexpr std::uint8_t kOldest = 1, kNewest = 2;
-inline constexpr std::size_t kMostDatagram = 1200;  // bytes, the seal included
-inline constexpr std::size_t kSealBytes = 36;       // seal.h
-inline constexpr std::size_t kMostBody = kMostDatagram - kSealBytes;
+inline constexpr std::size_t kMaxDatagramBytes = 1200;  // bytes, the seal included
+inline constexpr std::size_t kSealOverheadBytes = 36;   // seal.h
+inline constexpr std::size_t kMostBody = kMaxDatagramBytes - kSealOverheadBytes;
 
 using Bytes = std::vector<std::uint8_t>;
 
--- a/src/replica/link.cpp
+++ b/src/replica/link.cpp
@@ -47,7 +47,7 @@
     node_.OnPeer(Now(), event);
     Flush();
   });
-  peers_.CarryOthers(
+  peers_.CarryProtocol(
       kDatagrams, kMostPerSecond,
       [this](std::uint64_t boot, const peers::Address& from, std::span<const std::uint8_t> body) {
         ++received_;
@@ -95,7 +95,7 @@
 
 void Link::HandOver() {
   handing_over_ = true;
-  node_.HandOver(Now(), peers_.listens_at());
+  node_.HandOver(Now(), peers_.listen_address());
   Flush();
 }
 
@@ -119,7 +119,7 @@
 void Link::Flush() {
   for (const Outgoing& out : node_.TakeOutgoing()) {
     sent_ += out.to.size();
-    peers_.SendOther(kDatagrams, out.to, out.body);
+    peers_.SendProtocol(kDatagrams, out.to, out.body);
   }
   for (const Event& event : node_.TakeEvents()) Say(event);
   if (current_ && node_.current()) {
--- a/src/sim/peers_world.cpp
+++ b/src/sim/peers_world.cpp
@@ -160,10 +160,10 @@
   }
   for (const peers::Outgoing& out : p.node->TakeOutgoing()) {
     const auto bytes = peers::wire::Encode(out.message, out.wire);
-    const std::size_t whole = bytes.size() + peers::wire::kSealBytes;
+    const std::size_t whole = bytes.size() + peers::wire::kSealOverheadBytes;
     ++totals_.datagrams;
     totals_.bytes += whole;
-    if (whole > peers::wire::kMostDatagram) throw std::logic_error("a datagram of over 1200 bytes");
+    if (whole > peers::wire::kMaxDatagramBytes) throw std::logic_error("a datagram of over 1200 bytes");
     auto message = peers::wire::Decode(bytes, out.wire);
     if (!message) throw std::logic_error("a datagram that cannot be read");
     Post(member, out.to, whole, {.message = std::make_shared<const peers::Message>(std::move(*message))});
@@ -177,7 +177,7 @@
     }
     for (const concert::Outgoing& out : p.concert->TakeOutgoing()) {
       const auto bytes = concert::wire::Encode(out.message);
-      const std::size_t whole = bytes.size() + peers::wire::kSealBytes;
+      const std::size_t whole = bytes.size() + peers::wire::kSealOverheadBytes;
       ++totals_.datagrams, ++totals_.divided_datagrams;
       totals_.bytes += whole, totals_.divided_bytes += whole;
       auto message = concert::wire::Decode(bytes);
@@ -193,10 +193,10 @@
     for (const replica::Event& event : p.replica->TakeEvents())
       if (on_shared) on_shared(member, event);
     for (const replica::Outgoing& out : p.replica->TakeOutgoing()) {
-      const std::size_t whole = out.body.size() + peers::wire::kSealBytes;
+      const std::size_t whole = out.body.size() + peers::wire::kSealOverheadBytes;
       totals_.datagrams += out.to.size(), totals_.bytes += out.to.size() * whole;
       totals_.shared_datagrams += out.to.size(), totals_.shared_bytes += out.to.size() * whole;
-      if (whole > peers::wire::kMostDatagram) throw std::logic_error("a datagram of over 1200 bytes");
+      if (whole > peers::wire::kMaxDatagramBytes) throw std::logic_error("a datagram of over 1200 bytes");
       auto message = replica::wire::Decode(out.body);
       if (!message) throw std::logic_error("a datagram that cannot be read");
       const auto shared = std::make_shared<const replica::Message>(std::move(*message));
