--- a/src/control_plane/stage_orders.cpp
+++ b/src/control_plane/stage_orders.cpp
@@ -39,7 +39,7 @@
   request.set("Expect-Instance", order.instance);
   const auto [write_error, written] = co_await bhttp::async_write(stream, request, kTuple);
   if (write_error) co_return std::nullopt;
-  beast::flat_buffer buffer(kLongestParsed);
+  beast::flat_buffer buffer(kMaxParserBufferBytes);
   bhttp::response<bhttp::string_body> response;
   const auto [read_error, read] = co_await bhttp::async_read(stream, buffer, response, kTuple);
   if (read_error || response.result() != bhttp::status::ok) co_return std::nullopt;
@@ -97,7 +97,7 @@
   const auto request = Compose(order, giver, before->sequence);
   const auto [write_error, written] = co_await bhttp::async_write(stream, request, kTuple);
   if (!write_error) {
-    beast::flat_buffer buffer(kLongestParsed);
+    beast::flat_buffer buffer(kMaxParserBufferBytes);
     bhttp::response<bhttp::string_body> response;
     const auto [read_error, read] = co_await bhttp::async_read(stream, buffer, response, kTuple);
     if (!read_error) co_return response.result_int() / 100 == 2 ? OrderEnd::kTaken : OrderEnd::kRefused;
--- a/src/data_plane/backend_connection.h
+++ b/src/data_plane/backend_connection.h
@@ -59,7 +59,7 @@
 
   http::beast::tcp_stream stream_;
   std::string address_;
-  http::beast::flat_buffer buffer_{http::kLongestParsed};
+  http::beast::flat_buffer buffer_{http::kMaxParserBufferBytes};
   std::optional<ResponseParser> parser_;
   std::string chunk_;
   steady_clock::time_point idle_deadline_{};
--- a/src/data_plane/client_connection.cpp
+++ b/src/data_plane/client_connection.cpp
@@ -206,7 +206,7 @@
 Awaitable<void> ClientConnection::CloseGracefully() {
   serving_ = true;  // not idle: the last bytes are still being sent
   if (stream_.socket().is_open() && (buffer_.size() > 0 || Peek(stream_.socket()) == Peeked::kBytes)) {
-    co_await EndSendingAndDrain(stream_, kLingerTimeout);
+    co_await ShutdownSendAndDrain(stream_, kLingerTimeout);
   }
   Close();
 }
--- a/src/data_plane/client_connection.h
+++ b/src/data_plane/client_connection.h
@@ -91,7 +91,7 @@
   std::string ConnectionFields() const;
 
   http::beast::tcp_stream stream_;
-  http::beast::flat_buffer buffer_{http::kLongestParsed};
+  http::beast::flat_buffer buffer_{http::kMaxParserBufferBytes};
   http::asio::steady_timer read_timer_;
   ClientRequest request_;
   std::shared_ptr<WatchState> watch_;
--- a/src/discovery/list_reader.h
+++ b/src/discovery/list_reader.h
@@ -32,7 +32,7 @@
   http::asio::io_context& io_;
   node::Endpoint platform_;
   std::unique_ptr<http::beast::tcp_stream> stream_;
-  http::beast::flat_buffer buffer_{http::kLongestParsed};
+  http::beast::flat_buffer buffer_{http::kMaxParserBufferBytes};
 };
 
 }  // namespace kestrelline::discovery
--- a/src/http/api_server.cpp
+++ b/src/http/api_server.cpp
@@ -167,7 +167,7 @@
 
 Awaitable<void> ApiServer::End(Connection& connection) {
   connection.state = Connection::State::kEnding;
-  co_await EndSendingAndDrain(connection.stream, kLinger);
+  co_await ShutdownSendAndDrain(connection.stream, kLinger);
 }
 
 }  // namespace kestrelline::http
--- a/src/http/api_server.h
+++ b/src/http/api_server.h
@@ -52,7 +52,7 @@
     bool HasBytes() const;
 
     beast::tcp_stream stream;
-    beast::flat_buffer buffer{kLongestParsed};
+    beast::flat_buffer buffer{kMaxParserBufferBytes};
     State state = State::kIdle;
   };
 
--- a/src/http/asio.h
+++ b/src/http/asio.h
@@ -37,7 +37,7 @@
 using Awaitable = asio::awaitable<T>;
 // What a parser is given at once at the most: Boost.Beast 1.81 throws out of the io_context where a field's
 // value is longer than it can count. A longer field ends in `buffer_overflow`.
-inline constexpr std::size_t kLongestParsed = 65532;
+inline constexpr std::size_t kMaxParserBufferBytes = 65532;
 // Completes with the error as the first value instead of an exception.
 inline constexpr auto kTuple = asio::as_tuple(asio::use_awaitable);
 
--- a/src/http/sockets.cpp
+++ b/src/http/sockets.cpp
@@ -36,7 +36,7 @@
   return error || count == 0 ? Peeked::kEnded : Peeked::kBytes;
 }
 
-Awaitable<void> EndSendingAndDrain(beast::tcp_stream& stream, steady_clock::duration patience) {
+Awaitable<void> ShutdownSendAndDrain(beast::tcp_stream& stream, steady_clock::duration patience) {
   error_code ended;
   stream.socket().shutdown(Tcp::socket::shutdown_send, ended);
   std::array<char, 4096> unread{};
--- a/src/http/sockets.h
+++ b/src/http/sockets.h
@@ -34,7 +34,7 @@
 // Ends the sending side, then reads and drops what comes until the other side ends, or for `patience` at
 // most. A socket that is closed with bytes unread resets its connection, and the other side loses what it has
 // not got.
-Awaitable<void> EndSendingAndDrain(beast::tcp_stream& stream, steady_clock::duration patience);
+Awaitable<void> ShutdownSendAndDrain(beast::tcp_stream& stream, steady_clock::duration patience);
 
 // Whether reading failed by what the other side sent, rather than by its end.
 bool IsProtocolError(const error_code& error);
