--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -54,7 +54,7 @@
       settings_(settings),
       mesh_(io, settings.ip, settings.MemberEndpoint(), traffic_),
       replica_(OptionsOf(settings), LoadFrom(store.get()), Now()),
-      publisher_(mesh_, settings.most_subscribers),
+      publisher_(mesh_, settings.max_subscribers),
       reader_(io, settings.cloud.value_or(node::Endpoint{})),
       api_(io, *this, settings.control ? settings.control->port : 0),
       server_(io, [this](ApiRequest request) { return api_.Handle(std::move(request)); }),
--- a/src/data_plane/edge_node.cpp
+++ b/src/data_plane/edge_node.cpp
@@ -70,7 +70,7 @@
           },
           traffic_),
       mesh_(io, node::ToText(settings.RelayEndpoint()), settings.RelayEndpoint(), traffic_),
-      publisher_(mesh_, settings.most_subscribers),
+      publisher_(mesh_, settings.max_subscribers),
       ready_server_(io, [this](ApiRequest request) { return Readiness(std::move(request)); }),
       acceptor_(io),
       reader_(io, settings.cloud.value_or(node::Endpoint{})),
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -169,8 +169,8 @@
   settings.cloud = cloud.MaybeEndpoint("address");
   settings.cloud_rate_per_s = cloud.NumberOr("rate_per_s", settings.cloud_rate_per_s);
   const Table relay = root.Section("relay");
-  settings.most_subscribers = static_cast<std::size_t>(
-      relay.NumberOr("most_subscribers", static_cast<double>(settings.most_subscribers)));
+  settings.max_subscribers = static_cast<std::size_t>(
+      relay.NumberOr("most_subscribers", static_cast<double>(settings.max_subscribers)));
   return settings;
 }
 
--- a/src/node/settings.h
+++ b/src/node/settings.h
@@ -77,7 +77,7 @@
   Bounds bounds;
   std::optional<Endpoint> cloud;
   double cloud_rate_per_s = 1;
-  std::size_t most_subscribers = 24;  // of a member, or of a proxy that passes on; [relay] of the file
+  std::size_t max_subscribers = 24;  // of a member, or of a proxy that passes on; [relay] of the file
 
   bool Serves(const std::string& interface) const;
   // The addresses of `seeds`, in their order.
--- a/tests/router_fleet/fleet_fixture.h
+++ b/tests/router_fleet/fleet_fixture.h
@@ -114,7 +114,7 @@
     int plain = 1;  // of the service "app"
     int events = 5;
     milliseconds between{2};
-    int most_subscribers = 24;
+    int max_subscribers = 24;
     bool members_on_edges = false;  // member i runs beside proxy i, at its address
     int gateways = 0;               // control processes without a disk
     int tolerated = 1;
@@ -351,7 +351,7 @@
     text += core ? listen("control", kControl) : listen("front", kFront) + listen("ready", kReady);
     text += "[limits]\nmax_fds = 1000\n[fault_tolerance]\nmachines = " + std::to_string(options_.tolerated) +
             "\n[bounds]\ngrace_s = 6\nmin_retries = 200\n";
-    text += "lease_ms = 300\n[relay]\nmost_subscribers = " + std::to_string(options_.most_subscribers) +
+    text += "lease_ms = 300\n[relay]\nmost_subscribers = " + std::to_string(options_.max_subscribers) +
             "\n[cloud]\naddress = \"" + Ip(200) + ":" + std::to_string(kPlatform) + "\"\nrate_per_s = 50\n";
     folder_.Write(name + ".toml", text);
     return folder_ / (name + ".toml");
--- a/tests/router_fleet/processes_test.cpp
+++ b/tests/router_fleet/processes_test.cpp
@@ -121,7 +121,7 @@
 TEST(FleetProcesses, ProxiesWithoutRoomAtAMemberAreToldByOtherProxies) {
   Fleet::Options options;
   options.edges = 7;
-  options.most_subscribers = 1;
+  options.max_subscribers = 1;
   Fleet fleet(options);
   ASSERT_TRUE(fleet.Begin());
   EXPECT_EQ(fleet.Put(fleet.Configuration(2, 2000), 1), 200);
