--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -273,7 +273,7 @@
   const auto demands = loads_.board().Everywhere().demands;
   for (const wire::Demand& demand : demands) {
     spdlog::debug("demand service={} reading_ms_per_s={} generating_ms_per_s={}", demand.service,
-                  demand.reading_ms_per_s, demand.generating_ms_per_s);
+                  demand.prefill_ms_per_s, demand.decode_ms_per_s);
   }
   auto orders = planner_.Plan(Now(), listed_, demands);
   if (!orders.empty()) ShowList();  // no proxy picks them from now on
--- a/src/control_plane/stage_planner.cpp
+++ b/src/control_plane/stage_planner.cpp
@@ -22,8 +22,8 @@
                                        service.moving_to_prefill + service.moving_to_decode);
   const double least = std::max(1.0, std::ceil(all * options_.least_share));
   const wire::Instance& any = *service.prefill.front();
-  double prefill = demand.reading_ms_per_s / kMsPerS / options_.prefill_busy;
-  const double decode = demand.generating_ms_per_s / kMsPerS / std::max(1u, any.slots) / options_.decode_busy;
+  double prefill = demand.prefill_ms_per_s / kMsPerS / options_.prefill_busy;
+  const double decode = demand.decode_ms_per_s / kMsPerS / std::max(1u, any.slots) / options_.decode_busy;
   if (prefill + decode < all * options_.little_busy)
     return static_cast<std::size_t>(all * options_.share_at_rest);
   // What neither needs is shared out as they need.
--- a/src/data_plane/backend_table.cpp
+++ b/src/data_plane/backend_table.cpp
@@ -90,7 +90,7 @@
     if (entry == by_hash.end() && !summary.whole) continue;
     const wire::BackendLoad total = entry == by_hash.end() ? wire::BackendLoad{} : *entry->second;
     const auto others = [](std::uint32_t sum, std::uint32_t own) { return sum > own ? sum - own : 0; };
-    backend->others_prefill_ms = others(total.reading_ms, backend->reported_prefill_ms);
+    backend->others_prefill_ms = others(total.prefill_ms, backend->reported_prefill_ms);
     backend->others_running = static_cast<int>(others(total.running, backend->reported_running));
   }
   loads_updated_at_ = now;
--- a/src/distribution/load_board.cpp
+++ b/src/distribution/load_board.cpp
@@ -52,14 +52,14 @@
       for (const wire::BackendLoad& load : entry.report.loads) {
         wire::BackendLoad& sum = loads[load.backend];
         sum.backend = load.backend;
-        sum.reading_ms += load.reading_ms;
+        sum.prefill_ms += load.prefill_ms;
         sum.running += load.running;
       }
       for (const wire::Demand& demand : entry.report.demands) {
         wire::Demand& sum = demands[demand.service];
         sum.service = demand.service;
-        sum.reading_ms_per_s += demand.reading_ms_per_s;
-        sum.generating_ms_per_s += demand.generating_ms_per_s;
+        sum.prefill_ms_per_s += demand.prefill_ms_per_s;
+        sum.decode_ms_per_s += demand.decode_ms_per_s;
       }
     }
   }
--- a/src/distribution/load_feed.cpp
+++ b/src/distribution/load_feed.cpp
@@ -19,7 +19,7 @@
 
 // 0: not worth telling.
 double WeightOf(const wire::BackendLoad& told, const wire::BackendLoad& now) {
-  const double reading = Difference(told.reading_ms, now.reading_ms);
+  const double reading = Difference(told.prefill_ms, now.prefill_ms);
   const double running = Difference(told.running, now.running);
   const bool small = reading <= kLeastReadingMs && running == 0;
   if (small && told.idle() == now.idle()) return 0;
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -169,16 +169,16 @@
 // Work that proxies have sent to a backend and that is not done yet.
 struct BackendLoad {
   std::uint64_t backend = 0;  // hash of its id
-  std::uint32_t reading_ms = 0;
+  std::uint32_t prefill_ms = 0;
   std::uint32_t running = 0;
   bool operator==(const BackendLoad&) const = default;
-  bool idle() const { return reading_ms == 0 && running == 0; }
+  bool idle() const { return prefill_ms == 0 && running == 0; }
 };
 // What clients ask of a service with engines, as a rate.
 struct Demand {
   std::string service;
-  std::uint32_t reading_ms_per_s = 0;     // of a prefill backend's time
-  std::uint32_t generating_ms_per_s = 0;  // of a decode backend's slots
+  std::uint32_t prefill_ms_per_s = 0;  // of a prefill backend's time
+  std::uint32_t decode_ms_per_s = 0;   // of a decode backend's slots
   bool operator==(const Demand&) const = default;
 };
 struct LoadReport {
--- a/tests/data_plane/decisions_test.cpp
+++ b/tests/data_plane/decisions_test.cpp
@@ -339,9 +339,9 @@
   for (int i = 0; i < 400; ++i) meter.Count("s", 20, 100, At(i * 50));
   const auto demands = meter.Demands(At(20000));
   ASSERT_EQ(demands.size(), 1u);
-  EXPECT_NEAR(demands[0].reading_ms_per_s, 400, 20);
-  EXPECT_NEAR(demands[0].generating_ms_per_s, 2 * 2000, 200);  // initially 2 ms per token
-  EXPECT_LT(meter.Demands(At(60000))[0].reading_ms_per_s, 5u);
+  EXPECT_NEAR(demands[0].prefill_ms_per_s, 400, 20);
+  EXPECT_NEAR(demands[0].decode_ms_per_s, 2 * 2000, 200);  // initially 2 ms per token
+  EXPECT_LT(meter.Demands(At(60000))[0].prefill_ms_per_s, 5u);
 }
 
 // The slot time per token follows the observed streams.
@@ -353,7 +353,7 @@
   }
   meter.RecordGeneration("s", 0, 1000);
   meter.RecordGeneration("s", 100, -1);
-  EXPECT_NEAR(meter.Demands(At(20000))[0].generating_ms_per_s, 20 * 1000, 1000);
+  EXPECT_NEAR(meter.Demands(At(20000))[0].decode_ms_per_s, 20 * 1000, 1000);
 }
 
 // --- instance list of the platform ---
--- a/tests/distribution/load_feed_test.cpp
+++ b/tests/distribution/load_feed_test.cpp
@@ -45,7 +45,7 @@
   Loads busy() const {
     Loads busy;
     for (const wire::BackendLoad& load : loads_)
-      if (load.reading_ms != 0 || load.running != 0) busy.push_back(load);
+      if (load.prefill_ms != 0 || load.running != 0) busy.push_back(load);
     return busy;
   }
 
@@ -62,7 +62,7 @@
   ASSERT_EQ(held.size(), truth.size());
   for (std::size_t i = 0; i < held.size(); ++i) {
     EXPECT_EQ(held[i].backend, truth[i].backend);
-    EXPECT_NEAR(held[i].reading_ms, truth[i].reading_ms, 3);
+    EXPECT_NEAR(held[i].prefill_ms, truth[i].prefill_ms, 3);
     EXPECT_EQ(held[i].running, truth[i].running);
   }
 }
@@ -117,7 +117,7 @@
   ASSERT_GE(first.size(), 100u);
   ASSERT_LT(first.size(), 200u);
   for (std::size_t i = 0; i < 30; ++i) EXPECT_TRUE(near.contains(first[i].backend)) << i;
-  for (const wire::BackendLoad& load : first) EXPECT_EQ(load.reading_ms, 1000u);
+  for (const wire::BackendLoad& load : first) EXPECT_EQ(load.prefill_ms, 1000u);
   std::set<std::uint64_t> told;
   for (milliseconds now{0}; now < std::chrono::seconds(2); now += kTick)
     for (const wire::BackendLoad& load : feed.Next(now, loads, near)) told.insert(load.backend);
