--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -160,7 +160,7 @@
 
 bool WriteLoads(pb_ostream_t* stream, const pb_field_t* field, void* const* argument) {
   for (const BackendLoad& load : *static_cast<const std::vector<BackendLoad>*>(*argument)) {
-    const kestrelline_wire_BackendLoad raw{load.backend, load.reading_ms, load.running};
+    const kestrelline_wire_BackendLoad raw{load.backend, load.prefill_ms, load.running};
     if (!pb_encode_tag_for_field(stream, field)) return false;
     if (!pb_encode_submessage(stream, kestrelline_wire_BackendLoad_fields, &raw)) return false;
   }
@@ -191,8 +191,8 @@
   for (const Demand& demand : *static_cast<const std::vector<Demand>*>(*argument)) {
     kestrelline_wire_Demand raw = kestrelline_wire_Demand_init_zero;
     raw.service = Writing(demand.service);
-    raw.reading_ms_per_s = demand.reading_ms_per_s;
-    raw.generating_ms_per_s = demand.generating_ms_per_s;
+    raw.reading_ms_per_s = demand.prefill_ms_per_s;
+    raw.generating_ms_per_s = demand.decode_ms_per_s;
     if (!pb_encode_tag_for_field(stream, field)) return false;
     if (!pb_encode_submessage(stream, kestrelline_wire_Demand_fields, &raw)) return false;
   }
@@ -204,8 +204,8 @@
   kestrelline_wire_Demand raw = kestrelline_wire_Demand_init_zero;
   raw.service = Reading(demand.service);
   if (!pb_decode(stream, kestrelline_wire_Demand_fields, &raw)) return false;
-  demand.reading_ms_per_s = raw.reading_ms_per_s;
-  demand.generating_ms_per_s = raw.generating_ms_per_s;
+  demand.prefill_ms_per_s = raw.reading_ms_per_s;
+  demand.decode_ms_per_s = raw.generating_ms_per_s;
   static_cast<std::vector<Demand>*>(*argument)->push_back(std::move(demand));
   return true;
 }
