--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -134,14 +134,10 @@
   Fleet fleet;
   fleet.peers = std::make_unique<Link>(io, *loaded.peers, std::move(who), say);
   Link* l = fleet.peers.get();
-  kestrelline::proxy::Proxy::Peers hooks{[l] { return l->Report(); },
-                                         [l] { return l->FiguresText(); },
-                                         {},
-                                         [l] { l->Leave(); },
-                                         [l] { l->Stay(); },
-                                         [l] { l->Gone(); },
-                                         [l] { l->HandOver(); },
-                                         [](const auto& done) { done(); }};
+  kestrelline::proxy::Proxy::Peers hooks{
+      [l] { return l->Report(); }, [l] { return l->FiguresText(); }, {},
+      [l] { l->Leave(); },         [l] { l->CancelLeave(); },        [l] { l->Gone(); },
+      [l] { l->HandOver(); },      [](const auto& done) { done(); }};
   if (shared) {
     fleet.replica = std::make_unique<kestrelline::replica::Link>(io, *l, *shared, say);
     fleet.claims = std::make_unique<kestrelline::replica::Claims>(*fleet.replica, *shared, config.zones);
