--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -136,7 +136,7 @@
   Link* l = fleet.peers.get();
   kestrelline::proxy::Proxy::Peers hooks{
       [l] { return l->Report(); }, [l] { return l->FiguresText(); }, {},
-      [l] { l->Leave(); },         [l] { l->CancelLeave(); },        [l] { l->Gone(); },
+      [l] { l->Leave(); },         [l] { l->CancelLeave(); },        [l] { l->AnnounceLeft(); },
       [l] { l->HandOver(); },      [](const auto& done) { done(); }};
   if (shared) {
     fleet.replica = std::make_unique<kestrelline::replica::Link>(io, *l, *shared, say);
