--- a/src/sim/peers_world.cpp
+++ b/src/sim/peers_world.cpp
@@ -102,7 +102,7 @@
   kernel_.After(kLeaves, [this, member, life = p.life] {
     Process& q = members_[static_cast<std::size_t>(member)];
     if (q.life != life) return;
-    q.node->Gone(Now());
+    q.node->AnnounceLeft(Now());
     Flush(member);
     Kill(member);
   });
