--- a/bench/peers_cost_bench.cpp
+++ b/bench/peers_cost_bench.cpp
@@ -103,7 +103,8 @@
     settings.seeds = {*peers::ParseAddress(network.advertised(0))};
     std::string why;
     settings.keys = peers::ReadKeys(folder + "peers.key", &why).value();
-    peers_.emplace(io_, settings, peers::Link::Who{"n" + std::to_string(place), "w", "1", 1, false}, nullptr);
+    peers_.emplace(io_, settings, peers::Link::Identity{"n" + std::to_string(place), "w", "1", 1, false},
+                   nullptr);
     replica::Settings shared;
     shared.entries = 2 * kEntries;
     replica_.emplace(io_, *peers_, shared, [](const std::string&) {});
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -127,9 +127,9 @@
   using kestrelline::peers::Link;
   const auto& config = proxy.config();
   const auto zone = static_cast<std::size_t>(config.settings.zone);
-  Link::Who who{config.name, zone < config.zones.size() ? config.zones[zone] : "", KESTRELLINE_VERSION,
-                config.seed,
-                /*wait_for_address=*/config.inherited_listener >= 0};
+  Link::Identity who{config.name, zone < config.zones.size() ? config.zones[zone] : "", KESTRELLINE_VERSION,
+                     config.seed,
+                     /*wait_for_address=*/config.inherited_listener >= 0};
   const auto say = [](const std::string& line) { std::fprintf(stderr, "kestrelline: %s\n", line.c_str()); };
   Fleet fleet;
   fleet.peers = std::make_unique<Link>(io, *loaded.peers, std::move(who), say);
