--- a/src/concert/link.cpp
+++ b/src/concert/link.cpp
@@ -23,7 +23,7 @@
     node_->OnPeer(Now(), event);
     Flush();
   });
-  peers_.CarryProtocol(kDatagrams, peers::Link::kMostPerSecond,
+  peers_.CarryProtocol(kDatagrams, peers::Link::kMaxDatagramsPerSecond,
                        [this](std::uint64_t boot, const peers::Address&, std::span<const std::uint8_t> body) {
                          ++received_;
                          const auto message = wire::Decode(body);
