--- a/src/sim/peers_play.h
+++ b/src/sim/peers_play.h
@@ -39,7 +39,7 @@
  public:
   static constexpr Microseconds kMostAfter{60000000}, kStaysSo{5000000}, kSettling{5000000};
 
-  // Bound: peers::kMostMembers proxies.
+  // Bound: peers::kMaxMembers proxies.
   PeersPlay(const standin::SiteSpec& site, std::uint64_t seed);
 
   PeersPlayed Play();
--- a/tools/kestrelsim/main.cpp
+++ b/tools/kestrelsim/main.cpp
@@ -256,7 +256,7 @@
 // What the proxies know of each other while the faults of the site's plan come and go.
 int Peers(const Arguments& arguments) {
   const auto site = Load(arguments.site, [](std::string_view text, operator_file::Diagnostics* d) {
-    return standin::ReadSite(text, d, {kBounds.converters, static_cast<int>(peers::kMostMembers)});
+    return standin::ReadSite(text, d, {kBounds.converters, static_cast<int>(peers::kMaxMembers)});
   });
   if (!site) return kBad;
   bool agreed = true;
