--- a/src/concert/partition.cpp
+++ b/src/concert/partition.cpp
@@ -44,9 +44,9 @@
   return kNames[static_cast<std::size_t>(situation)];
 }
 
-Situation SituationOf(peers::Reading reading, std::size_t present, int configured) {
-  if (reading == peers::Reading::kWhole) return Situation::kWhole;
-  if (reading == peers::Reading::kAlone || present <= 1) return Situation::kAlone;
+Situation SituationOf(peers::Connectivity reading, std::size_t present, int configured) {
+  if (reading == peers::Connectivity::kWhole) return Situation::kWhole;
+  if (reading == peers::Connectivity::kAlone || present <= 1) return Situation::kAlone;
   return 2 * present > static_cast<std::size_t>(std::max(configured, 0)) ? Situation::kPart
                                                                          : Situation::kMinority;
 }
--- a/src/concert/partition.h
+++ b/src/concert/partition.h
@@ -26,7 +26,7 @@
 const char* NameOf(Situation situation);
 
 // `present`: those seen, this one included.
-Situation SituationOf(peers::Reading reading, std::size_t present, int configured);
+Situation SituationOf(peers::Connectivity reading, std::size_t present, int configured);
 
 // What a class may do: all; so many requests a second as all proxies may take together, this one its part
 // (Share); nothing.
--- a/tests/concert/partition_test.cpp
+++ b/tests/concert/partition_test.cpp
@@ -14,7 +14,7 @@
 namespace kestrelline::concert {
 namespace {
 
-using peers::Reading;
+using peers::Connectivity;
 
 std::vector<ClassPartition> Read(const std::string& text, bool peers, std::string* said) {
   operator_file::Diagnostics diagnostics("f.toml");
