--- a/src/concert/partition_link.cpp
+++ b/src/concert/partition_link.cpp
@@ -22,7 +22,7 @@
 void PartitionLink::Follow() {
   const peers::Node& node = peers_.node();
   const std::size_t present = node.view().present();
-  const Situation now = SituationOf(node.reading(), present, configured_);
+  const Situation now = SituationOf(node.connectivity(), present, configured_);
   const Situation before = std::exchange(situation_, now);
   if (now == before) return;
   std::string line = std::string("partition: ") + NameOf(now) + " (" + std::to_string(present) + " of " +
