--- a/src/concert/wire.cpp
+++ b/src/concert/wire.cpp
@@ -24,19 +24,19 @@
   peers::Writer out(&bytes);
   out.Byte(kForm);
   out.Byte(static_cast<std::uint8_t>(m.kind));
-  out.Number(m.term.number);
+  out.Varint(m.term.number);
   out.Whole(m.term.boot);
-  out.Number(m.round);
+  out.Varint(m.round);
   if (m.kind == Message::Kind::kClaim) {
-    out.Number(m.grant.answers);
-    out.Number(m.grant.number);
+    out.Varint(m.grant.answers);
+    out.Varint(m.grant.number);
     Put(&out, m.grant.share);
-    out.Number(static_cast<std::uint64_t>(std::chrono::floor<milliseconds>(m.grant.lasts).count()));
+    out.Varint(static_cast<std::uint64_t>(std::chrono::floor<milliseconds>(m.grant.lasts).count()));
   } else {
-    out.Number(m.greatest);
-    out.Number(m.number);
-    out.Number(m.place);
-    out.Number(m.taken);
+    out.Varint(m.greatest);
+    out.Varint(m.number);
+    out.Varint(m.place);
+    out.Varint(m.taken);
     Put(&out, m.rate);
   }
   return bytes;
@@ -49,19 +49,19 @@
   const std::uint8_t kind = in.Byte();
   if (kind != 1 && kind != 2) return std::nullopt;
   m.kind = static_cast<Message::Kind>(kind);
-  m.term.number = in.Number();
+  m.term.number = in.Varint();
   m.term.boot = in.Whole<std::uint64_t>();
-  m.round = in.Number();
+  m.round = in.Varint();
   if (m.kind == Message::Kind::kClaim) {
-    m.grant.answers = in.Number();
-    m.grant.number = in.Number();
+    m.grant.answers = in.Varint();
+    m.grant.number = in.Varint();
     m.grant.share = GetNumber(&in, 1);
-    m.grant.lasts = milliseconds(in.Number(std::chrono::floor<milliseconds>(kLongest).count()));
+    m.grant.lasts = milliseconds(in.Varint(std::chrono::floor<milliseconds>(kLongest).count()));
   } else {
-    m.greatest = in.Number();
-    m.number = in.Number();
-    m.place = static_cast<std::uint32_t>(in.Number(~0u));
-    m.taken = in.Number();
+    m.greatest = in.Varint();
+    m.number = in.Varint();
+    m.place = static_cast<std::uint32_t>(in.Varint(~0u));
+    m.taken = in.Varint();
     m.rate = GetNumber(&in, kMostRate);
   }
   if (!in.ok()) return std::nullopt;
--- a/src/replica/wire.cpp
+++ b/src/replica/wire.cpp
@@ -33,13 +33,13 @@
 
 // A cell of a zone is a small number beside a hash: see claims.h.
 void Put(Writer& w, const Entry& e, Base* base) {
-  w.Number(e.seq - base->seq);
+  w.Varint(e.seq - base->seq);
   w.Byte(static_cast<std::uint8_t>(e.subject.table));
   w.Whole(e.subject.id);
   w.Whole(static_cast<std::uint32_t>(e.subject.detail >> 32));
-  w.Number(e.subject.detail & 0xffffffff);
-  w.Number(Base::ZigZag(e.until_ms, base->until_ms));
-  w.Number(e.value);
+  w.Varint(e.subject.detail & 0xffffffff);
+  w.Varint(Base::ZigZag(e.until_ms, base->until_ms));
+  w.Varint(e.value);
   *base = {e.seq, e.until_ms};
 }
 
@@ -51,10 +51,10 @@
 void Put(Writer& w, const Interval& i) {
   w.Whole(i.origin);
   w.Whole(i.owner);
-  w.Number(i.now_ms);
-  w.Number(i.after);
-  w.Number(i.upto - i.after);
-  w.Number(i.entries.size());
+  w.Varint(i.now_ms);
+  w.Varint(i.after);
+  w.Varint(i.upto - i.after);
+  w.Varint(i.entries.size());
   Base base{i.after, i.now_ms};
   for (const Entry& e : i.entries) Put(w, e, &base);
 }
@@ -63,25 +63,25 @@
   Interval i;
   i.origin = r.Whole<std::uint64_t>();
   i.owner = r.Whole<std::uint64_t>();
-  i.now_ms = r.Number();
-  i.after = r.Number();
-  const auto length = r.Number();
+  i.now_ms = r.Varint();
+  i.after = r.Varint();
+  const auto length = r.Varint();
   if (length > ~0ull - i.after) r.Fail();
   i.upto = i.after + length;
-  const auto n = r.Number(kMostBody);
+  const auto n = r.Varint(kMostBody);
   Base base{i.after, i.now_ms};
   for (std::uint64_t k = 0; k < n && r.ok(); ++k) {
     Entry e;
-    const auto ahead = r.Number();
+    const auto ahead = r.Varint();
     if (ahead == 0 || ahead > i.upto - base.seq) r.Fail();
     e.seq = base.seq + ahead;
     const std::uint8_t table = r.Byte();
     e.subject.table = static_cast<Table>(table);
     e.subject.id = r.Whole<std::uint64_t>();
     e.subject.detail = std::uint64_t{r.Whole<std::uint32_t>()} << 32;
-    e.subject.detail |= r.Number(0xffffffff);
-    e.until_ms = Base::Back(base.until_ms, r.Number());
-    e.value = static_cast<std::uint32_t>(r.Number(0xffffffff));
+    e.subject.detail |= r.Varint(0xffffffff);
+    e.until_ms = Base::Back(base.until_ms, r.Varint());
+    e.value = static_cast<std::uint32_t>(r.Varint(0xffffffff));
     base = {e.seq, e.until_ms};
     if (table >= 1 && table <= kTables) i.entries.push_back(e);
   }
@@ -98,21 +98,21 @@
   w.Byte(kForm);
   w.Byte(static_cast<std::uint8_t>(m.kind));
   w.Byte(static_cast<std::uint8_t>((m.current ? 1 : 0) | (m.last ? 2 : 0)));
-  w.Number(m.number);
-  w.Number(m.intervals.size());
+  w.Varint(m.number);
+  w.Varint(m.intervals.size());
   for (const Interval& i : m.intervals) Put(w, i);
-  w.Number(m.holdings.size());
+  w.Varint(m.holdings.size());
   for (const Holding& h : m.holdings) {
     w.Whole(h.origin), w.Whole(h.owner);
-    w.Number(h.now_ms), w.Number(h.upto), w.Number(h.as_of_ms);
+    w.Varint(h.now_ms), w.Varint(h.upto), w.Varint(h.as_of_ms);
     w.Whole(h.digest);
   }
-  w.Number(m.wants.size());
-  for (const Want& want : m.wants) w.Whole(want.origin), w.Number(want.after);
-  w.Number(m.ranges.size());
+  w.Varint(m.wants.size());
+  for (const Want& want : m.wants) w.Whole(want.origin), w.Varint(want.after);
+  w.Varint(m.ranges.size());
   for (const Ranges& ranges : m.ranges) {
     w.Whole(ranges.origin);
-    w.Number(ranges.as_of_ms), w.Number(ranges.after), w.Number(ranges.upto - ranges.after);
+    w.Varint(ranges.as_of_ms), w.Varint(ranges.after), w.Varint(ranges.upto - ranges.after);
     for (const std::uint32_t digest : ranges.digests) w.Whole(digest);
   }
   return out;
@@ -126,23 +126,23 @@
   if (kind < 1 || kind > static_cast<std::uint8_t>(Message::Kind::kRanges)) return std::nullopt;
   m.kind = static_cast<Message::Kind>(kind);
   m.current = flags & 1, m.last = flags & 2;
-  m.number = r.Number();
-  for (auto n = r.Number(kMostParts); n > 0 && r.ok(); --n) m.intervals.push_back(GetInterval(r));
-  for (auto n = r.Number(kMostParts); n > 0 && r.ok(); --n) {
+  m.number = r.Varint();
+  for (auto n = r.Varint(kMostParts); n > 0 && r.ok(); --n) m.intervals.push_back(GetInterval(r));
+  for (auto n = r.Varint(kMostParts); n > 0 && r.ok(); --n) {
     Holding& h = m.holdings.emplace_back();
     h.origin = r.Whole<std::uint64_t>(), h.owner = r.Whole<std::uint64_t>();
-    h.now_ms = r.Number(), h.upto = r.Number(), h.as_of_ms = r.Number();
+    h.now_ms = r.Varint(), h.upto = r.Varint(), h.as_of_ms = r.Varint();
     h.digest = r.Whole<std::uint32_t>();
   }
-  for (auto n = r.Number(kMostParts); n > 0 && r.ok(); --n) {
+  for (auto n = r.Varint(kMostParts); n > 0 && r.ok(); --n) {
     Want& want = m.wants.emplace_back();
-    want.origin = r.Whole<std::uint64_t>(), want.after = r.Number();
+    want.origin = r.Whole<std::uint64_t>(), want.after = r.Varint();
   }
-  for (auto n = r.Number(kMostParts); n > 0 && r.ok(); --n) {
+  for (auto n = r.Varint(kMostParts); n > 0 && r.ok(); --n) {
     Ranges& ranges = m.ranges.emplace_back();
     ranges.origin = r.Whole<std::uint64_t>();
-    ranges.as_of_ms = r.Number(), ranges.after = r.Number();
-    const auto length = r.Number();
+    ranges.as_of_ms = r.Varint(), ranges.after = r.Varint();
+    const auto length = r.Varint();
     if (length > ~0ull - ranges.after) r.Fail();
     ranges.upto = ranges.after + length;
     for (std::uint32_t& digest : ranges.digests) digest = r.Whole<std::uint32_t>();
