--- a/src/concert/wire.cpp
+++ b/src/concert/wire.cpp
@@ -10,9 +10,9 @@
 
 using std::chrono::milliseconds;
 
-void Put(peers::Writer* out, double number) { out->Whole(std::bit_cast<std::uint64_t>(number)); }
+void Put(peers::Writer* out, double number) { out->Fixed(std::bit_cast<std::uint64_t>(number)); }
 double GetNumber(peers::Reader* in, double most) {
-  const auto number = std::bit_cast<double>(in->Whole<std::uint64_t>());
+  const auto number = std::bit_cast<double>(in->Fixed<std::uint64_t>());
   if (!(number >= 0 && number <= most)) return in->Fail(), 0;
   return number;
 }
@@ -25,7 +25,7 @@
   out.Byte(kForm);
   out.Byte(static_cast<std::uint8_t>(m.kind));
   out.Varint(m.term.number);
-  out.Whole(m.term.boot);
+  out.Fixed(m.term.boot);
   out.Varint(m.round);
   if (m.kind == Message::Kind::kClaim) {
     out.Varint(m.grant.answers);
@@ -50,7 +50,7 @@
   if (kind != 1 && kind != 2) return std::nullopt;
   m.kind = static_cast<Message::Kind>(kind);
   m.term.number = in.Varint();
-  m.term.boot = in.Whole<std::uint64_t>();
+  m.term.boot = in.Fixed<std::uint64_t>();
   m.round = in.Varint();
   if (m.kind == Message::Kind::kClaim) {
     m.grant.answers = in.Varint();
--- a/src/replica/wire.cpp
+++ b/src/replica/wire.cpp
@@ -35,8 +35,8 @@
 void Put(Writer& w, const Entry& e, Base* base) {
   w.Varint(e.seq - base->seq);
   w.Byte(static_cast<std::uint8_t>(e.subject.table));
-  w.Whole(e.subject.id);
-  w.Whole(static_cast<std::uint32_t>(e.subject.detail >> 32));
+  w.Fixed(e.subject.id);
+  w.Fixed(static_cast<std::uint32_t>(e.subject.detail >> 32));
   w.Varint(e.subject.detail & 0xffffffff);
   w.Varint(Base::ZigZag(e.until_ms, base->until_ms));
   w.Varint(e.value);
@@ -49,8 +49,8 @@
 }
 
 void Put(Writer& w, const Interval& i) {
-  w.Whole(i.origin);
-  w.Whole(i.owner);
+  w.Fixed(i.origin);
+  w.Fixed(i.owner);
   w.Varint(i.now_ms);
   w.Varint(i.after);
   w.Varint(i.upto - i.after);
@@ -61,8 +61,8 @@
 
 Interval GetInterval(Reader& r) {
   Interval i;
-  i.origin = r.Whole<std::uint64_t>();
-  i.owner = r.Whole<std::uint64_t>();
+  i.origin = r.Fixed<std::uint64_t>();
+  i.owner = r.Fixed<std::uint64_t>();
   i.now_ms = r.Varint();
   i.after = r.Varint();
   const auto length = r.Varint();
@@ -77,8 +77,8 @@
     e.seq = base.seq + ahead;
     const std::uint8_t table = r.Byte();
     e.subject.table = static_cast<Table>(table);
-    e.subject.id = r.Whole<std::uint64_t>();
-    e.subject.detail = std::uint64_t{r.Whole<std::uint32_t>()} << 32;
+    e.subject.id = r.Fixed<std::uint64_t>();
+    e.subject.detail = std::uint64_t{r.Fixed<std::uint32_t>()} << 32;
     e.subject.detail |= r.Varint(0xffffffff);
     e.until_ms = Base::Back(base.until_ms, r.Varint());
     e.value = static_cast<std::uint32_t>(r.Varint(0xffffffff));
@@ -103,17 +103,17 @@
   for (const Interval& i : m.intervals) Put(w, i);
   w.Varint(m.holdings.size());
   for (const Holding& h : m.holdings) {
-    w.Whole(h.origin), w.Whole(h.owner);
+    w.Fixed(h.origin), w.Fixed(h.owner);
     w.Varint(h.now_ms), w.Varint(h.upto), w.Varint(h.as_of_ms);
-    w.Whole(h.digest);
+    w.Fixed(h.digest);
   }
   w.Varint(m.wants.size());
-  for (const Want& want : m.wants) w.Whole(want.origin), w.Varint(want.after);
+  for (const Want& want : m.wants) w.Fixed(want.origin), w.Varint(want.after);
   w.Varint(m.ranges.size());
   for (const Ranges& ranges : m.ranges) {
-    w.Whole(ranges.origin);
+    w.Fixed(ranges.origin);
     w.Varint(ranges.as_of_ms), w.Varint(ranges.after), w.Varint(ranges.upto - ranges.after);
-    for (const std::uint32_t digest : ranges.digests) w.Whole(digest);
+    for (const std::uint32_t digest : ranges.digests) w.Fixed(digest);
   }
   return out;
 }
@@ -130,22 +130,22 @@
   for (auto n = r.Varint(kMostParts); n > 0 && r.ok(); --n) m.intervals.push_back(GetInterval(r));
   for (auto n = r.Varint(kMostParts); n > 0 && r.ok(); --n) {
     Holding& h = m.holdings.emplace_back();
-    h.origin = r.Whole<std::uint64_t>(), h.owner = r.Whole<std::uint64_t>();
+    h.origin = r.Fixed<std::uint64_t>(), h.owner = r.Fixed<std::uint64_t>();
     h.now_ms = r.Varint(), h.upto = r.Varint(), h.as_of_ms = r.Varint();
-    h.digest = r.Whole<std::uint32_t>();
+    h.digest = r.Fixed<std::uint32_t>();
   }
   for (auto n = r.Varint(kMostParts); n > 0 && r.ok(); --n) {
     Want& want = m.wants.emplace_back();
-    want.origin = r.Whole<std::uint64_t>(), want.after = r.Varint();
+    want.origin = r.Fixed<std::uint64_t>(), want.after = r.Varint();
   }
   for (auto n = r.Varint(kMostParts); n > 0 && r.ok(); --n) {
     Ranges& ranges = m.ranges.emplace_back();
-    ranges.origin = r.Whole<std::uint64_t>();
+    ranges.origin = r.Fixed<std::uint64_t>();
     ranges.as_of_ms = r.Varint(), ranges.after = r.Varint();
     const auto length = r.Varint();
     if (length > ~0ull - ranges.after) r.Fail();
     ranges.upto = ranges.after + length;
-    for (std::uint32_t& digest : ranges.digests) digest = r.Whole<std::uint32_t>();
+    for (std::uint32_t& digest : ranges.digests) digest = r.Fixed<std::uint32_t>();
   }
   if (!r.ok()) return std::nullopt;
   return m;
