--- a/bench/peers_bench.cpp
+++ b/bench/peers_bench.cpp
@@ -43,9 +43,9 @@
 
 peers::Times PlainSwim() {
   peers::Times times;
-  times.longest_suspicion = 1;
+  times.max_suspicion_factor = 1;
   times.health_step = 0;
-  times.digest_every = times.digest_again = std::chrono::hours(100);  // who joins still asks a seed
+  times.digest_interval = times.digest_retry_interval = std::chrono::hours(100);  // who joins still asks a seed
   return times;
 }
 
--- a/src/peers/bytes.h
+++ b/src/peers/bytes.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The bytes of datagrams between members: numbers as LEB128, or whole with the lowest byte first.
+// Byte reader and writer for the datagrams between proxies. Integers are either variable-length (LEB128) or
+// fixed-size little-endian.
 #ifndef KESTRELLINE_PEERS_BYTES_H_
 #define KESTRELLINE_PEERS_BYTES_H_
 
@@ -11,16 +12,18 @@
 
 namespace kestrelline::peers {
 
+// Appends to a buffer that it doesn't own.
 class Writer {
  public:
   explicit Writer(std::vector<std::uint8_t>* out) : out_(*out) {}
   void Byte(std::uint8_t b) { out_.push_back(b); }
-  void Number(std::uint64_t n) {
+  void Varint(std::uint64_t n) {
     for (; n >= 0x80; n >>= 7) Byte(static_cast<std::uint8_t>(n | 0x80));
     Byte(static_cast<std::uint8_t>(n));
   }
+  // All bytes of `n`, least significant first.
   template <typename T>
-  void Whole(T n) {
+  void Fixed(T n) {
     for (std::size_t i = 0; i < sizeof n; ++i) Byte(static_cast<std::uint8_t>(n >> (8 * i)));
   }
 
@@ -28,41 +31,43 @@
   std::vector<std::uint8_t>& out_;
 };
 
-// Fails for good at the first thing that is not there, or not within its bound.
+// Reads from bytes that it doesn't own. After the first missing or out-of-range value ok() stays false, and
+// every further read returns 0.
 class Reader {
  public:
-  explicit Reader(std::span<const std::uint8_t> bytes) : left_(bytes) {}
+  explicit Reader(std::span<const std::uint8_t> bytes) : rest_(bytes) {}
   bool ok() const { return ok_; }
-  bool AtEnd() const { return left_.empty(); }
-  void Fail() { ok_ = false, left_ = {}; }
+  bool AtEnd() const { return rest_.empty(); }
+  void Fail() { ok_ = false, rest_ = {}; }
   std::uint8_t Byte() {
-    if (left_.empty()) return Fail(), std::uint8_t{0};
-    const std::uint8_t b = left_.front();
-    left_ = left_.subspan(1);
+    if (rest_.empty()) return Fail(), std::uint8_t{0};
+    const std::uint8_t b = rest_.front();
+    rest_ = rest_.subspan(1);
     return b;
   }
-  std::uint64_t Number(std::uint64_t most = ~0ull) {
+  // Fails on values greater than `max` or longer than 64 bits.
+  std::uint64_t Varint(std::uint64_t max = ~0ull) {
     std::uint64_t n = 0;
     for (int shift = 0; shift < 64; shift += 7) {
       const std::uint64_t b = Byte();
       if (shift == 63 && b > 1) break;
       n |= (b & 0x7f) << shift;
       if (b & 0x80) continue;
-      if (n > most) Fail();
+      if (n > max) Fail();
       return n;
     }
     Fail();
     return 0;
   }
   template <typename T>
-  T Whole() {
+  T Fixed() {
     T n = 0;
     for (std::size_t i = 0; i < sizeof n; ++i) n = static_cast<T>(n | static_cast<T>(Byte()) << (8 * i));
     return n;
   }
 
  private:
-  std::span<const std::uint8_t> left_;
+  std::span<const std::uint8_t> rest_;
   bool ok_ = true;
 };
 
--- a/src/peers/contest.h
+++ b/src/peers/contest.h
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Two processes of one name: which one holds it. No I/O, no clock.
+// Conflict resolution between two processes with the same name. Stateful, but without I/O or clock.
 //
-//     the other's address is this process's own    it is gone: an address has one process; raise
-//     it lives, and started earlier (lesser boot)  yield
-//     it lives, and started later                  raise, so that it hears of this one
-//     nobody knows whether it lives                raise, and ask it
+//     the other has this process's address         it is stale, since one address has one process; raise
+//     it is live and started earlier (lower boot)  yield
+//     it is live and started later                 raise, so that it learns of this process
+//     its liveness is unknown                      raise, and contact it
 //
-// A process lives if it has written itself, or has kept raising its incarnation over this one's: nobody else
-// can. Where both live the rule is the same at both, so that one yields and the other stays.
+// To raise is to set the own incarnation above the other's. A process counts as live if it has sent a
+// datagram itself, or if it keeps raising its incarnation over this one's, which no other process can do on
+// its behalf. If both are live, both apply the same rule, so that exactly one yields.
 #ifndef KESTRELLINE_PEERS_CONTEST_H_
 #define KESTRELLINE_PEERS_CONTEST_H_
 
@@ -20,34 +21,36 @@
 
 namespace kestrelline::peers {
 
-class Contest {
+class NameConflict {
  public:
+  // What this process has to do about a statement that carries its name.
   enum class Verdict { kIgnore, kRaise, kYield };
-  static constexpr int kRaisesOfTheLiving = 3;
-  static constexpr std::size_t kMostRivals = 16;
+  // A rival that has raised its incarnation more often than this counts as live.
+  static constexpr int kRaisesProvingLiveness = 3;
+  static constexpr std::size_t kMaxRivals = 16;
 
-  // `direct`: `other` has written this itself.
+  // `direct`: the statement comes from `other` itself and wasn't relayed.
   Verdict Judge(const Member& self, const Member& other, bool direct) {
     if (other.name != self.name || other.boot == self.boot) return Verdict::kIgnore;
-    if (other.address == self.address) return Wins(other, self) ? Verdict::kRaise : Verdict::kIgnore;
-    if (rivals_.size() >= kMostRivals && !rivals_.contains(other.boot)) rivals_.erase(rivals_.begin());
+    if (other.address == self.address) return Supersedes(other, self) ? Verdict::kRaise : Verdict::kIgnore;
+    if (rivals_.size() >= kMaxRivals && !rivals_.contains(other.boot)) rivals_.erase(rivals_.begin());
     Rival& rival = rivals_[other.boot];
-    if (Present(other.state) && other.incarnation > rival.incarnation && Wins(other, self)) {
+    if (Present(other.state) && other.incarnation > rival.incarnation && Supersedes(other, self)) {
       rival.incarnation = other.incarnation;
       ++rival.raised;
     }
-    const bool lives = Present(other.state) && (direct || rival.raised > kRaisesOfTheLiving);
+    const bool lives = Present(other.state) && (direct || rival.raised > kRaisesProvingLiveness);
     if (lives && other.boot < self.boot) return Verdict::kYield;
-    return Wins(other, self) ? Verdict::kRaise : Verdict::kIgnore;
+    return Supersedes(other, self) ? Verdict::kRaise : Verdict::kIgnore;
   }
-  // True the first time that a rival is heard of since it was last forgotten.
-  bool IsNews(std::uint64_t boot) { return !std::exchange(rivals_[boot].told, true); }
+  // True for the first call for this rival since it was added to the table or evicted from it.
+  bool IsFirstReport(std::uint64_t boot) { return !std::exchange(rivals_[boot].reported, true); }
 
  private:
   struct Rival {
     std::uint64_t incarnation = 0;
     int raised = 0;
-    bool told = false;
+    bool reported = false;
   };
   std::map<std::uint64_t, Rival> rivals_;
 };
--- a/src/peers/exchange.h
+++ b/src/peers/exchange.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Two views made equal: digests by bucket, and only what differs travels. No I/O, no clock.
+// Anti-entropy between two membership views: digests are compared bucket by bucket, and only the entries of
+// buckets that differ are sent. No I/O, no clock.
 #ifndef KESTRELLINE_PEERS_EXCHANGE_H_
 #define KESTRELLINE_PEERS_EXCHANGE_H_
 
@@ -15,17 +16,20 @@
 
 using Buckets = std::bitset<kBuckets>;
 
-// Those in which a digest differs from the view's own; all of them for no digest.
-Buckets Differing(const View& view, const std::vector<std::uint32_t>& digest);
+// The buckets whose digest differs from the view's own; all buckets if `digest` is empty.
+Buckets DifferingBuckets(const View& view, const std::vector<std::uint32_t>& digest);
 
-// The statements of `buckets`, into copies of `base`, `most` datagrams at most: what has no place comes with
-// another exchange, since `start` moves. `ends_whole`: those that have failed are stated with all there is,
-// for one who has never heard of them.
-std::vector<Message> Tell(const View& view, const Buckets& buckets, const Message& base, std::size_t start,
-                          std::size_t most, bool ends_whole);
+// Copies of `base` that carry the view's statements about `buckets`, beginning with bucket `start`. At most
+// `max_datagrams`; what doesn't fit follows in a later exchange, since callers vary `start`.
+// `include_failed_details`: failed members are sent with address and zone, for a receiver that has never
+// heard of them.
+std::vector<Message> BuildEntries(const View& view, const Buckets& buckets, const Message& base,
+                                  std::size_t start, std::size_t max_datagrams, bool include_failed_details);
 
-// What the view, having merged `told`, knows better or beyond it.
-std::vector<Message> Answer(const View& view, const Message& told, const Message& base, std::size_t most);
+// The entries that are newer in `view` than in `received`, or that `received` lacks. `view` must have merged
+// `received` already.
+std::vector<Message> BuildReply(const View& view, const Message& received, const Message& base,
+                                std::size_t max_datagrams);
 
 }  // namespace kestrelline::peers::exchange
 
--- a/src/peers/gossip.cpp
+++ b/src/peers/gossip.cpp
@@ -6,46 +6,49 @@
 namespace kestrelline::peers {
 namespace {
 
-// Newer news first among those that have been told equally often.
-std::uint64_t Backwards(std::uint64_t serial) { return ~serial; }
+// Sort key that puts newer updates first among those sent equally often.
+std::uint64_t NewestFirst(std::uint64_t serial) { return ~serial; }
+
+// Less than wire::MaxBytes of any statement.
+constexpr std::size_t kMinStatementBytes = 24;
 
 }  // namespace
 
 void Gossip::Add(Statement statement) {
   const std::string name = statement.member.name;
   Drop(name);
-  if (news_.size() >= kMostNews) Drop(std::string(std::prev(order_.end())->second));
-  News& news = news_[name];
-  news.statement = std::move(statement);
-  news.serial = Backwards(++last_);
-  order_.emplace(Key{0, news.serial}, name);
+  if (updates_.size() >= kMaxUpdates) Drop(std::string(std::prev(queue_.end())->second));
+  Update& update = updates_[name];
+  update.statement = std::move(statement);
+  update.serial = NewestFirst(++last_serial_);
+  queue_.emplace(Key{0, update.serial}, name);
 }
 
 void Gossip::Drop(std::string_view name) {
-  const auto found = news_.find(name);
-  if (found == news_.end()) return;
-  order_.erase({found->second.told, found->second.serial});
-  news_.erase(found);
+  const auto entry = updates_.find(name);
+  if (entry == updates_.end()) return;
+  queue_.erase({entry->second.transmissions, entry->second.serial});
+  updates_.erase(entry);
 }
 
-void Gossip::Fill(std::size_t room, unsigned times, std::vector<Statement>* into) {
-  std::vector<std::string> told;
-  for (const auto& [key, name] : order_) {
-    if (room < 24) break;  // nothing is as short
-    const Statement& statement = news_.find(name)->second.statement;
-    const std::size_t bytes = wire::MostBytes(statement);
+void Gossip::Fill(std::size_t room, unsigned max_transmissions, std::vector<Statement>* into) {
+  std::vector<std::string> sent;
+  for (const auto& [key, name] : queue_) {
+    if (room < kMinStatementBytes) break;
+    const Statement& statement = updates_.find(name)->second.statement;
+    const std::size_t bytes = wire::MaxBytes(statement);
     if (bytes > room) continue;
     room -= bytes;
     into->push_back(statement);
-    told.push_back(name);
+    sent.push_back(name);
   }
-  for (const std::string& name : told) {
-    News& news = news_.find(name)->second;
-    order_.erase({news.told, news.serial});
-    if (++news.told >= times) {
-      news_.erase(name);
+  for (const std::string& name : sent) {
+    Update& update = updates_.find(name)->second;
+    queue_.erase({update.transmissions, update.serial});
+    if (++update.transmissions >= max_transmissions) {
+      updates_.erase(name);
     } else {
-      order_.emplace(Key{news.told, news.serial}, name);
+      queue_.emplace(Key{update.transmissions, update.serial}, name);
     }
   }
 }
--- a/src/peers/gossip.h
+++ b/src/peers/gossip.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// News that ride on datagrams which are sent anyway, each a bounded number of times. No I/O, no clock.
+// Membership updates that are piggybacked on other datagrams, each a bounded number of times. No I/O, no
+// clock.
 //
-// Bounds: one piece of news a name, the newest; kMostNews names. Where there is no room the one that has been
-// told most often makes way: whoever missed it learns of it by the exchange of digests.
+// Bounds: one update per name, the newest, and kMaxUpdates names. When full, the update that has been sent
+// most often is evicted: a receiver that missed it gets it from the exchange of digests.
 #ifndef KESTRELLINE_PEERS_GOSSIP_H_
 #define KESTRELLINE_PEERS_GOSSIP_H_
 
@@ -21,26 +22,27 @@
 
 class Gossip {
  public:
-  static constexpr std::size_t kMostNews = 2048;
+  static constexpr std::size_t kMaxUpdates = 2048;
 
-  // Takes the place of older news of the same name.
+  // Replaces an earlier update about the same name.
   void Add(Statement statement);
   void Drop(std::string_view name);
 
-  // Adds to `into` what fits into `room` bytes, the least told first; each is told `times` at most.
-  void Fill(std::size_t room, unsigned times, std::vector<Statement>* into);
+  // Appends to `into` the updates that fit into `room` bytes, the least often sent first. Each update is sent
+  // at most `max_transmissions` times.
+  void Fill(std::size_t room, unsigned max_transmissions, std::vector<Statement>* into);
 
  private:
-  struct News {
+  struct Update {
     Statement statement;
-    unsigned told = 0;
+    unsigned transmissions = 0;
     std::uint64_t serial = 0;
   };
-  using Key = std::pair<unsigned, std::uint64_t>;  // told, and the newest first
+  using Key = std::pair<unsigned, std::uint64_t>;  // transmissions, then newest first
 
-  std::map<std::string, News, std::less<>> news_;
-  std::map<Key, std::string> order_;
-  std::uint64_t last_ = 0;
+  std::map<std::string, Update, std::less<>> updates_;
+  std::map<Key, std::string> queue_;
+  std::uint64_t last_serial_ = 0;
 };
 
 }  // namespace kestrelline::peers
--- a/src/peers/link.cpp
+++ b/src/peers/link.cpp
@@ -14,18 +14,19 @@
 namespace asio = boost::asio;
 using Error = boost::system::error_code;
 
-constexpr std::chrono::milliseconds kTryAgain{50};   // for an address that another process still has
-constexpr double kMostLines = 10, kLineBurst = 100;  // of the log: a second, and at once
-constexpr std::chrono::seconds kRefusalsEvery{10};
+constexpr std::chrono::milliseconds kBindRetryInterval{50};  // while another process holds the address
+constexpr double kMaxLogLinesPerSecond = 10, kLogLineBurst = 100;
+constexpr std::chrono::milliseconds kReadPause{10};  // once the rate limit is used up
+constexpr std::chrono::seconds kDropLogInterval{10};
 
 asio::ip::udp::endpoint EndpointOf(const Address& a) { return {asio::ip::address_v4(a.ip), a.port}; }
 
-Node::Options OptionsOf(const Settings& settings, const Link::Who& who, std::uint64_t boot) {
+Node::Options OptionsOf(const Settings& settings, const Link::Identity& who, std::uint64_t boot) {
   Node::Options o;
   o.name = who.name;
-  // Zones come from the platform and may hold what has no place in a report.
-  for (const char c : who.zone.substr(0, kMostZone)) o.zone += IsPlain(c) ? c : '_';
-  o.version = who.version.substr(0, kMostVersion);
+  // Zones come from the platform and may contain characters that must not reach logs and reports.
+  for (const char c : who.zone.substr(0, kMaxZoneBytes)) o.zone += IsPlain(c) ? c : '_';
+  o.version = who.version.substr(0, kMaxVersionBytes);
   o.boot = boot;
   o.seed = who.seed ^ boot;
   o.address = settings.advertise;
@@ -37,59 +38,59 @@
 
 }  // namespace
 
-std::uint64_t DrawBoot() {
+std::uint64_t NewBootId() {
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(
                       std::chrono::system_clock::now().time_since_epoch())
                       .count();
   return (static_cast<std::uint64_t>(ms) << 16) | (std::random_device()() & 0xffff) | 1;
 }
 
-Link::Link(asio::io_context& io, Settings settings, Who who, OnLog log)
+Link::Link(asio::io_context& io, Settings settings, Identity who, OnLog log)
     : settings_(std::move(settings)),
       log_(std::move(log)),
-      gate_(settings_.keys, DrawBoot()),
-      node_(OptionsOf(settings_, who, gate_.boot()), Now()),
+      authenticator_(settings_.keys, NewBootId()),
+      node_(OptionsOf(settings_, who, authenticator_.boot()), Now()),
       socket_(io),
       timer_(io),
-      again_(io),
-      datagrams_(kMostPerSecond, kBurst, Now()),
-      lines_(kMostLines, kLineBurst, Now()) {
+      retry_timer_(io),
+      read_budget_(kMaxDatagramsPerSecond, kDatagramBurst, Now()),
+      log_budget_(kMaxLogLinesPerSecond, kLogLineBurst, Now()) {
   if (who.wait_for_address) {
-    OpenOrWait();
+    BindOrRetry();
   } else {
     socket_.open(Udp::v4());
     socket_.bind(EndpointOf(settings_.listen));
-    Open();
+    StartReceiving();
   }
 }
 
-void Link::Open() {
+void Link::StartReceiving() {
   Error ignored;
-  socket_.set_option(asio::socket_base::receive_buffer_size(kReceiveBuffer), ignored);
+  socket_.set_option(asio::socket_base::receive_buffer_size(kReceiveBufferBytes), ignored);
   socket_.non_blocking(true, ignored);
   Log("peers: " + node_.self().name + " listens at " + settings_.listen.Text(), Now());
-  Await();
-  Arm();
+  WaitReadable();
+  ArmTimer();
 }
 
-// An upgrade: the old process closes its socket once it is told to stop.
-void Link::OpenOrWait() {
+// During an upgrade the old process holds the address until it is told to stop.
+void Link::BindOrRetry() {
   Error failed;
   socket_.open(Udp::v4(), failed);
   if (!failed) socket_.bind(EndpointOf(settings_.listen), failed);
   if (!failed) {
-    Open();
+    StartReceiving();
     return;
   }
   Error ignored;
   socket_.close(ignored);
-  again_.expires_after(kTryAgain);
-  again_.async_wait([this](const Error& cancelled) {
-    if (!cancelled) OpenOrWait();
+  retry_timer_.expires_after(kBindRetryInterval);
+  retry_timer_.async_wait([this](const Error& cancelled) {
+    if (!cancelled) BindOrRetry();
   });
 }
 
-void Link::Await() {
+void Link::WaitReadable() {
   socket_.async_wait(Udp::socket::wait_read, [this](const Error& failed) {
     if (!failed) ReadSlice();
   });
@@ -97,56 +98,60 @@
 
 void Link::ReadSlice() {
   const Time now = Now();
-  datagrams_.Refill(now);
+  read_budget_.Refill(now);
   std::array<std::uint8_t, wire::kMaxDatagramBytes + 1> bytes;
   int read = 0;
-  for (; read < kSlice && datagrams_.Has() && (read == 0 || Now() - now < kSliceTime); ++read) {
+  for (; read < kMaxDatagramsPerSlice && read_budget_.Has() && (read == 0 || Now() - now < kMaxSliceTime);
+       ++read) {
     Udp::endpoint from;
     Error failed;
-    const std::size_t n = socket_.receive_from(asio::buffer(bytes), from, 0, failed);
+    const std::size_t size = socket_.receive_from(asio::buffer(bytes), from, 0, failed);
     if (failed == asio::error::would_block) break;
-    if (failed) continue;  // of an earlier send (ECONNREFUSED): says nothing that the node would not find out
-    datagrams_.Take();
+    if (failed)
+      continue;  // reports an earlier send (ECONNREFUSED); the prober notices dead members by itself
+    read_budget_.Take();
     ++counts_.received;
-    counts_.bytes_received += n;
-    const Refusal refusal = Take(now, {from.address().to_v4().to_uint(), from.port()}, {bytes.data(), n});
-    ++counts_.refused[static_cast<std::size_t>(refusal)];
-    if (refusal != Refusal::kNone) LogRefusal(refusal, from, now);
+    counts_.bytes_received += size;
+    const DropReason reason =
+        Take(now, {from.address().to_v4().to_uint(), from.port()}, {bytes.data(), size});
+    ++counts_.dropped[static_cast<std::size_t>(reason)];
+    if (reason != DropReason::kNone) LogDrop(reason, from, now);
   }
   Flush();
-  if (datagrams_.Has()) return Await();
-  again_.expires_after(std::chrono::milliseconds(10));
-  again_.async_wait([this](const Error& cancelled) {
-    if (!cancelled) Await();
+  if (read_budget_.Has()) return WaitReadable();
+  retry_timer_.expires_after(kReadPause);
+  retry_timer_.async_wait([this](const Error& cancelled) {
+    if (!cancelled) WaitReadable();
   });
 }
 
-Refusal Link::Take(Time now, const Address& from, std::span<const std::uint8_t> datagram) {
-  if (const auto other = on_other_.find(Gate::WhoseOther(datagram)); other != on_other_.end()) {
+DropReason Link::Take(Time now, const Address& from, std::span<const std::uint8_t> datagram) {
+  if (const auto other = protocol_handlers_.find(Authenticator::ProtocolOf(datagram));
+      other != protocol_handlers_.end()) {
     std::uint64_t boot = 0;
     std::span<const std::uint8_t> body;
-    const Refusal refusal = gate_.OpenOther(datagram, &boot, &body);
-    return refusal == Refusal::kNone && !other->second(boot, from, body) ? Refusal::kBody : refusal;
+    const DropReason reason = authenticator_.OpenProtocol(datagram, &boot, &body);
+    return reason == DropReason::kNone && !other->second(boot, from, body) ? DropReason::kBody : reason;
   }
   Message message;
-  const Refusal refusal = gate_.Open(datagram, &message);
-  if (refusal == Refusal::kNone && !handed_over_) node_.Receive(now, message);
-  return refusal;
+  const DropReason reason = authenticator_.Open(datagram, &message);
+  if (reason == DropReason::kNone && !handed_over_) node_.Receive(now, message);
+  return reason;
 }
 
-void Link::CarryProtocol(char whose, double per_second, OnProtocolDatagram call) {
+void Link::CarryProtocol(char protocol, double per_second, OnProtocolDatagram call) {
   per_second_ = std::max(per_second_, per_second);
-  datagrams_ = Allowance(per_second_, per_second_, Now());
-  on_other_[whose] = std::move(call);
+  read_budget_ = TokenBucket(per_second_, per_second_, Now());
+  protocol_handlers_[protocol] = std::move(call);
 }
 
-void Link::SendProtocol(char whose, std::span<const Address> to, std::span<const std::uint8_t> body) {
+void Link::SendProtocol(char protocol, std::span<const Address> to, std::span<const std::uint8_t> body) {
   if (!socket_.is_open() || to.empty()) return;
-  const auto datagram = gate_.SealOther(whose, body);
-  for (const Address& address : to) Put(address, datagram);
+  const auto datagram = authenticator_.SealProtocol(protocol, body);
+  for (const Address& address : to) SendTo(address, datagram);
 }
 
-void Link::Put(const Address& to, const wire::Bytes& datagram) {
+void Link::SendTo(const Address& to, const wire::Bytes& datagram) {
   Error failed;
   socket_.send_to(asio::buffer(datagram), EndpointOf(to), 0, failed);
   ++(failed ? counts_.send_failed : counts_.sent);
@@ -157,7 +162,7 @@
   if (handed_over_) return;
   const Time now = Now();
   for (const Outgoing& out : node_.TakeOutgoing())
-    if (socket_.is_open()) Put(out.to, gate_.Seal(out.message, out.wire));
+    if (socket_.is_open()) SendTo(out.to, authenticator_.Seal(out.message, out.wire));
   for (const Event& event : node_.TakeEvents()) {
     ++counts_.events[static_cast<std::size_t>(event.kind)];
     const Member& m = event.member;
@@ -179,10 +184,10 @@
     Log(line, now);
     for (const auto& call : on_event_) call(event);
   }
-  Arm();
+  ArmTimer();
 }
 
-void Link::Arm() {
+void Link::ArmTimer() {
   if (!socket_.is_open()) return;
   const Time due = node_.NextDue();
   if (due == Time::max()) return;
@@ -196,39 +201,39 @@
 
 void Link::Log(const std::string& line, Time now) {
   if (!log_) return;
-  lines_.Refill(now);
-  if (!lines_.Has()) {
-    ++lines_left_out_;
+  log_budget_.Refill(now);
+  if (!log_budget_.Has()) {
+    ++suppressed_lines_;
     return;
   }
-  lines_.Take();
-  if (lines_left_out_ > 0) log_("peers: " + std::to_string(lines_left_out_) + " lines left out");
-  lines_left_out_ = 0;
+  log_budget_.Take();
+  if (suppressed_lines_ > 0) log_("peers: " + std::to_string(suppressed_lines_) + " log lines suppressed");
+  suppressed_lines_ = 0;
   log_(line);
 }
 
-void Link::LogRefusal(Refusal refusal, const Udp::endpoint& from, Time now) {
-  if (refusal_logged_ != Time() && now - refusal_logged_ < kRefusalsEvery) return;
-  refusal_logged_ = now;
+void Link::LogDrop(DropReason reason, const Udp::endpoint& from, Time now) {
+  if (last_drop_log_ != Time() && now - last_drop_log_ < kDropLogInterval) return;
+  last_drop_log_ = now;
   std::uint64_t all = 0;
-  for (std::size_t i = 1; i < kRefusals; ++i) all += counts_.refused[i];
+  for (std::size_t i = 1; i < kDropReasons; ++i) all += counts_.dropped[i];
   Log("peers: a datagram from " + from.address().to_string() + ":" + std::to_string(from.port()) +
-          " is not read (" + NameOf(refusal) + "), " + std::to_string(all - refused_said_) +
-          " since the last time",
+          " dropped (" + NameOf(reason) + "), " + std::to_string(all - logged_drops_) +
+          " since the last message",
       now);
-  refused_said_ = all;
+  logged_drops_ = all;
 }
 
 void Link::Leave() {
   node_.Leave(Now());
   Flush();
 }
-void Link::Stay() {
-  node_.Stay(Now());
+void Link::CancelLeave() {
+  node_.CancelLeave(Now());
   Flush();
 }
-void Link::Gone() {
-  node_.Gone(Now());
+void Link::AnnounceLeft() {
+  node_.AnnounceLeft(Now());
   Flush();
 }
 
@@ -236,17 +241,17 @@
   Error failed;
   socket_.close(failed);
   timer_.cancel();
-  again_.cancel();
+  retry_timer_.cancel();
   handed_over_ = true;
-  Log("peers: " + node_.self().name + " leaves its address to another process of this proxy", Now());
-  if (on_other_.empty()) return;
+  Log("peers: " + node_.self().name + " hands its address over to another process of this proxy", Now());
+  if (protocol_handlers_.empty()) return;
   socket_.open(Udp::v4(), failed);
   if (!failed) socket_.bind({EndpointOf(settings_.listen).address(), 0}, failed);
   if (!failed) socket_.non_blocking(true, failed);
   if (failed) {
     socket_.close(failed);
   } else {
-    Await();
+    WaitReadable();
   }
 }
 
@@ -268,7 +273,7 @@
   char view[20];
   std::snprintf(view, sizeof view, "%016llx", static_cast<unsigned long long>(node_.view().hash()));
   return json{{"name", node_.self().name},       {"view", view},
-              {"settled", node_.Settled(Now())}, {"reading", NameOf(node_.reading())},
+              {"settled", node_.Settled(Now())}, {"reading", NameOf(node_.connectivity())},
               {"displaced", node_.displaced()},  {"members", std::move(members)}}
       .dump();
 }
@@ -285,8 +290,8 @@
     line(std::string("{state=\"") + NameOf(static_cast<State>(i)) + "\"}", states[i]);
   for (std::size_t i = 0; i < counts_.events.size(); ++i)
     line(std::string("_events{kind=\"") + NameOf(static_cast<Event::Kind>(i)) + "\"}", counts_.events[i]);
-  for (std::size_t i = 1; i < kRefusals; ++i)
-    line(std::string("_dropped{why=\"") + NameOf(static_cast<Refusal>(i)) + "\"}", counts_.refused[i]);
+  for (std::size_t i = 1; i < kDropReasons; ++i)
+    line(std::string("_dropped{why=\"") + NameOf(static_cast<DropReason>(i)) + "\"}", counts_.dropped[i]);
   line("_dropped{why=\"send\"}", counts_.send_failed);
   line("_datagrams{way=\"in\"}", counts_.received);
   line("_datagrams{way=\"out\"}", counts_.sent);
--- a/src/peers/link.h
+++ b/src/peers/link.h
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The node on a UDP socket of the proxy's one thread: datagrams, timers, the log, the figures, the report.
+// Runs the membership node on a UDP socket: datagrams, timers, log lines, metrics and the JSON report. All
+// calls are on the thread of the event loop.
 //
-// Requests go first: at most kSlice datagrams, or as many as kSliceTime is enough for, are read before the
-// event loop turns to others, and at most kMostPerSecond a second in the mean (kBurst at once). What comes
-// beyond that waits in the socket's buffer of kReceiveBuffer bytes; what that has no room for is lost, as on
-// any network. A datagram that the kernel does not take at once (a full buffer, ENOBUFS) is dropped and
-// counted: nothing is ever queued here.
+// Datagrams must not delay the proxy's requests. So at most kMaxDatagramsPerSlice datagrams are read, for no
+// longer than about kMaxSliceTime, before the event loop turns to other work, and at most
+// kMaxDatagramsPerSecond on average (kDatagramBurst at once). The rest waits in the socket's buffer of
+// kReceiveBufferBytes; what doesn't fit is lost, as on any network. A datagram that the kernel doesn't accept
+// at once (full buffer, ENOBUFS) is dropped and counted: there is no send queue.
 #ifndef KESTRELLINE_PEERS_LINK_H_
 #define KESTRELLINE_PEERS_LINK_H_
 
@@ -30,63 +31,67 @@
 
 class Link {
  public:
-  static constexpr int kDescriptors = 1;
-  static constexpr int kSlice = 32;
-  static constexpr std::chrono::microseconds kSliceTime{200};
-  static constexpr double kMostPerSecond = 2000, kBurst = 2000;
-  static constexpr int kReceiveBuffer = 256 * 1024;
-
-  struct Who {
+  static constexpr int kDescriptors = 1;  // file descriptors that a link holds
+  static constexpr int kMaxDatagramsPerSlice = 32;
+  static constexpr std::chrono::microseconds kMaxSliceTime{200};
+  static constexpr double kMaxDatagramsPerSecond = 2000, kDatagramBurst = 2000;
+  static constexpr int kReceiveBufferBytes = 256 * 1024;
+
+  // How this proxy presents itself to the others.
+  struct Identity {
     std::string name, zone, version;
     std::uint64_t seed = 0;
-    // Another process of this proxy may still hold the address, and will let go of it.
+    // Retry to bind while another process of this proxy still holds the address, as it does during an
+    // upgrade.
     bool wait_for_address = false;
   };
   using OnLog = std::function<void(const std::string&)>;
 
-  // Throws boost::system::system_error if the address cannot be had.
-  Link(boost::asio::io_context& io, Settings settings, Who who, OnLog log);
+  // Throws boost::system::system_error if the address cannot be bound and wait_for_address is false.
+  Link(boost::asio::io_context& io, Settings settings, Identity who, OnLog log);
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
-  void SetKeys(Keys keys) { gate_.SetKeys(std::move(keys)); }
+  void SetKeys(Keys keys) { authenticator_.SetKeys(std::move(keys)); }
+  // See the calls of the same names of Node.
   void Leave();
-  void Stay();
-  void Gone();
-  // To another process of this name, which takes up the address: nobody is told, since nobody has gone.
-  // Others' datagrams go on, from an address of the moment.
+  void CancelLeave();
+  void AnnounceLeft();
+  // Closes the socket, so that a new process of this proxy can bind the address. Nothing is announced, since
+  // the member has not gone. Datagrams of other protocols continue on an ephemeral port.
   void HandOver();
 
-  // Each is called with each event, in order, after it has been logged.
+  // `call` receives every event, in order, after it has been logged. There may be several.
   void OnEvent(std::function<void(const Event&)> call) { on_event_.push_back(std::move(call)); }
 
-  // Others' datagrams between members, under the same key and in the same budget: `call` gets the boot of who
-  // sent one, and false back means that it could not be read. Without a call they are dropped. `per_second`
-  // is then what may come of all datagrams.
+  // Other protocols between members share this socket, its keys and its rate limit. The handler receives the
+  // sender's boot, address and the body, and returns false if the body is malformed. Datagrams without a
+  // handler are dropped.
   using OnProtocolDatagram =
       std::function<bool(std::uint64_t boot, const Address& from, std::span<const std::uint8_t> body)>;
-  // `whose`: the letter by which they are told apart.
-  void CarryProtocol(char whose, double per_second, OnProtocolDatagram call);
-  // Sealed once, to each of `to`. What the kernel does not take at once is dropped.
-  void SendProtocol(char whose, std::span<const Address> to, std::span<const std::uint8_t> body);
+  // `protocol`: the letter that marks its datagrams. The rate limit for all datagrams becomes at least
+  // `per_second`.
+  void CarryProtocol(char protocol, double per_second, OnProtocolDatagram call);
+  // Seals `body` once and sends it to each of `to`. What the kernel does not accept at once is dropped.
+  void SendProtocol(char protocol, std::span<const Address> to, std::span<const std::uint8_t> body);
 
   const Node& node() const { return node_; }
   const Address& listen_address() const { return settings_.listen; }
-  bool listens() const { return socket_.is_open() && !handed_over_; }  // not while it waits for the address
-  // One JSON object, and the figures' lines in the text form of Prometheus.
+  bool listens() const { return socket_.is_open() && !handed_over_; }  // false while it waits for the address
+  // The view as a JSON object, and the metrics in the Prometheus text format.
   std::string Report() const;
   std::string FiguresText() const;
 
  private:
   struct Counts {
     std::uint64_t received = 0, sent = 0, bytes_received = 0, bytes_sent = 0, send_failed = 0;
-    std::array<std::uint64_t, kRefusals> refused{};
+    std::array<std::uint64_t, kDropReasons> dropped{};
     std::array<std::uint64_t, Event::kKinds> events{};
   };
-  // So many a second in the mean, and `burst` at once.
-  class Allowance {
+  // Token bucket: `per_second` on average, and `burst` at once.
+  class TokenBucket {
    public:
-    Allowance(double per_second, double burst, Time now)
+    TokenBucket(double per_second, double burst, Time now)
         : per_second_(per_second), burst_(burst), left_(burst), refilled_(now) {}
     void Refill(Time now) {
       left_ = std::min(burst_, left_ + per_second_ * std::chrono::duration<double>(now - refilled_).count());
@@ -101,36 +106,36 @@
   };
   using Udp = boost::asio::ip::udp;
 
-  Refusal Take(Time now, const Address& from, std::span<const std::uint8_t> datagram);
-  void Put(const Address& to, const wire::Bytes& datagram);
-  void Open();
-  void OpenOrWait();
-  void Await();
+  DropReason Take(Time now, const Address& from, std::span<const std::uint8_t> datagram);
+  void SendTo(const Address& to, const wire::Bytes& datagram);
+  void StartReceiving();
+  void BindOrRetry();
+  void WaitReadable();
   void ReadSlice();
   void Flush();
-  void Arm();
+  void ArmTimer();
   void Log(const std::string& line, Time now);
-  void LogRefusal(Refusal refusal, const Udp::endpoint& from, Time now);
+  void LogDrop(DropReason reason, const Udp::endpoint& from, Time now);
   static Time Now() { return std::chrono::steady_clock::now(); }
 
   Settings settings_;
   OnLog log_;
-  Gate gate_;
+  Authenticator authenticator_;
   Node node_;
   Udp::socket socket_;
-  boost::asio::steady_timer timer_, again_;
+  boost::asio::steady_timer timer_, retry_timer_;
   Counts counts_;
-  Allowance datagrams_, lines_;
-  std::uint64_t lines_left_out_ = 0, refused_said_ = 0;
-  Time refusal_logged_{};
+  TokenBucket read_budget_, log_budget_;
+  std::uint64_t suppressed_lines_ = 0, logged_drops_ = 0;
+  Time last_drop_log_{};
   bool handed_over_ = false;
   std::vector<std::function<void(const Event&)>> on_event_;
-  std::map<char, OnProtocolDatagram> on_other_;
-  double per_second_ = kMostPerSecond;
+  std::map<char, OnProtocolDatagram> protocol_handlers_;
+  double per_second_ = kMaxDatagramsPerSecond;
 };
 
-// A number for this start: its milliseconds since 1970 and 16 bits by chance.
-std::uint64_t DrawBoot();
+// A new boot id: milliseconds since 1970, and 16 random bits of which the lowest is set.
+std::uint64_t NewBootId();
 
 }  // namespace kestrelline::peers
 
--- a/src/peers/member.cpp
+++ b/src/peers/member.cpp
@@ -12,7 +12,7 @@
 namespace kestrelline::peers {
 namespace {
 
-std::uint64_t With(std::uint64_t hash, std::uint64_t number) { return hashing::Mixed(hash ^ number); }
+std::uint64_t Combined(std::uint64_t hash, std::uint64_t number) { return hashing::Mixed(hash ^ number); }
 
 }  // namespace
 
@@ -52,23 +52,23 @@
   return address;
 }
 
-std::strong_ordering Rank(const Member& a, const Member& b) {
+std::strong_ordering ComparePrecedence(const Member& a, const Member& b) {
   return std::tie(a.incarnation, a.boot, a.state) <=> std::tie(b.incarnation, b.boot, b.state);
 }
 
-std::strong_ordering Order(const Member& a, const Member& b) {
-  const auto rank = Rank(a, b);
+std::strong_ordering CompareStatements(const Member& a, const Member& b) {
+  const auto rank = ComparePrecedence(a, b);
   if (rank != 0) return rank;
   return std::tie(a.address, a.zone, a.version, a.wire) <=> std::tie(b.address, b.zone, b.version, b.wire);
 }
 
 std::uint64_t IdentityHash(const Member& m) {
-  const std::uint64_t hash = With(hashing::Fnv1a(m.name), m.boot);
-  return With(hashing::Fnv1a(m.zone, hash), (std::uint64_t{m.address.ip} << 16) | m.address.port);
+  const std::uint64_t hash = Combined(hashing::Fnv1a(m.name), m.boot);
+  return Combined(hashing::Fnv1a(m.zone, hash), (std::uint64_t{m.address.ip} << 16) | m.address.port);
 }
 
 std::uint64_t StatementHash(const Member& m) {
-  return With(With(IdentityHash(m), m.incarnation), static_cast<std::uint64_t>(m.state));
+  return Combined(Combined(IdentityHash(m), m.incarnation), static_cast<std::uint64_t>(m.state));
 }
 
 std::size_t BucketOf(std::string_view name) { return hashing::Mixed(hashing::Fnv1a(name)) % kBuckets; }
--- a/src/peers/message.h
+++ b/src/peers/message.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What proxies say to each other, as values; wire.h has their bytes.
+// The messages that proxies exchange, as values; wire.h encodes them.
 #ifndef KESTRELLINE_PEERS_MESSAGE_H_
 #define KESTRELLINE_PEERS_MESSAGE_H_
 
@@ -15,31 +15,32 @@
 namespace kestrelline::peers {
 
 struct Statement {
-  Member member;              // short ones, about an end or a suspicion, have no address
-  std::uint32_t accuser = 0;  // of a suspicion: who found it out; the hash of a name
+  Member member;              // without address, zone and version in a short statement (wire::ShortForm)
+  std::uint32_t accuser = 0;  // hash of the name of the member that raised the suspicion; 0: none
 
   bool operator==(const Statement&) const = default;
 };
 
 struct Message {
   enum class Kind : std::uint8_t {
-    kPing = 1,     // answer with an ack of this number
-    kAck = 2,      // of a ping; or, passed on, of the ping that a relay sent
-    kNack = 3,     // a relay has had no answer, and lives itself
-    kRelay = 4,    // ping `target` at `target_address`, and pass on what comes
-    kDigest = 5,   // the buckets of the sender's view
-    kEntries = 6,  // statements of the buckets in which two views differ
-    kJoin = 7      // a digest is wanted: from one who is new or was away
+    kPing = 1,     // asks for an ack with this number
+    kAck = 2,      // answers a ping; also forwarded by a relay on behalf of its target
+    kNack = 3,     // from a relay: the target did not answer, but the relay is alive
+    kRelay = 4,    // asks the receiver to ping `target` at `target_address` and forward the ack
+    kDigest = 5,   // the digest of the sender's view, for comparison
+    kEntries = 6,  // statements from the buckets in which two views differ
+    kJoin = 7      // asks for entries: from a member that is new or has been out of contact
   };
   Kind kind = Kind::kPing;
-  Member from;             // who says it, by its own word
-  std::uint64_t view = 0;  // the hash of its view; 0: not said (the first form has no place for it)
+  Member from;             // the sender, as it describes itself
+  std::uint64_t view = 0;  // hash of the sender's view; 0: unknown (format 1 doesn't carry it)
   std::uint64_t number = 0;
-  std::string target;                 // of a ping, a relay, an ack: a name; empty: whoever is there
+  std::string target;                 // name of the member meant by a ping, relay or ack; empty: any
   std::uint64_t target_boot = 0;      // 0: any
-  Address target_address;             // of a relay
+  Address target_address;             // of kRelay
   std::vector<std::uint32_t> digest;  // empty, or kBuckets
-  // Of entries: the buckets that they hold whole, and whether what is newer at the receiver is wanted.
+  // Of kEntries: bit set of the buckets sent completely, and whether the receiver is to answer with what is
+  // newer in its own view.
   std::array<std::uint64_t, kBuckets / 64> whole{};
   bool reply = false;
   std::vector<Statement> statements;
@@ -50,7 +51,7 @@
 struct Outgoing {
   Address to;
   Message message;
-  std::uint8_t wire = 1;  // the form that the receiver reads
+  std::uint8_t wire = 1;  // the datagram format to use, which the receiver reads
 };
 
 }  // namespace kestrelline::peers
--- a/src/peers/node.cpp
+++ b/src/peers/node.cpp
@@ -11,13 +11,14 @@
 namespace kestrelline::peers {
 namespace {
 
-constexpr Span kLearning = std::chrono::seconds(10);  // a newcomer is told of those that have failed too
-constexpr Span kForgetEvery = std::chrono::seconds(10);
-// Whoever keeps quiet takes its name back after this many questions to the holder in a row without an answer:
-// where half of all datagrams are lost, a quarter of the questions are answered, and 40 in a row are not once
-// in 100,000.
-constexpr int kHolderSilent = 40;
-constexpr Span kMostKnockPause = std::chrono::seconds(4);
+// After its start a proxy also stores members that have failed or left.
+constexpr Span kLearningPeriod = std::chrono::seconds(10);
+constexpr Span kForgetInterval = std::chrono::seconds(10);
+// A displaced process takes its name back after this many requests in a row that the holder left unanswered.
+// With half of all datagrams lost, a quarter of the requests are answered, so that 40 misses in a row from a
+// live holder have a probability of 1 in 100,000.
+constexpr int kMaxUnansweredHolderChecks = 40;
+constexpr Span kMaxContactInterval = std::chrono::seconds(4);
 
 Member SelfOf(const Node::Options& o) {
   return {o.name, o.boot, 0, State::kAlive, o.address, o.zone, o.version, o.wire};
@@ -40,21 +41,21 @@
     : options_(std::move(options)),
       view_(SelfOf(options_), now, 5 * options_.times.period),
       prober_(options_.times, options_.seed, now),
-      reading_(options_.times.reading_holds),
+      connectivity_(options_.times.connectivity_hold),
       start_(now),
-      digest_due_(now + options_.times.digest_again),
-      knock_due_(now),
-      forget_due_(now + kForgetEvery),
+      digest_due_(now + options_.times.digest_retry_interval),
+      contact_due_(now),
+      forget_due_(now + kForgetInterval),
       due_(now) {}
 
 std::uint32_t Node::OwnHash() const {
-  return static_cast<std::uint32_t>(hashing::Fnv1a(options_.name)) | 1;  // 0 is nobody
+  return static_cast<std::uint32_t>(hashing::Fnv1a(options_.name)) | 1;  // 0 stands for no accuser
 }
 
-// ---- what comes ----------------------------------------------------------------------------------------
+// ---- receiving -----------------------------------------------------------------------------------------
 
-// A process that did not run for a while has heard nobody: that is no sign of anybody's death.
-void Node::Before(Time now) {
+// A process that was paused has heard from no one in that time, which must not count against other members.
+void Node::HandlePause(Time now) {
   const Span late = now - due_;
   if (late < 2 * options_.times.period) return;
   for (auto& [name, since] : suspicions_) since += late;
@@ -63,43 +64,45 @@
 }
 
 void Node::Receive(Time now, const Message& m) {
-  if (gone_) return;
-  Before(now);
-  if (m.from.boot == options_.boot) return;  // this one's own, by a seed that is itself
+  if (stopped_) return;
+  HandlePause(now);
+  if (m.from.boot == options_.boot) return;  // sent by this process itself, since it is one of its own seeds
   if (m.from.name == options_.name) {
-    if (displaced_ && m.from.boot == self().boot) asked_holder_ = 0;
-    OnSelf(now, m.from, true);
+    if (displaced_ && m.from.boot == self().boot) unanswered_holder_checks_ = 0;
+    OnStatementAboutSelf(now, m.from, true);
   } else {
-    Merge(now, {m.from, 0}, Source::kItself);
+    Merge(now, {m.from, 0}, Source::kDirect);
   }
   View::Entry* entry = view_.Find(m.from.name);
   if (entry && entry->member.boot == m.from.boot && m.from.name != options_.name) {
-    entry->heard = now;
-    entry->its_view = m.view;
+    entry->last_heard = now;
+    entry->reported_view_hash = m.view;
   }
-  const Source source = m.kind == Message::Kind::kEntries ? Source::kExchange : Source::kNews;
+  const Source source = m.kind == Message::Kind::kEntries ? Source::kExchange : Source::kGossip;
   for (const Statement& s : m.statements) Merge(now, s, source);
 
-  const bool mine = m.target.empty() || m.target == options_.name;
+  const bool for_self = m.target.empty() || m.target == options_.name;
   switch (m.kind) {
     case Message::Kind::kPing: {
-      // Whoever has taken over an address says who is there now, which answers no probe of somebody else.
-      Message ack = Base(Message::Kind::kAck);
-      const bool meant = mine && (m.target_boot == 0 || m.target_boot == options_.boot) && !displaced_;
-      ack.number = meant ? m.number : 0;
+      // A process that has taken over the address of another answers, so that the sender learns of it, but
+      // with number 0, which acknowledges no probe.
+      Message ack = NewMessage(Message::Kind::kAck);
+      const bool addressed =
+          for_self && (m.target_boot == 0 || m.target_boot == options_.boot) && !displaced_;
+      ack.number = addressed ? m.number : 0;
       Send(m.from.address, m.from.wire, m.from.name, std::move(ack));
       break;
     }
     case Message::Kind::kAck: {
-      knocks_unanswered_ = 0;
-      const auto relayed = relayed_.find(m.number);
-      if (relayed != relayed_.end() && m.from.name == relayed->second.target) {
-        Message ack = Base(Message::Kind::kAck);
+      unanswered_contacts_ = 0;
+      const auto relayed = relayed_pings_.find(m.number);
+      if (relayed != relayed_pings_.end() && m.from.name == relayed->second.target) {
+        Message ack = NewMessage(Message::Kind::kAck);
         ack.number = relayed->second.number;
         ack.target = relayed->second.target;
         ack.target_boot = m.from.boot;
         Send(relayed->second.to, relayed->second.wire, "", std::move(ack));
-        relayed_.erase(relayed);
+        relayed_pings_.erase(relayed);
       } else if (m.target.empty()) {
         prober_.OnAck(now, m.number, m.from.name, m.from.boot, true, &view_);
       } else {
@@ -111,113 +114,116 @@
       prober_.OnNack(m.number);
       break;
     case Message::Kind::kRelay: {
-      if (displaced_ || relayed_.size() >= kMostRelayed || m.target_address.port == 0) break;
+      if (displaced_ || relayed_pings_.size() >= kMaxPendingRelays || m.target_address.port == 0) break;
       const std::uint64_t number = prober_.NextNumber();
-      relayed_[number] = {m.from.address, m.from.wire,   m.number,
-                          m.target,       m.target_boot, now + options_.times.period / 3};
+      relayed_pings_[number] = {m.from.address, m.from.wire,   m.number,
+                                m.target,       m.target_boot, now + options_.times.period / 3};
       const View::Entry* target = view_.Find(m.target);
-      Message ping = Base(Message::Kind::kPing);
+      Message ping = NewMessage(Message::Kind::kPing);
       ping.number = number;
       ping.target = m.target;
       ping.target_boot = m.target_boot;
-      Send(m.target_address, target ? target->member.wire : wire::kOldest, m.target, std::move(ping));
+      Send(m.target_address, target ? target->member.wire : wire::kOldestFormat, m.target, std::move(ping));
       break;
     }
     case Message::Kind::kDigest:
     case Message::Kind::kJoin: {
       if (displaced_) break;
       const bool joins = m.kind == Message::Kind::kJoin;
-      const auto differing = exchange::Differing(view_, m.digest);
-      Message base = Base(Message::Kind::kEntries);
+      const auto differing = exchange::DifferingBuckets(view_, m.digest);
+      Message base = NewMessage(Message::Kind::kEntries);
       base.reply = true;
       if (joins) {
-        Message ack = Base(Message::Kind::kAck);
+        Message ack = NewMessage(Message::Kind::kAck);
         Send(m.from.address, m.from.wire, m.from.name, std::move(ack));
       }
       if (differing.none()) break;
-      digest_due_ = std::min(digest_due_, now + options_.times.digest_again);
-      SendPages(m.from,
-                exchange::Tell(view_, differing, base, prober_.random()() % kBuckets, kMostPages, joins));
+      digest_due_ = std::min(digest_due_, now + options_.times.digest_retry_interval);
+      SendDatagrams(m.from, exchange::BuildEntries(view_, differing, base, prober_.random()() % kBuckets,
+                                                   kMaxDatagramsPerExchange, joins));
       break;
     }
     case Message::Kind::kEntries:
-      digest_due_ = std::min(digest_due_, now + options_.times.digest_again);
+      digest_due_ = std::min(digest_due_, now + options_.times.digest_retry_interval);
       if (m.reply && !displaced_)
-        SendPages(m.from, exchange::Answer(view_, m, Base(Message::Kind::kEntries), kMostPages));
+        SendDatagrams(m.from, exchange::BuildReply(view_, m, NewMessage(Message::Kind::kEntries),
+                                                   kMaxDatagramsPerExchange));
       break;
   }
-  Read(now);
+  UpdateConnectivity(now);
   due_ = std::max(due_, now);
 }
 
 void Node::Merge(Time now, const Statement& s, Source source) {
   const Member& said = s.member;
-  if (said.name == options_.name) return OnSelf(now, said, false);
+  if (said.name == options_.name) return OnStatementAboutSelf(now, said, false);
   const View::Entry* before = view_.Find(said.name);
   const std::optional<Member> old = before ? std::optional(before->member) : std::nullopt;
-  const auto merged = view_.Merge(said, source, now, now - start_ < kLearning);
+  const auto merged = view_.Merge(said, source, now, now - start_ < kLearningPeriod);
   View::Entry* entry = view_.Find(said.name);
-  if (merged == View::Merged::kOld && entry && s.accuser != 0 && said.state == State::kSuspect &&
+  if (merged == View::MergeResult::kUnchanged && entry && s.accuser != 0 && said.state == State::kSuspect &&
       entry->member.state == State::kSuspect && entry->member.boot == said.boot &&
       entry->member.incarnation == said.incarnation) {
-    return Suspect(now, *entry, s.accuser);  // one more who has found it out by itself
+    return Suspect(now, *entry, s.accuser);  // an independent confirmation
   }
-  if (merged != View::Merged::kStored && merged != View::Merged::kDoubted) return;
+  if (merged != View::MergeResult::kStored && merged != View::MergeResult::kStoredAsSuspect) return;
 
   const Member& held = entry->member;
   suspicions_.erase(said.name);
-  const bool was = old && Present(old->state), is = Present(held.state);
+  const bool was_present = old && Present(old->state), is_present = Present(held.state);
   const bool suspected_before = old && old->state == State::kSuspect;
   if (held.state == State::kSuspect) {
-    if (!was) Announce(old ? Event::Kind::kReturned : Event::Kind::kJoined, held);
-    Announce(Event::Kind::kSuspected, held);
+    if (!was_present) EmitEvent(old ? Event::Kind::kReturned : Event::Kind::kJoined, held);
+    EmitEvent(Event::Kind::kSuspected, held);
     Suspect(now, *entry, s.accuser != 0 ? s.accuser : OwnHash());
     return;
   }
-  if (is && (!was || old->boot != held.boot)) {
-    Announce(old ? Event::Kind::kReturned : Event::Kind::kJoined, held);
+  if (is_present && (!was_present || old->boot != held.boot)) {
+    EmitEvent(old ? Event::Kind::kReturned : Event::Kind::kJoined, held);
   } else if (held.state == State::kAlive && suspected_before) {
-    Announce(Event::Kind::kCleared, held);
+    EmitEvent(Event::Kind::kCleared, held);
   }
   if (held.state == State::kLeaving && !(old && old->state == State::kLeaving))
-    Announce(Event::Kind::kLeaving, held);
-  if (!is && was) Announce(held.state == State::kLeft ? Event::Kind::kLeft : Event::Kind::kFailed, held);
-  gossip_.Add(wire::Shortened({held, s.accuser}));
+    EmitEvent(Event::Kind::kLeaving, held);
+  if (!is_present && was_present)
+    EmitEvent(held.state == State::kLeft ? Event::Kind::kLeft : Event::Kind::kFailed, held);
+  gossip_.Add(wire::ShortForm({held, s.accuser}));
 }
 
-// What is said of this proxy by others, or by another process of its name.
-void Node::OnSelf(Time now, const Member& said, bool direct) {
+// Handles statements about this proxy, made by others or by another process of the same name.
+void Node::OnStatementAboutSelf(Time now, const Member& said, bool direct) {
   if (said.boot == options_.boot) {
-    const bool against = said.state == State::kSuspect || said.state == State::kFaulty ||
-                         (said.state == State::kLeft && !gone_);
-    if (displaced_ || !against || said.incarnation < self().incarnation) return;
-    prober_.health().Worse();
-    if (said.state != State::kSuspect) Announce(Event::Kind::kAccused, said);
+    const bool needs_refuting = said.state == State::kSuspect || said.state == State::kFaulty ||
+                                (said.state == State::kLeft && !stopped_);
+    if (displaced_ || !needs_refuting || said.incarnation < self().incarnation) return;
+    prober_.health().Degrade();
+    if (said.state != State::kSuspect) EmitEvent(Event::Kind::kAccused, said);
     return SetSelf(now, said.incarnation + 1, self().state);
   }
   if (displaced_) return;
-  switch (contest_.Judge(self(), said, direct)) {
-    case Contest::Verdict::kIgnore:
+  switch (conflict_.Judge(self(), said, direct)) {
+    case NameConflict::Verdict::kIgnore:
       break;
-    case Contest::Verdict::kYield: {
-      // A short statement does not tell where to ask for the holder; a whole one follows.
+    case NameConflict::Verdict::kYield: {
+      // A short statement lacks the address at which to contact the holder; a full one follows.
       if (said.address.port == 0) return;
       displaced_ = true;
-      asked_holder_ = 0;
-      ask_holder_due_ = now;
+      unanswered_holder_checks_ = 0;
+      holder_check_due_ = now;
       gossip_.Drop(options_.name);
       suspicions_.clear();
       view_.SetSelf(said, now);
-      Announce(Event::Kind::kNameHeld, said);
+      EmitEvent(Event::Kind::kNameHeld, said);
       return;
     }
-    case Contest::Verdict::kRaise:
+    case NameConflict::Verdict::kRaise:
       if (said.address != self().address && said.address.port != 0) {
-        if (Present(said.state) && contest_.IsNews(said.boot)) Announce(Event::Kind::kNameTaken, said);
-        Message join = Base(Message::Kind::kJoin);
+        if (Present(said.state) && conflict_.IsFirstReport(said.boot))
+          EmitEvent(Event::Kind::kNameTaken, said);
+        Message join = NewMessage(Message::Kind::kJoin);
         SetSelf(now, said.incarnation + 1, self().state);
         join.from = self();
-        return Send(said.address, wire::kOldest, "", std::move(join));
+        return Send(said.address, wire::kOldestFormat, "", std::move(join));
       }
       SetSelf(now, said.incarnation + 1, self().state);
       return;
@@ -232,43 +238,43 @@
   gossip_.Add({me, 0});
 }
 
-// ---- what is due ---------------------------------------------------------------------------------------
+// ---- timers --------------------------------------------------------------------------------------------
 
 void Node::Suspect(Time now, View::Entry& entry, std::uint32_t accuser) {
   auto& accusers = entry.accusers;
-  const bool news = std::find(accusers.begin(), accusers.end(), accuser) == accusers.end() &&
-                    accusers.size() <= kConfirmations;
-  if (news) accusers.push_back(accuser);
+  const bool is_new = std::find(accusers.begin(), accusers.end(), accuser) == accusers.end() &&
+                      accusers.size() <= kMaxConfirmations;
+  if (is_new) accusers.push_back(accuser);
   suspicions_.try_emplace(entry.member.name, now);
-  // Each independent accuser is told of, since each shortens the wait.
-  if (news) gossip_.Add(wire::Shortened({entry.member, accuser}));
+  // Each independent accuser is gossiped, since each shortens the suspicion.
+  if (is_new) gossip_.Add(wire::ShortForm({entry.member, accuser}));
 }
 
-Time Node::EndOf(const std::string& name, Time since) const {
+Time Node::SuspicionDeadline(const std::string& name, Time since) const {
   const View::Entry* entry = view_.Find(name);
   return since + options_.times.Suspicion(view_.present(), entry ? entry->confirmations() : 0);
 }
 
 void Node::Expire(Time now) {
-  for (auto at = suspicions_.begin(); at != suspicions_.end();) {
-    View::Entry* entry = view_.Find(at->first);
+  for (auto it = suspicions_.begin(); it != suspicions_.end();) {
+    View::Entry* entry = view_.Find(it->first);
     if (!entry || (entry->member.state != State::kSuspect && entry->member.state != State::kLeaving)) {
-      at = suspicions_.erase(at);
+      it = suspicions_.erase(it);
       continue;
     }
-    if (entry->member.state == State::kLeaving && entry->heard > at->second) {
-      at = suspicions_.erase(at);
+    if (entry->member.state == State::kLeaving && entry->last_heard > it->second) {
+      it = suspicions_.erase(it);
       continue;
     }
-    if (now < EndOf(at->first, at->second)) {
-      ++at;
+    if (now < SuspicionDeadline(it->first, it->second)) {
+      ++it;
       continue;
     }
     Member ended = entry->member;
     ended.state = ended.state == State::kLeaving ? State::kLeft : State::kFaulty;
-    suspicions_.erase(at);
-    Merge(now, {ended, 0}, Source::kOwn);
-    at = suspicions_.begin();  // of fewer members fewer can confirm: earlier ones may be due now
+    suspicions_.erase(it);
+    Merge(now, {ended, 0}, Source::kLocal);
+    it = suspicions_.begin();  // fewer members can confirm fewer times: others may be due now
   }
 }
 
@@ -276,17 +282,17 @@
   View::Entry* entry = view_.Find(step.name);
   if (!entry || entry->member.boot != step.boot) return;
   if (entry->member.state == State::kLeaving) {
-    suspicions_.try_emplace(step.name, now);  // it did not say that it has gone, and has
+    suspicions_.try_emplace(step.name, now);  // it stopped without announcing its end
     return;
   }
   if (entry->member.state == State::kSuspect) return Suspect(now, *entry, OwnHash());
   Member suspect = entry->member;
   suspect.state = State::kSuspect;
-  Merge(now, {suspect, OwnHash()}, Source::kOwn);
+  Merge(now, {suspect, OwnHash()}, Source::kLocal);
 }
 
 void Node::Ping(const Member& member, std::uint64_t number) {
-  Message ping = Base(Message::Kind::kPing);
+  Message ping = NewMessage(Message::Kind::kPing);
   ping.number = number;
   ping.target = member.name;
   ping.target_boot = member.boot;
@@ -297,12 +303,12 @@
   for (;;) {
     const Prober::Step step = prober_.Next(now, view_);
     const View::Entry* entry = view_.Find(step.name);
-    switch (step.what) {
-      case Prober::Step::What::kNothing:
+    switch (step.action) {
+      case Prober::Step::Action::kNothing:
         return;
-      case Prober::Step::What::kPing: {
+      case Prober::Step::Action::kPing: {
         if (entry) Ping(entry->member, step.number);
-        // Whoever has accused somebody asks it on: it is to hear of it, and to be heard.
+        // An accuser keeps pinging the members it suspects, so that they learn of it and can refute it.
         std::vector<const Member*> accused;
         for (const auto& [name, since] : suspicions_) {
           const View::Entry* e = view_.Find(name);
@@ -311,137 +317,138 @@
         if (!accused.empty()) Ping(*accused[prober_.random()() % accused.size()], prober_.NextNumber());
         break;
       }
-      case Prober::Step::What::kRelay: {
+      case Prober::Step::Action::kRelay: {
         if (!entry) break;
         Ping(entry->member, step.number);
         for (const std::string& relay : step.relays) {
           const View::Entry* by = view_.Find(relay);
           if (!by) continue;
-          Message ask = Base(Message::Kind::kRelay);
-          ask.number = step.number;
-          ask.target = step.name;
-          ask.target_boot = step.boot;
-          ask.target_address = entry->member.address;
-          Send(by->member.address, by->member.wire, relay, std::move(ask));
+          Message request = NewMessage(Message::Kind::kRelay);
+          request.number = step.number;
+          request.target = step.name;
+          request.target_boot = step.boot;
+          request.target_address = entry->member.address;
+          Send(by->member.address, by->member.wire, relay, std::move(request));
         }
         break;
       }
-      case Prober::Step::What::kFailed:
+      case Prober::Step::Action::kFailed:
         OnFailed(now, step);
         break;
     }
   }
 }
 
-void Node::Exchange(Time now) {
-  digest_due_ = now + Jittered(options_.times.digest_every, prober_.random());
-  // With those who have been heard: a copy full of names that nobody answers to would be compared with
-  // nobody.
+void Node::SendDigest(Time now) {
+  digest_due_ = now + Jittered(options_.times.digest_interval, prober_.random());
+  // Only with members that have been heard from: a view that holds many names without a process behind them
+  // would otherwise be compared with none.
   std::vector<const Member*> others;
   for (const auto& [name, entry] : view_.entries())
-    if (Present(entry.member.state) && entry.heard != Time() && name != options_.name)
+    if (Present(entry.member.state) && entry.last_heard != Time() && name != options_.name)
       others.push_back(&entry.member);
   if (others.empty()) return;
   const Member& other = *others[prober_.random()() % others.size()];
-  Message digest = Base(Message::Kind::kDigest);
+  Message digest = NewMessage(Message::Kind::kDigest);
   digest.digest.assign(view_.digest().begin(), view_.digest().end());
   Send(other.address, other.wire, other.name, std::move(digest));
 }
 
-// Whether whoever holds this one's name is still there.
-void Node::AskHolder(Time now) {
-  if (asked_holder_ >= kHolderSilent) {
+// Checks whether the holder of this process's name is still alive, and takes the name back if it is not.
+void Node::CheckNameHolder(Time now) {
+  if (unanswered_holder_checks_ >= kMaxUnansweredHolderChecks) {
     displaced_ = false;
-    contest_ = {};
+    conflict_ = {};
     SetSelf(now, self().incarnation + 1, State::kAlive);
-    Announce(Event::Kind::kNameRegained, self());
+    EmitEvent(Event::Kind::kNameRegained, self());
     return;
   }
-  Send(self().address, wire::kOldest, "", Base(Message::Kind::kJoin));
-  ++asked_holder_;
-  ask_holder_due_ = now + options_.times.period;
+  Send(self().address, wire::kOldestFormat, "", NewMessage(Message::Kind::kJoin));
+  ++unanswered_holder_checks_;
+  holder_check_due_ = now + options_.times.period;
 }
 
-// At one of those that are believed to be gone or have left, or are named as seeds and not there: the two
-// halves of a partition find each other by this alone, and so does whoever starts anew while its seeds are
-// dead.
-void Node::Knock(Time now) {
-  std::vector<std::pair<Address, std::uint8_t>> doors;
-  std::vector<Address> met;
+// Sends a join to a random member that has failed or left, or to a seed that is in no view. Only in this way
+// do the two sides of a healed partition, or a new process whose seeds were dead, find the others.
+void Node::ContactAbsentPeers(Time now) {
+  std::vector<std::pair<Address, std::uint8_t>> absent;
+  std::vector<Address> present;
   for (const auto& [name, entry] : view_.entries()) {
     if (Present(entry.member.state)) {
-      met.push_back(entry.member.address);
+      present.push_back(entry.member.address);
     } else {
-      doors.emplace_back(entry.member.address, entry.member.wire);
+      absent.emplace_back(entry.member.address, entry.member.wire);
     }
   }
-  std::sort(met.begin(), met.end());
+  std::sort(present.begin(), present.end());
   for (const Address& seed : options_.seeds)
-    if (!std::binary_search(met.begin(), met.end(), seed)) doors.emplace_back(seed, wire::kOldest);
-  Span pause = options_.times.knock_every;
-  if (!doors.empty()) {
-    const auto& [address, form] = doors[prober_.random()() % doors.size()];
-    Message join = Base(Message::Kind::kJoin);
+    if (!std::binary_search(present.begin(), present.end(), seed))
+      absent.emplace_back(seed, wire::kOldestFormat);
+  Span pause = options_.times.contact_interval;
+  if (!absent.empty()) {
+    const auto& [address, wire_format] = absent[prober_.random()() % absent.size()];
+    Message join = NewMessage(Message::Kind::kJoin);
     join.digest.assign(view_.digest().begin(), view_.digest().end());
-    Send(address, form, "", std::move(join));
-    // A few that never come back are not knocked at for ever at the same pace; many gone at once are.
-    knocks_unanswered_ = std::min(knocks_unanswered_ + 1, 64);
-    if (knocks_unanswered_ > 16) pause = std::min(pause * (knocks_unanswered_ / 16), kMostKnockPause);
+    Send(address, wire_format, "", std::move(join));
+    // Backs off after 16 attempts without an ack, so that a few members that never return are not contacted
+    // at the full rate for ever, but many that have failed at once are.
+    unanswered_contacts_ = std::min(unanswered_contacts_ + 1, 64);
+    if (unanswered_contacts_ > 16) pause = std::min(pause * (unanswered_contacts_ / 16), kMaxContactInterval);
   }
-  knock_due_ = now + Jittered(pause, prober_.random());
+  contact_due_ = now + Jittered(pause, prober_.random());
 }
 
-void Node::Read(Time now) {
-  const bool hopes = std::any_of(options_.seeds.begin(), options_.seeds.end(),
-                                 [&](const Address& a) { return a != options_.address; });
-  if (!reading_.Update(now, view_.present(), view_.present() + view_.faulty(), hopes)) return;
-  Announce(reading_.stands() == Reading::kWhole  ? Event::Kind::kWhole
-           : reading_.stands() == Reading::kPart ? Event::Kind::kPart
-                                                 : Event::Kind::kAlone,
-           self());
+void Node::UpdateConnectivity(Time now) {
+  const bool has_seeds = std::any_of(options_.seeds.begin(), options_.seeds.end(),
+                                     [&](const Address& a) { return a != options_.address; });
+  if (!connectivity_.Update(now, view_.present(), view_.present() + view_.faulty(), has_seeds)) return;
+  EmitEvent(connectivity_.current() == Connectivity::kWhole  ? Event::Kind::kWhole
+            : connectivity_.current() == Connectivity::kPart ? Event::Kind::kPart
+                                                             : Event::Kind::kAlone,
+            self());
 }
 
 void Node::Tick(Time now) {
-  if (gone_) return;
-  Before(now);
+  if (stopped_) return;
+  HandlePause(now);
   if (displaced_) {
-    if (now >= ask_holder_due_) AskHolder(now);
+    if (now >= holder_check_due_) CheckNameHolder(now);
   } else {
     Probe(now);
     Expire(now);
-    if (now >= digest_due_) Exchange(now);
+    if (now >= digest_due_) SendDigest(now);
   }
-  if (now >= knock_due_) Knock(now);
+  if (now >= contact_due_) ContactAbsentPeers(now);
   if (now >= forget_due_) {
-    forget_due_ = now + kForgetEvery;
-    view_.Forget(now, options_.times.left_kept, options_.times.failed_kept);
+    forget_due_ = now + kForgetInterval;
+    view_.Forget(now, options_.times.left_retention, options_.times.failed_retention);
   }
-  for (auto at = relayed_.begin(); at != relayed_.end();) {
-    if (now < at->second.until) {
-      ++at;
+  for (auto it = relayed_pings_.begin(); it != relayed_pings_.end();) {
+    if (now < it->second.until) {
+      ++it;
       continue;
     }
-    Message nack = Base(Message::Kind::kNack);
-    nack.number = at->second.number;
-    nack.target = at->second.target;
-    Send(at->second.to, at->second.wire, "", std::move(nack));
-    at = relayed_.erase(at);
+    Message nack = NewMessage(Message::Kind::kNack);
+    nack.number = it->second.number;
+    nack.target = it->second.target;
+    Send(it->second.to, it->second.wire, "", std::move(nack));
+    it = relayed_pings_.erase(it);
   }
-  Read(now);
+  UpdateConnectivity(now);
   due_ = NextDue();
 }
 
 Time Node::NextDue() const {
-  if (gone_) return Time::max();
-  Time due = std::min({knock_due_, forget_due_});
+  if (stopped_) return Time::max();
+  Time due = std::min({contact_due_, forget_due_});
   if (displaced_) {
-    due = std::min(due, ask_holder_due_);
+    due = std::min(due, holder_check_due_);
   } else {
     due = std::min({due, prober_.Due(), digest_due_});
-    for (const auto& [name, since] : suspicions_) due = std::min(due, EndOf(name, since));
+    for (const auto& [name, since] : suspicions_) due = std::min(due, SuspicionDeadline(name, since));
   }
-  for (const auto& [number, relayed] : relayed_) due = std::min(due, relayed.until);
-  if (reading_.waiting()) due = std::min(due, reading_.due());
+  for (const auto& [number, relayed] : relayed_pings_) due = std::min(due, relayed.until);
+  if (connectivity_.pending()) due = std::min(due, connectivity_.due());
   return due;
 }
 
@@ -450,66 +457,66 @@
   bool heard = false;
   for (const auto& [name, entry] : view_.entries()) {
     if (name == options_.name || !Present(entry.member.state)) continue;
-    if (entry.heard == Time() || now - entry.heard > options_.times.heard_lately) continue;
-    if (entry.its_view != 0 && entry.its_view != view_.hash()) return false;
+    if (entry.last_heard == Time() || now - entry.last_heard > options_.times.recent_contact) continue;
+    if (entry.reported_view_hash != 0 && entry.reported_view_hash != view_.hash()) return false;
     heard = true;
   }
   return heard || view_.present() == 1;
 }
 
-// ---- what is sent --------------------------------------------------------------------------------------
+// ---- sending -------------------------------------------------------------------------------------------
 
-Message Node::Base(Message::Kind kind) const {
+Message Node::NewMessage(Message::Kind kind) const {
   Message m;
   m.kind = kind;
   m.from = self();
-  if (displaced_) {  // it says no more of itself than that it is there, under its own boot
+  if (displaced_) {  // only that it exists, under its own boot
     m.from = SelfOf(options_);
   }
   m.view = view_.hash();
   return m;
 }
 
-void Node::Send(const Address& to, std::uint8_t form, std::string_view name, Message m) {
+void Node::Send(const Address& to, std::uint8_t wire_format, std::string_view name, Message m) {
   if (to == options_.address) return;
-  // First of all what its receiver has to contradict.
+  // What the receiver has to refute takes precedence over gossip.
   const View::Entry* about = name.empty() ? nullptr : view_.Find(name);
   if (about && name != options_.name && about->member.state != State::kAlive)
-    m.statements.push_back(wire::Shortened({about->member, about->accuser()}));
+    m.statements.push_back(wire::ShortForm({about->member, about->accuser()}));
   if (m.kind != Message::Kind::kEntries && !displaced_) {
-    const std::size_t used = wire::MostBytes(m);
-    if (used < wire::kMostBody)
-      gossip_.Fill(wire::kMostBody - used, Times::Tellings(view_.present()), &m.statements);
+    const std::size_t used = wire::MaxBytes(m);
+    if (used < wire::kMaxBodyBytes)
+      gossip_.Fill(wire::kMaxBodyBytes - used, Times::RetransmitLimit(view_.present()), &m.statements);
   }
-  outgoing_.push_back({to, std::move(m), std::min(form, options_.wire)});
+  outgoing_.push_back({to, std::move(m), std::min(wire_format, options_.wire)});
 }
 
-void Node::SendPages(const Member& to, std::vector<Message> pages) {
-  for (Message& page : pages) Send(to.address, to.wire, "", std::move(page));
+void Node::SendDatagrams(const Member& to, std::vector<Message> messages) {
+  for (Message& message : messages) Send(to.address, to.wire, "", std::move(message));
 }
 
 void Node::Leave(Time now) {
-  if (gone_ || displaced_ || self().state != State::kAlive) return;
+  if (stopped_ || displaced_ || self().state != State::kAlive) return;
   SetSelf(now, self().incarnation, State::kLeaving);
 }
 
-void Node::Stay(Time now) {
-  if (gone_ || displaced_ || self().state != State::kLeaving) return;
+void Node::CancelLeave(Time now) {
+  if (stopped_ || displaced_ || self().state != State::kLeaving) return;
   SetSelf(now, self().incarnation + 1, State::kAlive);
 }
 
-void Node::Gone(Time now) {
-  if (gone_) return;
+void Node::AnnounceLeft(Time now) {
+  if (stopped_) return;
   if (!displaced_) {
     SetSelf(now, self().incarnation, State::kLeft);
     std::vector<const Member*> others;
     for (const auto& [name, entry] : view_.entries())
       if (Present(entry.member.state) && name != options_.name) others.push_back(&entry.member);
     std::shuffle(others.begin(), others.end(), prober_.random());
-    for (std::size_t i = 0; i < std::min(others.size(), kMostFarewells); ++i)
-      Send(others[i]->address, others[i]->wire, "", Base(Message::Kind::kAck));
+    for (std::size_t i = 0; i < std::min(others.size(), kMaxLeaveNotices); ++i)
+      Send(others[i]->address, others[i]->wire, "", NewMessage(Message::Kind::kAck));
   }
-  gone_ = true;
+  stopped_ = true;
 }
 
 }  // namespace kestrelline::peers
--- a/src/peers/node.h
+++ b/src/peers/node.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One proxy among its peers: keeps the view, asks and answers, spreads what is new. No I/O, no clock: time
-// comes in with each call, datagrams and events go out by Take. The same code runs in the daemon and in
-// virtual time.
+// The protocol of one proxy among its peers: keeps the membership view, probes members for failures (SWIM
+// with Lifeguard's extensions), and spreads updates by gossip and anti-entropy. No I/O, no clock: each call
+// passes the time, and callers collect datagrams and events. The same code runs in the daemon and in
+// simulations.
 //
 //   node.Receive(now, message);  node.Tick(now);  // at NextDue(), or later
 //   for (auto& out : node.TakeOutgoing()) ...
@@ -27,26 +28,27 @@
 
 namespace kestrelline::peers {
 
+// A change of the view or of this proxy's own standing, to be logged and counted.
 struct Event {
   enum class Kind {
-    kJoined,     // first heard of
-    kSuspected,  // does not answer
-    kCleared,    // answers after all
+    kJoined,     // first heard of this member
+    kSuspected,  // did not answer a probe, or is suspected by others
+    kCleared,    // refuted the suspicion
     kFailed,
-    kReturned,  // one that had failed or left, or was started anew
+    kReturned,  // back after it had failed or left, or restarted
     kLeaving,
     kLeft,
-    kWhole,
+    kWhole,  // connectivity changed; see Connectivity
     kPart,
     kAlone,
-    kAccused,      // this proxy was said to be gone, and takes it back
-    kNameHeld,     // another process holds this one's name: this one keeps quiet
-    kNameTaken,    // another process goes by this one's name; this one holds it
-    kNameRegained  // the other has gone; the last one
+    kAccused,      // others held this proxy for faulty or left; it refutes that
+    kNameHeld,     // another process holds this one's name; this one becomes passive
+    kNameTaken,    // another process uses this one's name; this one keeps it
+    kNameRegained  // the other process is gone. Last value: kKinds depends on it
   };
   static constexpr std::size_t kKinds = static_cast<std::size_t>(Kind::kNameRegained) + 1;
   Kind kind;
-  Member member;  // whom it is about; of a reading: this proxy
+  Member member;  // the subject; this proxy if connectivity changed
 };
 const char* NameOf(Event::Kind kind);
 
@@ -55,36 +57,39 @@
   struct Options {
     std::string name{}, zone{}, version{};
     std::uint64_t boot = 0, seed = 0;
-    Address address{};             // as others reach it
-    std::vector<Address> seeds{};  // this proxy's own may be among them
-    std::uint8_t wire = 2;         // the newest form that it writes and reads
+    Address address{};             // where others reach this proxy
+    std::vector<Address> seeds{};  // may include this proxy's own address
+    std::uint8_t wire = 2;         // the newest datagram format that it writes and reads
     Times times{};
   };
 
   Node(Options options, Time now);
 
-  // What its key has proven to come from a member; see gate.h.
+  // `message` must have been authenticated (seal.h).
   void Receive(Time now, const Message& message);
+  // Does everything that is due at `now`.
   void Tick(Time now);
   Time NextDue() const;
 
-  void Leave(Time now);  // it still answers: a drain
-  void Stay(Time now);   // not leaving any more
-  void Gone(Time now);   // says so at once, and nothing after
+  void Leave(Time now);         // announces that this proxy drains; it still answers
+  void CancelLeave(Time now);   // back to alive
+  void AnnounceLeft(Time now);  // announces its end at once, and then stops for good
 
   std::vector<Outgoing> TakeOutgoing() { return std::exchange(outgoing_, {}); }
   std::vector<Event> TakeEvents() { return std::exchange(events_, {}); }
 
   const View& view() const { return view_; }
   const Member& self() const { return view_.self(); }
-  Reading reading() const { return reading_.stands(); }
-  // Whoever was heard lately shows the same view as this one.
+  Connectivity connectivity() const { return connectivity_.current(); }
+  // Whether all members heard from within Times::recent_contact report the same view hash as this proxy.
   bool Settled(Time now) const;
-  bool displaced() const { return displaced_; }  // another process holds its name
+  bool displaced() const { return displaced_; }  // whether another process holds its name
+  // 0: healthy; see Health.
   int health() const { return prober_.health().score(); }
 
  private:
-  struct Relayed {
+  // A ping sent on behalf of another member, whose answer is to be forwarded.
+  struct RelayedPing {
     Address to;
     std::uint8_t wire;
     std::uint64_t number;
@@ -92,45 +97,47 @@
     std::uint64_t target_boot;
     Time until;
   };
-  static constexpr std::size_t kMostRelayed = 256, kMostPages = 6, kMostFarewells = 16;
+  static constexpr std::size_t kMaxPendingRelays = 256, kMaxDatagramsPerExchange = 6, kMaxLeaveNotices = 16;
 
-  void Before(Time now);
+  // Shifts deadlines if this process has not run for a while.
+  void HandlePause(Time now);
   void Merge(Time now, const Statement& statement, Source source);
-  void OnSelf(Time now, const Member& said, bool direct);
-  void Announce(Event::Kind kind, const Member& member) { events_.push_back({kind, member}); }
+  void OnStatementAboutSelf(Time now, const Member& said, bool direct);
+  void EmitEvent(Event::Kind kind, const Member& member) { events_.push_back({kind, member}); }
   void SetSelf(Time now, std::uint64_t incarnation, State state);
-  Time EndOf(const std::string& name, Time since) const;  // of a suspicion
+  Time SuspicionDeadline(const std::string& name, Time since) const;
   void Suspect(Time now, View::Entry& entry, std::uint32_t accuser);
   void Expire(Time now);
   void Probe(Time now);
   void OnFailed(Time now, const Prober::Step& step);
-  void Exchange(Time now);
-  void AskHolder(Time now);
-  void Knock(Time now);
-  void Read(Time now);
+  void SendDigest(Time now);
+  void CheckNameHolder(Time now);
+  void ContactAbsentPeers(Time now);
+  void UpdateConnectivity(Time now);
   void Ping(const Member& member, std::uint64_t number);
 
-  Message Base(Message::Kind kind) const;
+  Message NewMessage(Message::Kind kind) const;
   void Send(const Address& to, std::uint8_t wire, std::string_view name, Message message);
-  void SendPages(const Member& to, std::vector<Message> pages);
+  void SendDatagrams(const Member& to, std::vector<Message> datagrams);
   std::uint32_t OwnHash() const;
 
   Options options_;
   View view_;
   Gossip gossip_;
   Prober prober_;
-  Contest contest_;
-  SteadyReading reading_;
-  std::map<std::string, Time, std::less<>> suspicions_;  // since when
-  std::map<std::uint64_t, Relayed> relayed_;
+  NameConflict conflict_;
+  StableConnectivity connectivity_;
+  std::map<std::string, Time, std::less<>> suspicions_;  // name -> start of the suspicion
+  std::map<std::uint64_t, RelayedPing> relayed_pings_;
   std::vector<Outgoing> outgoing_;
   std::vector<Event> events_;
-  Time start_{}, digest_due_{}, knock_due_{}, forget_due_{}, due_{};
-  // While displaced: when whoever holds the name is to be asked, and how often it was without an answer.
-  Time ask_holder_due_{};
-  int asked_holder_ = 0;
-  int knocks_unanswered_ = 0;
-  bool displaced_ = false, gone_ = false;
+  Time start_{}, digest_due_{}, contact_due_{}, forget_due_{}, due_{};
+  // While displaced: when the holder of the name is contacted next, and how many requests in a row it has
+  // left unanswered.
+  Time holder_check_due_{};
+  int unanswered_holder_checks_ = 0;
+  int unanswered_contacts_ = 0;
+  bool displaced_ = false, stopped_ = false;
 };
 
 }  // namespace kestrelline::peers
--- a/src/peers/reading.h
+++ b/src/peers/reading.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a view says of the network: whole, a part of the fleet, or alone. No I/O, no clock.
+// Classifies a view: the whole fleet is reachable, a part of it, or this proxy is alone. No I/O, no clock.
 #ifndef KESTRELLINE_PEERS_READING_H_
 #define KESTRELLINE_PEERS_READING_H_
 
@@ -10,42 +10,46 @@
 
 namespace kestrelline::peers {
 
-enum class Reading { kWhole, kPart, kAlone };
-const char* NameOf(Reading reading);
+enum class Connectivity { kWhole, kPart, kAlone };
+const char* NameOf(Connectivity reading);
 
-// The reading that stands, which another takes the place of only once that has held for a while: a fleet that
-// hovers is said to have changed once, not with each member.
-class SteadyReading {
+// Debounces the classification: a new one takes effect only after it has held for a while, so that a fleet
+// whose members come and go one by one is reported to have changed once.
+class StableConnectivity {
  public:
-  explicit SteadyReading(Span holds, Reading first = Reading::kWhole) : holds_(holds), stands_(first) {}
-
-  // `present`, this proxy included, of `known`, those that have failed included. `hopes`: others are named in
-  // the settings. True if another reading stands from now on.
-  bool Update(Time now, std::size_t present, std::size_t known, bool hopes) {
-    const Reading raw = present > 1 ? (present < known ? Reading::kPart : Reading::kWhole)
-                                    : (known > 1 || hopes ? Reading::kAlone : Reading::kWhole);
-    if (raw == stands_) {
-      next_ = raw;
+  explicit StableConnectivity(Span hold, Connectivity first = Connectivity::kWhole)
+      : hold_(hold), stands_(first) {}
+
+  // `present` of `known` members are believed to run; `present` includes this proxy, and `known` includes
+  // failed members. `has_seeds`: the settings name other proxies. Returns whether the classification has
+  // changed.
+  bool Update(Time now, std::size_t present, std::size_t known, bool has_seeds) {
+    const Connectivity observed =
+        present > 1 ? (present < known ? Connectivity::kPart : Connectivity::kWhole)
+                    : (known > 1 || has_seeds ? Connectivity::kAlone : Connectivity::kWhole);
+    if (observed == stands_) {
+      candidate_ = observed;
       return false;
     }
-    if (next_ != raw) next_ = raw, since_ = now;
-    if (now - since_ < holds_) return false;
-    stands_ = raw;
+    if (candidate_ != observed) candidate_ = observed, since_ = now;
+    if (now - since_ < hold_) return false;
+    stands_ = observed;
     return true;
   }
-  bool waiting() const { return next_ != stands_; }
-  Time due() const { return since_ + holds_; }
-  Reading stands() const { return stands_; }
+  // Whether a change waits to take effect, and when it does.
+  bool pending() const { return candidate_ != stands_; }
+  Time due() const { return since_ + hold_; }
+  Connectivity current() const { return stands_; }
 
  private:
-  Span holds_;
-  Reading stands_;
-  Reading next_ = stands_;
+  Span hold_;
+  Connectivity stands_;
+  Connectivity candidate_ = stands_;
   Time since_{};
 };
 
-inline const char* NameOf(Reading reading) {
-  return reading == Reading::kWhole ? "whole" : reading == Reading::kPart ? "part" : "alone";
+inline const char* NameOf(Connectivity reading) {
+  return reading == Connectivity::kWhole ? "whole" : reading == Connectivity::kPart ? "part" : "alone";
 }
 
 }  // namespace kestrelline::peers
--- a/src/peers/seal.cpp
+++ b/src/peers/seal.cpp
@@ -17,14 +17,15 @@
 namespace kestrelline::peers {
 namespace {
 
-constexpr std::size_t kHead = 20, kTag = 16;
-static_assert(kHead + kTag == wire::kSealOverheadBytes);
-constexpr std::size_t kMostKeyFile = 4096;
-constexpr std::uint8_t kOtherForm = 1;
+constexpr std::size_t kHeaderBytes = 20, kTagBytes = 16;
+static_assert(kHeaderBytes + kTagBytes == wire::kSealOverheadBytes);
+constexpr std::size_t kMaxKeyFileBytes = 4096;
+constexpr std::uint8_t kProtocolFormat = 1;
 
-using Tag = std::array<std::uint8_t, kTag>;
+using Tag = std::array<std::uint8_t, kTagBytes>;
 
-// Opened at the first use (docs/design/peers.md: linked, it costs every start 1.5 MB and 0.7 ms).
+// Functions of libcrypto, loaded at first use: linking it would cost every start 1.5 MB and 0.7 ms
+// (docs/design/peers.md).
 struct OpenSsl {
   decltype(&HMAC) hmac;
   decltype(&EVP_sha256) sha256;
@@ -38,9 +39,9 @@
     void* handle = dlopen("libcrypto.so.3", RTLD_NOW | RTLD_LOCAL);
     if (!handle) throw std::runtime_error(std::string("peers need OpenSSL 3: ") + dlerror());
     const auto find = [&](const char* name) {
-      void* at = dlsym(handle, name);
-      if (!at) throw std::runtime_error(std::string("peers need OpenSSL 3: there is no ") + name);
-      return at;
+      void* symbol = dlsym(handle, name);
+      if (!symbol) throw std::runtime_error(std::string("peers need OpenSSL 3: there is no ") + name);
+      return symbol;
     };
     return {reinterpret_cast<decltype(&HMAC)>(find("HMAC")),
             reinterpret_cast<decltype(&EVP_sha256)>(find("EVP_sha256")),
@@ -56,16 +57,16 @@
                 bytes.size(), digest.data(), &length))
     throw std::runtime_error("HMAC failed");
   Tag tag;
-  std::copy_n(digest.begin(), kTag, tag.begin());
+  std::copy_n(digest.begin(), kTagBytes, tag.begin());
   return tag;
 }
 
-void Put(std::uint64_t number, std::uint8_t* at) {
-  for (int i = 0; i < 8; ++i) at[i] = static_cast<std::uint8_t>(number >> (56 - 8 * i));
+void PutBigEndian(std::uint64_t number, std::uint8_t* out) {
+  for (int i = 0; i < 8; ++i) out[i] = static_cast<std::uint8_t>(number >> (56 - 8 * i));
 }
-std::uint64_t Get(const std::uint8_t* at) {
+std::uint64_t GetBigEndian(const std::uint8_t* in) {
   std::uint64_t number = 0;
-  for (int i = 0; i < 8; ++i) number = (number << 8) | at[i];
+  for (int i = 0; i < 8; ++i) number = (number << 8) | in[i];
   return number;
 }
 
@@ -102,12 +103,12 @@
     line.remove_prefix(static_cast<std::size_t>(rest - line.data()));
     trim();
     const auto secret = FromHex(line);
-    if (!secret || secret->size() < kLeastSecret || secret->size() > kMostSecret)
+    if (!secret || secret->size() < kMinSecretBytes || secret->size() > kMaxSecretBytes)
       return *why = where + "a secret is 32 to 128 hexadecimal digits", std::nullopt;
     key.secret = *secret;
     if (std::any_of(keys.begin(), keys.end(), [&](const Key& k) { return k.id == key.id; }))
       return *why = where + "key " + std::to_string(key.id) + " is there twice", std::nullopt;
-    if (keys.size() == kMostKeys) return *why = where + "more than two keys", std::nullopt;
+    if (keys.size() == kMaxKeys) return *why = where + "more than two keys", std::nullopt;
     keys.push_back(std::move(key));
   }
   if (keys.empty()) return *why = "there is no key in it", std::nullopt;
@@ -117,109 +118,114 @@
 std::optional<Keys> ReadKeys(const std::string& path, std::string* why) {
   const int file = ::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK);
   if (file < 0) return *why = std::strerror(errno), std::nullopt;
-  struct stat about {};
-  std::string text(kMostKeyFile + 1, '\0');
-  const bool known = ::fstat(file, &about) == 0 && S_ISREG(about.st_mode);
-  const ssize_t length = known ? ::read(file, text.data(), text.size()) : -1;
+  struct stat status {};
+  std::string text(kMaxKeyFileBytes + 1, '\0');
+  const bool is_regular = ::fstat(file, &status) == 0 && S_ISREG(status.st_mode);
+  const ssize_t length = is_regular ? ::read(file, text.data(), text.size()) : -1;
   ::close(file);
   if (length < 0) return *why = "it is no file that can be read", std::nullopt;
-  if ((about.st_mode & 077) != 0)
+  if ((status.st_mode & 077) != 0)
     return *why = "others than its owner may use it; chmod 600 is accepted", std::nullopt;
-  if (static_cast<std::size_t>(length) > kMostKeyFile) return *why = "over 4096 bytes", std::nullopt;
+  if (static_cast<std::size_t>(length) > kMaxKeyFileBytes) return *why = "over 4096 bytes", std::nullopt;
   text.resize(static_cast<std::size_t>(length));
   return ParseKeys(text, why);
 }
 
-const char* NameOf(Refusal refusal) {
-  static constexpr std::array<const char*, kRefusals> kNames{"none", "size",   "form", "key",
-                                                             "seal", "replay", "body"};
-  return kNames[static_cast<std::size_t>(refusal)];
+const char* NameOf(DropReason reason) {
+  static constexpr std::array<const char*, kDropReasons> kNames{"none", "size",   "form", "key",
+                                                                "seal", "replay", "body"};
+  return kNames[static_cast<std::size_t>(reason)];
 }
 
 bool ReplayWindow::Take(std::uint64_t number) {
   if (number == 0) return false;
   if (number > newest_) {
-    const std::uint64_t gone = std::min(number - newest_, kWidth);
-    for (std::uint64_t i = 1; i <= gone; ++i) {
-      const std::uint64_t at = (newest_ + i) % kWidth;
-      seen_[at / 64] &= ~(1ull << (at % 64));
+    const std::uint64_t skipped = std::min(number - newest_, kWindowSize);
+    for (std::uint64_t i = 1; i <= skipped; ++i) {
+      const std::uint64_t bit = (newest_ + i) % kWindowSize;
+      seen_[bit / 64] &= ~(1ull << (bit % 64));
     }
     newest_ = number;
-  } else if (newest_ - number >= kWidth) {
-    return false;  // too long ago to tell
+  } else if (newest_ - number >= kWindowSize) {
+    return false;  // before the window
   }
-  std::uint64_t& word = seen_[number % kWidth / 64];
+  std::uint64_t& word = seen_[number % kWindowSize / 64];
   const std::uint64_t bit = 1ull << (number % 64);
   if (word & bit) return false;
   word |= bit;
   return true;
 }
 
-wire::Bytes Gate::Sealed(char kind, std::uint8_t form, std::span<const std::uint8_t> body) {
+wire::Bytes Authenticator::SealBody(char kind, std::uint8_t format, std::span<const std::uint8_t> body) {
   const Key& key = keys_.front();
-  wire::Bytes datagram(kHead);
-  datagram.reserve(kHead + body.size() + kTag);
-  datagram[0] = 'k', datagram[1] = static_cast<std::uint8_t>(kind), datagram[2] = form, datagram[3] = key.id;
-  Put(boot_, &datagram[4]);
-  Put(++number_, &datagram[12]);
+  wire::Bytes datagram(kHeaderBytes);
+  datagram.reserve(kHeaderBytes + body.size() + kTagBytes);
+  datagram[0] = 'k', datagram[1] = static_cast<std::uint8_t>(kind), datagram[2] = format,
+  datagram[3] = key.id;
+  PutBigEndian(boot_, &datagram[4]);
+  PutBigEndian(++number_, &datagram[12]);
   datagram.insert(datagram.end(), body.begin(), body.end());
   const Tag tag = TagOf(key, datagram);
   datagram.insert(datagram.end(), tag.begin(), tag.end());
   return datagram;
 }
 
-wire::Bytes Gate::Seal(const Message& message, std::uint8_t form) {
-  return Sealed('p', form, wire::Encode(message, form));
+wire::Bytes Authenticator::Seal(const Message& message, std::uint8_t format) {
+  return SealBody('p', format, wire::Encode(message, format));
 }
-wire::Bytes Gate::SealOther(char whose, std::span<const std::uint8_t> body) {
-  return Sealed(whose, kOtherForm, body);
+wire::Bytes Authenticator::SealProtocol(char protocol, std::span<const std::uint8_t> body) {
+  return SealBody(protocol, kProtocolFormat, body);
 }
 
-Refusal Gate::Unsealed(std::span<const std::uint8_t> datagram, std::uint64_t* boot,
-                       std::span<const std::uint8_t>* body) {
+DropReason Authenticator::Verify(std::span<const std::uint8_t> datagram, std::uint64_t* boot,
+                                 std::span<const std::uint8_t>* body) {
   const auto key =
       std::find_if(keys_.begin(), keys_.end(), [&](const Key& k) { return k.id == datagram[3]; });
-  if (key == keys_.end()) return Refusal::kKey;
-  const auto sealed = datagram.first(datagram.size() - kTag);
+  if (key == keys_.end()) return DropReason::kKey;
+  const auto sealed = datagram.first(datagram.size() - kTagBytes);
   const Tag tag = TagOf(*key, sealed);
-  if (OpenSsl::Get().equal(tag.data(), datagram.data() + sealed.size(), kTag) != 0) return Refusal::kSeal;
-  *boot = Get(&datagram[4]);
-  *body = sealed.subspan(kHead);
-  return Fresh(*boot, Get(&datagram[12])) ? Refusal::kNone : Refusal::kReplay;
+  if (OpenSsl::Get().equal(tag.data(), datagram.data() + sealed.size(), kTagBytes) != 0)
+    return DropReason::kSeal;
+  *boot = GetBigEndian(&datagram[4]);
+  *body = sealed.subspan(kHeaderBytes);
+  return AcceptNumber(*boot, GetBigEndian(&datagram[12])) ? DropReason::kNone : DropReason::kReplay;
 }
 
-Refusal Gate::Open(std::span<const std::uint8_t> datagram, Message* message) {
-  if (datagram.size() <= kHead + kTag || datagram.size() > wire::kMaxDatagramBytes) return Refusal::kSize;
-  if (datagram[0] != 'k' || datagram[1] != 'p' || datagram[2] < wire::kOldest || datagram[2] > wire::kNewest)
-    return Refusal::kForm;
+DropReason Authenticator::Open(std::span<const std::uint8_t> datagram, Message* message) {
+  if (datagram.size() <= kHeaderBytes + kTagBytes || datagram.size() > wire::kMaxDatagramBytes)
+    return DropReason::kSize;
+  if (datagram[0] != 'k' || datagram[1] != 'p' || datagram[2] < wire::kOldestFormat ||
+      datagram[2] > wire::kNewestFormat)
+    return DropReason::kForm;
   std::uint64_t boot = 0;
   std::span<const std::uint8_t> body;
-  if (const Refusal refusal = Unsealed(datagram, &boot, &body); refusal != Refusal::kNone) return refusal;
+  if (const DropReason reason = Verify(datagram, &boot, &body); reason != DropReason::kNone) return reason;
   auto read = wire::Decode(body, datagram[2]);
-  if (!read || read->from.boot != boot) return Refusal::kBody;
+  if (!read || read->from.boot != boot) return DropReason::kBody;
   *message = std::move(*read);
-  return Refusal::kNone;
+  return DropReason::kNone;
 }
 
-Refusal Gate::OpenOther(std::span<const std::uint8_t> datagram, std::uint64_t* boot,
-                        std::span<const std::uint8_t>* body) {
-  if (datagram.size() <= kHead + kTag || datagram.size() > wire::kMaxDatagramBytes) return Refusal::kSize;
-  if (WhoseOther(datagram) == 0 || datagram[2] != kOtherForm) return Refusal::kForm;
-  return Unsealed(datagram, boot, body);
+DropReason Authenticator::OpenProtocol(std::span<const std::uint8_t> datagram, std::uint64_t* boot,
+                                       std::span<const std::uint8_t>* body) {
+  if (datagram.size() <= kHeaderBytes + kTagBytes || datagram.size() > wire::kMaxDatagramBytes)
+    return DropReason::kSize;
+  if (ProtocolOf(datagram) == 0 || datagram[2] != kProtocolFormat) return DropReason::kForm;
+  return Verify(datagram, boot, body);
 }
 
-bool Gate::Fresh(std::uint64_t boot, std::uint64_t number) {
-  auto found = windows_.find(boot);
-  if (found == windows_.end()) {
-    if (windows_.size() >= kMostBoots) {
+bool Authenticator::AcceptNumber(std::uint64_t boot, std::uint64_t number) {
+  auto entry = windows_.find(boot);
+  if (entry == windows_.end()) {
+    if (windows_.size() >= kMaxSenders) {
       windows_.erase(std::min_element(windows_.begin(), windows_.end(), [](const auto& a, const auto& b) {
         return a.second.used < b.second.used;
       }));
     }
-    found = windows_.try_emplace(boot).first;
+    entry = windows_.try_emplace(boot).first;
   }
-  found->second.used = ++uses_;
-  return found->second.window.Take(number);
+  entry->second.used = ++uses_;
+  return entry->second.window.Take(number);
 }
 
 }  // namespace kestrelline::peers
--- a/src/peers/settings.cpp
+++ b/src/peers/settings.cpp
@@ -33,13 +33,13 @@
     operator_file::Key{"wire", Kind::kWhole, "The newest form of datagrams; 2 without it."},
 };
 
-constexpr Milliseconds kShortestProbe{50}, kLongestProbe{5000}, kShortestForget{10000};
-constexpr Milliseconds kDetectWithin{3000};
-constexpr std::size_t kFleet = 16;  // that detect_within is a promise about
+constexpr Milliseconds kMinProbeInterval{50}, kMaxProbeInterval{5000}, kMinForgetAfter{10000};
+constexpr Milliseconds kDefaultDetectWithin{3000};
+constexpr std::size_t kDetectionFleetSize = 16;  // the fleet size for which detect_within is promised
 
 Span InSpan(Milliseconds ms) { return std::chrono::duration_cast<Span>(ms); }
 
-std::optional<Address> Read(const Spec::Text& text, Diagnostics* d, bool own) {
+std::optional<Address> ReadAddress(const Spec::Text& text, Diagnostics* d, bool own) {
   if (!text) return std::nullopt;
   const auto address = ParseAddress(text->value);
   if (!address) {
@@ -62,7 +62,7 @@
             const toml::table* table = top.Table("peers");
             if (!table) return;
             const TableReader reader(*table, "peers", kKeys, diagnostics);
-            spec->there = true;
+            spec->present = true;
             spec->at = reader.at();
             spec->listen = reader.Text("listen");
             spec->advertise = reader.Text("advertise");
@@ -71,34 +71,34 @@
             spec->detect_within = reader.Duration("detect_within");
             spec->probe_every = reader.Duration("probe_every");
             spec->forget_after = reader.Duration("forget_after");
-            spec->wire = reader.Whole("wire", wire::kOldest, wire::kNewest);
+            spec->wire = reader.Whole("wire", wire::kOldestFormat, wire::kNewestFormat);
           }};
 }
 
-std::optional<Settings> Build(const Spec& spec, const Around& around, Diagnostics* d) {
-  if (!spec.there) return std::nullopt;
-  if (around.allowed == false) {
+std::optional<Settings> Build(const Spec& spec, const BuildContext& context, Diagnostics* d) {
+  if (!spec.present) return std::nullopt;
+  if (context.allowed == false) {
     d->Add(spec.at, "peers-off",
            "the platform's settings say that proxies have no peers; without [peers] it starts");
     return std::nullopt;
   }
   Settings s;
-  const bool named = !around.name.empty() && around.name.size() <= kMostName &&
-                     std::all_of(around.name.begin(), around.name.end(), IsPlain);
+  const bool named = !context.name.empty() && context.name.size() <= kMaxNameBytes &&
+                     std::all_of(context.name.begin(), context.name.end(), IsPlain);
   if (!named)
     d->Add(spec.at, "peers-name", "this proxy's name has to be 1 to 64 printable characters without blanks");
-  const auto listen = Read(spec.listen, d, !spec.advertise.has_value());
-  const auto advertise = spec.advertise ? Read(spec.advertise, d, true) : listen;
+  const auto listen = ReadAddress(spec.listen, d, !spec.advertise.has_value());
+  const auto advertise = spec.advertise ? ReadAddress(spec.advertise, d, true) : listen;
   if (listen) s.listen = *listen;
   if (advertise) s.advertise = *advertise;
   if (spec.seeds) {
-    if (spec.seeds->value.empty() || spec.seeds->value.size() > kMostSeeds)
+    if (spec.seeds->value.empty() || spec.seeds->value.size() > kMaxSeeds)
       d->Add(spec.seeds->at, "peers-seeds", "1 to 64 seeds are accepted");
     for (const auto& seed : spec.seeds->value)
-      if (const auto address = Read(Spec::Text(seed), d, false)) s.seeds.push_back(*address);
+      if (const auto address = ReadAddress(Spec::Text(seed), d, false)) s.seeds.push_back(*address);
   }
   if (spec.key_file) {
-    s.key_file = (std::filesystem::path(around.folder) / spec.key_file->value).string();
+    s.key_file = (std::filesystem::path(context.folder) / spec.key_file->value).string();
     std::string why;
     if (auto keys = ReadKeys(s.key_file, &why)) {
       s.keys = std::move(*keys);
@@ -108,29 +108,29 @@
   }
   if (spec.wire) s.wire = static_cast<std::uint8_t>(spec.wire->value);
   if (spec.forget_after) {
-    if (spec.forget_after->value < kShortestForget)
+    if (spec.forget_after->value < kMinForgetAfter)
       d->Add(spec.forget_after->at, "range", "10s or more is accepted");
-    s.times.failed_kept = InSpan(spec.forget_after->value);
-    s.times.left_kept = std::min(s.times.left_kept, s.times.failed_kept);
+    s.times.failed_retention = InSpan(spec.forget_after->value);
+    s.times.left_retention = std::min(s.times.left_retention, s.times.failed_retention);
   }
   if (spec.probe_every) {
     const Milliseconds every = spec.probe_every->value;
-    if (every < kShortestProbe || every > kLongestProbe)
+    if (every < kMinProbeInterval || every > kMaxProbeInterval)
       d->Add(spec.probe_every->at, "range", "a probe every 50ms to 5s is accepted");
     const Times defaults;
     s.times.period = InSpan(every);
-    // All else keeps its proportion to the probes.
+    // The other times keep their proportion to the probe interval.
     const double scale = every / Milliseconds(200);
     const auto scaled = [&](Span span) {
       return std::chrono::duration_cast<Span>(std::chrono::duration<double>(span) * scale);
     };
-    s.times.least_suspicion = scaled(defaults.least_suspicion);
-    s.times.digest_every = scaled(defaults.digest_every);
-    s.times.digest_again = scaled(defaults.digest_again);
-    s.times.heard_lately = std::max(defaults.heard_lately, scaled(defaults.heard_lately));
+    s.times.min_suspicion = scaled(defaults.min_suspicion);
+    s.times.digest_interval = scaled(defaults.digest_interval);
+    s.times.digest_retry_interval = scaled(defaults.digest_retry_interval);
+    s.times.recent_contact = std::max(defaults.recent_contact, scaled(defaults.recent_contact));
   }
-  const Milliseconds promised = spec.detect_within ? spec.detect_within->value : kDetectWithin;
-  const Milliseconds needed = s.times.Detection(kFleet);
+  const Milliseconds promised = spec.detect_within ? spec.detect_within->value : kDefaultDetectWithin;
+  const Milliseconds needed = s.times.DetectionTime(kDetectionFleetSize);
   if (needed > promised) {
     d->Add(spec.detect_within ? spec.detect_within->at
            : spec.probe_every ? spec.probe_every->at
--- a/src/peers/settings.h
+++ b/src/peers/settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// [peers] of the operator's file, and what is checked before it holds.
+// The [peers] section of the operator's file: keys, checks and the resulting settings.
 #ifndef KESTRELLINE_PEERS_SETTINGS_H_
 #define KESTRELLINE_PEERS_SETTINGS_H_
 
@@ -16,10 +16,11 @@
 
 namespace kestrelline::peers {
 
-inline constexpr std::size_t kMostSeeds = 64;
+inline constexpr std::size_t kMaxSeeds = 64;
 
+// Validated settings.
 struct Settings {
-  Address listen, advertise;  // where it is bound, and where others write to
+  Address listen, advertise;  // the address to bind, and the one that others send to
   std::vector<Address> seeds;
   Keys keys;
   std::string key_file;
@@ -27,11 +28,11 @@
   Times times;
 };
 
-// As worded.
+// The section as read, before it is checked.
 struct Spec {
   using Text = std::optional<operator_file::At<std::string>>;
   using Duration = std::optional<operator_file::At<operator_file::Milliseconds>>;
-  bool there = false;
+  bool present = false;
   operator_file::Position at;
   Text listen, advertise, key_file;
   std::optional<operator_file::At<std::vector<operator_file::At<std::string>>>> seeds;
@@ -39,15 +40,17 @@
   Duration detect_within, probe_every, forget_after;
 };
 
+// The reader of the section, which fills `spec`.
 operator_file::Section PeersSection(Spec* spec);
 
-struct Around {
-  std::optional<bool> allowed;  // by the platform; nothing where it does not say
-  std::string name;             // this proxy's
-  std::string folder;           // that paths are taken from
+// What the checks depend on beside the section itself.
+struct BuildContext {
+  std::optional<bool> allowed;  // by the platform's settings; empty if they say nothing
+  std::string name;             // of this proxy
+  std::string folder;           // that relative paths start from
 };
-// Nothing where there is no section, or, with the reasons in `diagnostics`, where it is not right.
-std::optional<Settings> Build(const Spec& spec, const Around& around,
+// Returns nothing if there is no section, or if it is invalid; errors are added to `diagnostics`.
+std::optional<Settings> Build(const Spec& spec, const BuildContext& around,
                               operator_file::Diagnostics* diagnostics);
 
 }  // namespace kestrelline::peers
--- a/src/peers/wire.h
+++ b/src/peers/wire.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A message as bytes: CBOR (RFC 8949), arrays whose further elements an older reader leaves alone.
+// Encoding of messages: CBOR arrays (RFC 8949). Decoders ignore trailing elements that they do not know.
 //
-// Two forms stand side by side, so that a fleet can be upgraded one by one: the second adds the hash of the
-// sender's view. Everybody reads both, and writes what its receiver is known to read.
+// There are two formats, so that a fleet can be upgraded one proxy at a time; format 2 adds the hash of the
+// sender's view. Every proxy reads both, and writes the one that the receiver is known to read.
 #ifndef KESTRELLINE_PEERS_WIRE_H_
 #define KESTRELLINE_PEERS_WIRE_H_
 
@@ -18,24 +18,25 @@
 
 namespace kestrelline::peers::wire {
 
-inline constexpr std::uint8_t kOldest = 1, kNewest = 2;
-inline constexpr std::size_t kMaxDatagramBytes = 1200;  // bytes, the seal included
-inline constexpr std::size_t kSealOverheadBytes = 36;   // seal.h
-inline constexpr std::size_t kMostBody = kMaxDatagramBytes - kSealOverheadBytes;
+inline constexpr std::uint8_t kOldestFormat = 1, kNewestFormat = 2;
+inline constexpr std::size_t kMaxDatagramBytes = 1200;  // including the seal
+inline constexpr std::size_t kSealOverheadBytes = 36;   // header and tag; seal.h
+inline constexpr std::size_t kMaxBodyBytes = kMaxDatagramBytes - kSealOverheadBytes;
 
 using Bytes = std::vector<std::uint8_t>;
 
-Bytes Encode(const Message& message, std::uint8_t form);
+Bytes Encode(const Message& message, std::uint8_t format);
 
-// Nothing unless it is a whole message within every bound. Never throws.
-std::optional<Message> Decode(std::span<const std::uint8_t> bytes, std::uint8_t form);
+// Nothing unless `bytes` are one complete message within all limits. Never throws.
+std::optional<Message> Decode(std::span<const std::uint8_t> bytes, std::uint8_t format);
 
-// At most so many bytes; what is left of a datagram is filled by this.
-std::size_t MostBytes(const Statement& statement);
-std::size_t MostBytes(const Message& message);  // its statements included
+// Upper bounds of the encoded size, by which datagrams are filled.
+std::size_t MaxBytes(const Statement& statement);
+std::size_t MaxBytes(const Message& message);  // including its statements
 
-// As little as says the same to somebody who knows of the member.
-Statement Shortened(Statement statement);
+// The statement without what a receiver that knows the member has already (address, zone, version), unless
+// the state is alive or leaving.
+Statement ShortForm(Statement statement);
 
 }  // namespace kestrelline::peers::wire
 
--- a/tests/models/peer_bridge_test.cpp
+++ b/tests/models/peer_bridge_test.cpp
@@ -30,8 +30,8 @@
   for (int i = 0; i < 3; ++i) {
     observers.emplace_back(Member{"o", 9, 0, State::kAlive, {1, 1}, "", "", 2}, kNow,
                            std::chrono::seconds(1));
-    observers.back().Merge(Said(0, 2, 0), Source::kNews, kNow);
-    observers.back().Find("x")->heard = {};
+    observers.back().Merge(Said(0, 2, 0), Source::kGossip, kNow);
+    observers.back().Find("x")->last_heard = {};
   }
   auto member = std::make_unique<Node>(MemberOf(2));
   std::string so_far;
@@ -45,15 +45,15 @@
     View& at = observers[std::min(n[0], 2u)];
     View::Entry& held = *at.Find("x");
     if (what == "answers") {
-      at.Merge(Said(n[1], n[2], 0), Source::kItself, kNow);
-      if (held.member.boot == n[2]) held.heard = kNow;
+      at.Merge(Said(n[1], n[2], 0), Source::kDirect, kNow);
+      if (held.member.boot == n[2]) held.last_heard = kNow;
     } else if (what == "suspects" || what == "expires") {
-      held.heard = {};
+      held.last_heard = {};
       Member said = held.member;
       said.state = what == "suspects" ? State::kSuspect : State::kFaulty;
-      at.Merge(said, Source::kOwn, kNow);
+      at.Merge(said, Source::kLocal, kNow);
     } else if (what == "told") {
-      at.Merge(Said(n[1], n[2], n[3]), Source::kNews, kNow);
+      at.Merge(Said(n[1], n[2], n[3]), Source::kGossip, kNow);
     } else if (what == "holds") {
       if (held.member != Said(n[1], n[2], n[3])) return so_far + "the view holds something else";
     } else if (what == "accused") {
--- a/tests/peers/datagram_fuzz.cpp
+++ b/tests/peers/datagram_fuzz.cpp
@@ -4,7 +4,7 @@
 // its bounds and goes on. A libFuzzer target (-DKESTRELLINE_FUZZ=ON, with clang); the tests replay its
 // corpus.
 //
-// The input: the form, then the body. What follows a body of the length that the second and third byte say is
+// The input: the format, then the body. What follows a body of the length that the second and third byte say is
 // the next datagram's.
 #include <cstdint>
 #include <cstdio>
@@ -18,7 +18,7 @@
 
 using namespace kestrelline::peers;
 
-constexpr std::size_t kMostAnswers = 16;  // of one datagram: six pages, an answer, and no more than a few
+constexpr std::size_t kMaxReplies = 16;  // of one datagram: six pages, an answer, and no more than a few
 
 void Require(bool holds, const char* what) {
   if (holds) return;
@@ -53,23 +53,23 @@
   }
   std::span<const std::uint8_t> rest(data, size);
   while (rest.size() >= 3) {
-    const auto form = static_cast<std::uint8_t>(rest[0] % 4);
+    const auto format = static_cast<std::uint8_t>(rest[0] % 4);
     const std::size_t length = std::min<std::size_t>(rest[1] | rest[2] << 8, rest.size() - 3);
-    const auto message = wire::Decode(rest.subspan(3, length), form);
+    const auto message = wire::Decode(rest.subspan(3, length), format);
     rest = rest.subspan(3 + length);
     now += std::chrono::milliseconds(50);
     node.TakeOutgoing();
     if (message) {
-      const auto again = wire::Decode(wire::Encode(*message, form), form);
+      const auto again = wire::Decode(wire::Encode(*message, format), format);
       Require(again && *again == *message, "what is read and written again is not the same");
       node.Receive(now, *message);
     }
     const auto answers = node.TakeOutgoing();
-    Require(answers.size() <= kMostAnswers, "too many answers to one datagram");
+    Require(answers.size() <= kMaxReplies, "too many answers to one datagram");
     node.Tick(now);
     for (const Outgoing& out : answers)
-      Require(wire::Encode(out.message, out.wire).size() <= wire::kMostBody, "a datagram that is too long");
-    Require(node.view().entries().size() <= kMostMembers, "too many members");
+      Require(wire::Encode(out.message, out.wire).size() <= wire::kMaxBodyBytes, "a datagram that is too long");
+    Require(node.view().entries().size() <= kMaxMembers, "too many members");
     Require(node.displaced() || node.self().boot == options.boot, "somebody else's boot");
     Require(node.NextDue() > now, "a timer that never sleeps");
   }
--- a/tests/peers/member_test.cpp
+++ b/tests/peers/member_test.cpp
@@ -39,7 +39,7 @@
           char expected = by_state[static_cast<std::size_t>(a)][static_cast<std::size_t>(b)];
           if (boot != 0) expected = boot > 0 ? '>' : '<';
           if (incarnation != 0) expected = incarnation > 0 ? '>' : '<';
-          const char is = Wins(left, right) ? '>' : Wins(right, left) ? '<' : '=';
+          const char is = Supersedes(left, right) ? '>' : Supersedes(right, left) ? '<' : '=';
           EXPECT_EQ(is, expected) << incarnation << ' ' << boot << ' ' << NameOf(a) << ' ' << NameOf(b);
           ++rows;
         }
@@ -51,7 +51,7 @@
 
 View Heard(const std::vector<Member>& said) {
   View view(Said(0, 1, State::kAlive, "me"), Time(), std::chrono::seconds(1));
-  for (const Member& m : said) view.Merge(m, Source::kOwn, Time(), /*learning=*/true);
+  for (const Member& m : said) view.Merge(m, Source::kLocal, Time(), /*learning=*/true);
   return view;
 }
 std::vector<std::uint64_t> Held(const View& view) {
@@ -77,7 +77,7 @@
     View a = Heard(first);
     const View b = Heard(second);
     for (int twice = 0; twice < 2; ++twice)
-      for (const auto& [name, entry] : b.entries()) a.Merge(entry.member, Source::kOwn, Time(), true);
+      for (const auto& [name, entry] : b.entries()) a.Merge(entry.member, Source::kLocal, Time(), true);
     EXPECT_EQ(in_order, Held(a)) << "seed " << seed;
   }
 }
@@ -85,47 +85,47 @@
 TEST(Merge, TheDeathOfOneThatAnswersIsASuspicion) {
   const Time now(std::chrono::hours(1));
   View view(Said(0, 1, State::kAlive, "me"), now, std::chrono::seconds(1));
-  view.Merge(Said(0, 1, State::kAlive), Source::kItself, now);
-  view.Find("n1")->heard = now;
-  EXPECT_EQ(view.Merge(Said(0, 1, State::kFaulty), Source::kNews, now), View::Merged::kDoubted);
+  view.Merge(Said(0, 1, State::kAlive), Source::kDirect, now);
+  view.Find("n1")->last_heard = now;
+  EXPECT_EQ(view.Merge(Said(0, 1, State::kFaulty), Source::kGossip, now), View::MergeResult::kStoredAsSuspect);
   EXPECT_EQ(view.Find("n1")->member.state, State::kSuspect);
   // Heard no more, the same news counts; a copy still does not; what was found out here does.
   const Time later = now + std::chrono::seconds(2);
-  EXPECT_EQ(view.Merge(Said(0, 1, State::kFaulty), Source::kExchange, later), View::Merged::kOld);
-  EXPECT_EQ(view.Merge(Said(0, 1, State::kFaulty), Source::kNews, later), View::Merged::kStored);
+  EXPECT_EQ(view.Merge(Said(0, 1, State::kFaulty), Source::kExchange, later), View::MergeResult::kUnchanged);
+  EXPECT_EQ(view.Merge(Said(0, 1, State::kFaulty), Source::kGossip, later), View::MergeResult::kStored);
   EXPECT_EQ(view.faulty(), 1u);
 }
 
 TEST(Merge, EndsOfStrangersAndWhatHasNoRoomAreNotKept) {
   View view(Said(0, 1, State::kAlive, "me"), Time(), std::chrono::seconds(1));
-  EXPECT_EQ(view.Merge(Said(3, 1, State::kFaulty, "gone"), Source::kNews, Time()), View::Merged::kUnknown);
-  for (std::size_t i = 1; i < kMostMembers; ++i)
-    ASSERT_EQ(view.Merge(Said(0, 1, State::kAlive, "n" + std::to_string(i)), Source::kNews, Time()),
-              View::Merged::kStored);
-  EXPECT_EQ(view.Merge(Said(0, 1, State::kAlive, "late"), Source::kNews, Time()), View::Merged::kFull);
+  EXPECT_EQ(view.Merge(Said(3, 1, State::kFaulty, "gone"), Source::kGossip, Time()), View::MergeResult::kUnknown);
+  for (std::size_t i = 1; i < kMaxMembers; ++i)
+    ASSERT_EQ(view.Merge(Said(0, 1, State::kAlive, "n" + std::to_string(i)), Source::kGossip, Time()),
+              View::MergeResult::kStored);
+  EXPECT_EQ(view.Merge(Said(0, 1, State::kAlive, "late"), Source::kGossip, Time()), View::MergeResult::kFull);
   EXPECT_EQ(view.refused(), 1u);
   // One that has left makes way before one that has failed, however long ago.
-  view.Merge(Said(0, 1, State::kFaulty, "n7"), Source::kOwn, Time());
-  view.Merge(Said(0, 1, State::kLeft, "n8"), Source::kOwn, Time() + std::chrono::seconds(9));
-  EXPECT_EQ(view.Merge(Said(0, 1, State::kAlive, "late"), Source::kNews, Time()), View::Merged::kStored);
+  view.Merge(Said(0, 1, State::kFaulty, "n7"), Source::kLocal, Time());
+  view.Merge(Said(0, 1, State::kLeft, "n8"), Source::kLocal, Time() + std::chrono::seconds(9));
+  EXPECT_EQ(view.Merge(Said(0, 1, State::kAlive, "late"), Source::kGossip, Time()), View::MergeResult::kStored);
   EXPECT_EQ(view.Find("n8"), nullptr);
   EXPECT_NE(view.Find("n7"), nullptr);
-  EXPECT_EQ(view.entries().size(), kMostMembers);
+  EXPECT_EQ(view.entries().size(), kMaxMembers);
   EXPECT_EQ(view.Forget(Time() + std::chrono::hours(2), std::chrono::minutes(1), std::chrono::hours(1)), 1u);
 }
 
 // Two live processes of one name: whoever hears what in which order, one yields and it is the later one.
-TEST(Contest, OfTwoThatLiveTheLaterYields) {
+TEST(NameConflict, OfTwoThatLiveTheLaterYields) {
   const Member early = Said(4, 100, State::kAlive, "x");
   Member late = Said(0, 200, State::kAlive, "x");
   late.address.port = 7002;
-  using Verdict = Contest::Verdict;
-  EXPECT_EQ(Contest().Judge(late, early, true), Verdict::kYield);
-  EXPECT_EQ(Contest().Judge(early, late, true), Verdict::kIgnore);
+  using Verdict = NameConflict::Verdict;
+  EXPECT_EQ(NameConflict().Judge(late, early, true), Verdict::kYield);
+  EXPECT_EQ(NameConflict().Judge(early, late, true), Verdict::kIgnore);
   late.incarnation = 9;
-  EXPECT_EQ(Contest().Judge(early, late, true), Verdict::kRaise);
+  EXPECT_EQ(NameConflict().Judge(early, late, true), Verdict::kRaise);
   late.incarnation = 0;
-  Contest hearsay;  // one that keeps raising lives, though it never writes here
+  NameConflict hearsay;  // one that keeps raising lives, though it never writes here
   std::vector<Verdict> said;
   for (int i = 0; i < 4; ++i) {
     Member again = early;
@@ -137,8 +137,8 @@
   // A dead one, or a predecessor at this address, is no rival.
   Member dead = early;
   dead.state = State::kFaulty;
-  EXPECT_EQ(Contest().Judge(Said(0, 200, State::kAlive, "x"), dead, false), Verdict::kRaise);
-  EXPECT_EQ(Contest().Judge(Said(0, 200, State::kAlive, "x"), early, true), Verdict::kRaise);
+  EXPECT_EQ(NameConflict().Judge(Said(0, 200, State::kAlive, "x"), dead, false), Verdict::kRaise);
+  EXPECT_EQ(NameConflict().Judge(Said(0, 200, State::kAlive, "x"), early, true), Verdict::kRaise);
 }
 
 }  // namespace
--- a/tests/peers/settings_test.cpp
+++ b/tests/peers/settings_test.cpp
@@ -25,12 +25,12 @@
     const std::vector<operator_file::Section> sections{PeersSection(&spec)};
     operator_file::ReadDocument("version = 1\n" + section, sections, &diagnostics);
     const auto settings = Build(spec, {allowed, "n0", folder_.path()}, &diagnostics);
-    said_.clear();
-    for (const auto& line : diagnostics.Lines()) said_ += line + "\n";
+    diagnostics_text_.clear();
+    for (const auto& line : diagnostics.Lines()) diagnostics_text_ += line + "\n";
     return settings;
   }
   testing::TemporaryFolder folder_;
-  std::string said_;
+  std::string diagnostics_text_;
 };
 
 const std::string kGood =
@@ -39,16 +39,16 @@
 
 TEST_F(PeersSettings, FiveLinesDo) {
   const auto settings = Read(kGood);
-  ASSERT_TRUE(settings) << said_;
+  ASSERT_TRUE(settings) << diagnostics_text_;
   EXPECT_EQ(settings->listen.Text(), "127.0.0.1:7001");
   EXPECT_EQ(settings->advertise, settings->listen);
   EXPECT_EQ(settings->seeds.size(), 2u);
   EXPECT_TRUE(Read(kGood, true));
   EXPECT_FALSE(Read("", false));
-  EXPECT_EQ(said_, "");  // no section, nothing to say
+  EXPECT_EQ(diagnostics_text_, "");  // no section, nothing to say
 }
 
-TEST_F(PeersSettings, WhatIsWrongIsSaidWithItsLine) {
+TEST_F(PeersSettings, ErrorsNameTheLine) {
   struct Case {
     std::string section, says;
     std::optional<bool> allowed = std::nullopt;
@@ -74,17 +74,17 @@
            Case{kGood + "sedes = 3\n", "did you mean 'seeds'"},
        }) {
     EXPECT_FALSE(Read(section, allowed)) << section;
-    EXPECT_NE(said_.find(says), std::string::npos) << section << said_;
+    EXPECT_NE(diagnostics_text_.find(says), std::string::npos) << section << diagnostics_text_;
   }
 }
 
 // Slower probes are accepted with a promise that they can keep.
 TEST_F(PeersSettings, TimesKeepTheirProportion) {
   const auto settings = Read(kGood + "probe_every = \"400ms\"\ndetect_within = \"6s\"\n");
-  ASSERT_TRUE(settings) << said_;
+  ASSERT_TRUE(settings) << diagnostics_text_;
   EXPECT_EQ(settings->times.period, std::chrono::milliseconds(400));
-  EXPECT_EQ(settings->times.least_suspicion, 2 * Times().least_suspicion);
-  EXPECT_LE(Times().Detection(16), std::chrono::seconds(3));
+  EXPECT_EQ(settings->times.min_suspicion, 2 * Times().min_suspicion);
+  EXPECT_LE(Times().DetectionTime(16), std::chrono::seconds(3));
 }
 
 }  // namespace
--- a/tests/peers/wire_test.cpp
+++ b/tests/peers/wire_test.cpp
@@ -41,7 +41,7 @@
 Message Drawn(std::mt19937_64& draw) {
   const auto text = [&](std::size_t most) { return std::string(draw() % (most + 1), 'a' + draw() % 26); };
   const auto member = [&](bool full) {
-    Member m{"n" + text(kMostName - 1),
+    Member m{"n" + text(kMaxNameBytes - 1),
              draw() | 1,
              draw() >> 1,
              static_cast<State>(draw() % kStates),
@@ -51,14 +51,14 @@
              1};
     if (full) {
       m.address = {static_cast<std::uint32_t>(draw()), static_cast<std::uint16_t>(draw() | 1)};
-      m.zone = text(kMostZone), m.version = text(kMostVersion), m.wire = 2;
+      m.zone = text(kMaxZoneBytes), m.version = text(kMaxVersionBytes), m.wire = 2;
     }
     return m;
   };
   Message m;
   m.kind = static_cast<Message::Kind>(1 + draw() % 7);
   m.from = member(true);
-  m.view = draw(), m.number = draw(), m.target = text(kMostName), m.target_boot = draw();
+  m.view = draw(), m.number = draw(), m.target = text(kMaxNameBytes), m.target_boot = draw();
   m.target_address = {static_cast<std::uint32_t>(draw()), static_cast<std::uint16_t>(draw())};
   if (draw() % 2) {
     m.digest.resize(kBuckets);
@@ -68,7 +68,7 @@
   m.reply = draw() % 2;
   while (true) {
     const Statement s{member(draw() % 2), static_cast<std::uint32_t>(draw())};
-    if (wire::MostBytes(m) + wire::MostBytes(s) > wire::kMostBody) return m;
+    if (wire::MaxBytes(m) + wire::MaxBytes(s) > wire::kMaxBodyBytes) return m;
     m.statements.push_back(s);
   }
 }
@@ -78,7 +78,7 @@
   for (int i = 0; i < 300; ++i) {
     Message m = Drawn(draw);
     const auto bytes = wire::Encode(m, 2);
-    EXPECT_LE(bytes.size(), wire::MostBytes(m));
+    EXPECT_LE(bytes.size(), wire::MaxBytes(m));
     EXPECT_EQ(wire::Decode(bytes, 2), m);
     const auto old = wire::Decode(wire::Encode(m, 1), 1);  // the first form has no view
     m.view = 0;
@@ -127,52 +127,52 @@
     if (!m) continue;
     ++read;
     EXPECT_TRUE(m->digest.empty() || m->digest.size() == kBuckets);
-    EXPECT_LE(m->from.name.size(), kMostName);
+    EXPECT_LE(m->from.name.size(), kMaxNameBytes);
     EXPECT_NE(m->from.address.port, 0);
     for (const Statement& s : m->statements) EXPECT_LT(static_cast<std::size_t>(s.member.state), kStates);
   }
   EXPECT_GT(read, 0);  // changed numbers are messages too: it is the seal that keeps them out
 }
 
-TEST(Gate, OpensWhatItsKeysSealedAndNothingElse) {
+TEST(Authenticator, OpensWhatItsKeysSealedAndNothingElse) {
   std::mt19937_64 draw(10);
   Message m = Drawn(draw), read;
   m.from.boot = 77;
-  Gate sender(KeysOf(kFirst), 77), same(KeysOf(kFirst), 1),
+  Authenticator sender(KeysOf(kFirst), 77), same(KeysOf(kFirst), 1),
       other(KeysOf(std::string("1 0011223344556677") + "8899aabbccddeefe"), 2);
   auto bytes = sender.Seal(m, 2);
-  EXPECT_EQ(other.Open(bytes, &read), Refusal::kSeal);
-  EXPECT_EQ(Gate(KeysOf(kSecond), 3).Open(bytes, &read), Refusal::kKey);
-  EXPECT_EQ(same.Open(bytes, &read), Refusal::kNone);
+  EXPECT_EQ(other.Open(bytes, &read), DropReason::kSeal);
+  EXPECT_EQ(Authenticator(KeysOf(kSecond), 3).Open(bytes, &read), DropReason::kKey);
+  EXPECT_EQ(same.Open(bytes, &read), DropReason::kNone);
   EXPECT_EQ(read, m);
-  EXPECT_EQ(same.Open(bytes, &read), Refusal::kReplay);
+  EXPECT_EQ(same.Open(bytes, &read), DropReason::kReplay);
   bytes = sender.Seal(m, 2);
   for (std::size_t i = 0; i < bytes.size(); ++i) {  // each byte counts
     auto changed = bytes;
     changed[i] ^= 1;
-    EXPECT_NE(same.Open(changed, &read), Refusal::kNone) << i;
+    EXPECT_NE(same.Open(changed, &read), DropReason::kNone) << i;
   }
-  EXPECT_EQ(same.Open(std::span(bytes).first(bytes.size() - 1), &read), Refusal::kSeal);
-  EXPECT_EQ(same.Open(std::span(bytes).first(36), &read), Refusal::kSize);
-  EXPECT_EQ(same.Open(wire::Bytes(1201), &read), Refusal::kSize);
-  EXPECT_EQ(same.Open(bytes, &read), Refusal::kNone);  // none of those counted as having come
+  EXPECT_EQ(same.Open(std::span(bytes).first(bytes.size() - 1), &read), DropReason::kSeal);
+  EXPECT_EQ(same.Open(std::span(bytes).first(36), &read), DropReason::kSize);
+  EXPECT_EQ(same.Open(wire::Bytes(1201), &read), DropReason::kSize);
+  EXPECT_EQ(same.Open(bytes, &read), DropReason::kNone);  // none of those counted as having come
   // Whoever holds the key still speaks for its own boot alone.
   m.from.boot = 78;
-  EXPECT_EQ(same.Open(sender.Seal(m, 2), &read), Refusal::kBody);
+  EXPECT_EQ(same.Open(sender.Seal(m, 2), &read), DropReason::kBody);
 }
 
 // Every byte, worked out by other means from RFC 8949 and RFC 2104.
-TEST(Gate, TheSealIsHmacSha256) {
+TEST(Authenticator, TheSealIsHmacSha256) {
   Message m;
   m.from = {"n0", 5, 0, State::kAlive, {0x7f000001, 7000}, "a", "1", 2};
   m.from.boot = 5;
-  const auto bytes = Gate(KeysOf(kFirst), 5).Seal(m, 1);
+  const auto bytes = Authenticator(KeysOf(kFirst), 5).Seal(m, 1);
   EXPECT_EQ(HexOf(bytes),
             "6b700101000000000000000500000000000000018b0189626e30050000001b00007f0000011b5861"
             "6161310200600000800000008004a37337edc060c4bb7a1449bb7e691b");
 }
 
-TEST(Gate, AKeyIsChangedOneByOneWithoutASilentMoment) {
+TEST(Authenticator, AKeyIsChangedOneByOneWithoutASilentMoment) {
   std::mt19937_64 draw(11);
   Message m = Drawn(draw), read;
   m.from.boot = 5;
@@ -180,13 +180,13 @@
   // Added at each, then first at each, then alone at each: two neighbours in the change always understand.
   const std::vector<std::string> steps{first, first + "\n" + second, second + "\n" + first, second};
   for (std::size_t s = 0; s + 1 < steps.size(); ++s) {
-    Gate behind(KeysOf(steps[s]), 5), ahead(KeysOf(steps[s + 1]), 5);
-    EXPECT_EQ(ahead.Open(behind.Seal(m, 2), &read), Refusal::kNone) << s;
-    EXPECT_EQ(behind.Open(ahead.Seal(m, 2), &read), Refusal::kNone) << s;
+    Authenticator behind(KeysOf(steps[s]), 5), ahead(KeysOf(steps[s + 1]), 5);
+    EXPECT_EQ(ahead.Open(behind.Seal(m, 2), &read), DropReason::kNone) << s;
+    EXPECT_EQ(behind.Open(ahead.Seal(m, 2), &read), DropReason::kNone) << s;
   }
 }
 
-TEST(Gate, NumbersComeOnceInWhateverOrderWithinTheWindow) {
+TEST(Authenticator, NumbersComeOnceInWhateverOrderWithinTheWindow) {
   ReplayWindow window;
   EXPECT_FALSE(window.Take(0));
   std::vector<std::uint64_t> numbers;
@@ -195,8 +195,8 @@
   for (const auto n : numbers) EXPECT_TRUE(window.Take(n));
   for (const auto n : numbers) EXPECT_FALSE(window.Take(n));
   EXPECT_TRUE(window.Take(100000));
-  EXPECT_FALSE(window.Take(100000 - ReplayWindow::kWidth));
-  EXPECT_TRUE(window.Take(100000 - ReplayWindow::kWidth + 1));
+  EXPECT_FALSE(window.Take(100000 - ReplayWindow::kWindowSize));
+  EXPECT_TRUE(window.Take(100000 - ReplayWindow::kWindowSize + 1));
   EXPECT_FALSE(window.Take(200));
 }
 
