--- a/src/http/api_server.cpp
+++ b/src/http/api_server.cpp
@@ -10,12 +10,12 @@
 namespace kestrelline::http {
 namespace {
 
-constexpr milliseconds kIdle{15000};
-constexpr milliseconds kReading{4000};
-constexpr milliseconds kWriting{4000};
-constexpr milliseconds kLinger{500};  // for the other side's end of a connection, after the last answer
-constexpr std::size_t kPiece = 16 * 1024;
-constexpr milliseconds kAcceptPause{20};
+constexpr milliseconds kIdleTimeout{15000};
+constexpr milliseconds kReadTimeout{4000};
+constexpr milliseconds kWriteTimeout{4000};
+constexpr milliseconds kLingerTimeout{500};  // for the client to close after the last response
+constexpr std::size_t kReadBytes = 16 * 1024;
+constexpr milliseconds kAcceptPause{20};  // after a failed accept
 
 std::string Escaped(const std::string& text) {
   std::string escaped;
@@ -90,10 +90,10 @@
   while (acceptor_.is_open()) {
     auto [error, socket] = co_await acceptor_.async_accept(kTuple);
     if (error && acceptor_.is_open()) {
-      asio::steady_timer pause(io_, kAcceptPause);  // out of descriptors, perhaps
+      asio::steady_timer pause(io_, kAcceptPause);  // probably out of file descriptors
       co_await pause.async_wait(kTuple);
     }
-    if (error || connections_.size() >= kMostConnections) continue;
+    if (error || connections_.size() >= kMaxConnections) continue;
     asio::co_spawn(io_, Serve(std::move(socket)), asio::detached);
   }
 }
@@ -114,8 +114,8 @@
   if (!co_await AwaitFirstBytes(connection)) co_return false;
   connection.state = Connection::State::kReading;
   bhttp::request_parser<bhttp::string_body> parser;
-  parser.header_limit(kLongestHeader);
-  parser.body_limit(kLongestBody);
+  parser.header_limit(kMaxHeaderBytes);
+  parser.body_limit(kMaxBodyBytes);
   const auto [read_error, read] =
       co_await bhttp::async_read(connection.stream, connection.buffer, parser, kTuple);
   if (read_error && !IsProtocolError(read_error)) co_return false;
@@ -136,11 +136,11 @@
 Awaitable<bool> ApiServer::AwaitFirstBytes(Connection& connection) {
   connection.state = Connection::State::kIdle;
   if (draining_ && !connection.HasBytes()) co_return false;
-  const bool begun = connection.buffer.size() > 0;
-  connection.stream.expires_after(begun ? kReading : kIdle);
-  if (begun) co_return true;
+  const bool has_bytes = connection.buffer.size() > 0;
+  connection.stream.expires_after(has_bytes ? kReadTimeout : kIdleTimeout);
+  if (has_bytes) co_return true;
   const auto [error, count] =
-      co_await connection.stream.async_read_some(connection.buffer.prepare(kPiece), kTuple);
+      co_await connection.stream.async_read_some(connection.buffer.prepare(kReadBytes), kTuple);
   connection.buffer.commit(count);
   co_return !error;
 }
@@ -160,14 +160,14 @@
 
 Awaitable<bool> ApiServer::Write(Connection& connection, ApiResponse response) {
   response.prepare_payload();
-  connection.stream.expires_after(kWriting);
+  connection.stream.expires_after(kWriteTimeout);
   const auto [error, written] = co_await bhttp::async_write(connection.stream, response, kTuple);
   co_return !error && response.keep_alive();
 }
 
 Awaitable<void> ApiServer::End(Connection& connection) {
   connection.state = Connection::State::kEnding;
-  co_await ShutdownSendAndDrain(connection.stream, kLinger);
+  co_await ShutdownSendAndDrain(connection.stream, kLingerTimeout);
 }
 
 }  // namespace kestrelline::http
--- a/src/http/api_server.h
+++ b/src/http/api_server.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A small HTTP server for the fleet's own interfaces (operator, readiness): whole requests, whole answers. It
-// drains before its process ends: each request that was read gets its answer.
+// A small HTTP server for the fleet's own interfaces (operator API, readiness). Requests and responses are
+// held in memory as a whole. It drains before its process ends: every request that was read is answered.
 #ifndef KESTRELLINE_HTTP_API_SERVER_H_
 #define KESTRELLINE_HTTP_API_SERVER_H_
 
@@ -27,21 +27,22 @@
 // {"error": "..."}; the text is escaped.
 ApiResponse ErrorResponse(bhttp::status status, const std::string& text);
 
+// One listening socket and its connections, on the thread of the io_context.
 class ApiServer {
  public:
-  static constexpr int kMostConnections = 256;  // more are closed at once
-  static constexpr std::size_t kLongestHeader = 16 * 1024;
-  static constexpr std::size_t kLongestBody = 6 * 1024 * 1024;
+  static constexpr int kMaxConnections = 256;  // connections beyond it are closed at once
+  static constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
+  static constexpr std::size_t kMaxBodyBytes = 6 * 1024 * 1024;
 
   ApiServer(asio::io_context& io, ApiHandler handler);
   std::error_code Listen(const node::Endpoint& endpoint);
-  // Takes no more connections; answers from now on are the last of theirs.
+  // Accepts no more connections, and closes each connection after its next response.
   void Close();
-  // Answers from now on are the last of their connections; requests are handled as before.
+  // Closes each connection after its next response; requests are handled as before.
   void AnnounceClose() { announces_close_ = true; }
-  // Closes, gives what is being handled its answer, and answers 503 at once to what still comes on open
+  // Closes, lets requests in progress finish, and answers 503 at once to requests that still arrive on open
   // connections. Completes when every connection has ended, or at `until`, with the number of requests that
-  // were read and whose answer has not been sent whole.
+  // were read but not answered completely.
   Awaitable<int> Drain(steady_clock::time_point until);
 
  private:
@@ -58,13 +59,13 @@
 
   Awaitable<void> Accept();
   Awaitable<void> Serve(Tcp::socket socket);
-  // One request and its answer; false if the connection is to end.
+  // Handles one request; false if the connection is to end.
   Awaitable<bool> ServeRequest(Connection& connection);
   // False if the connection ends without another request.
   Awaitable<bool> AwaitFirstBytes(Connection& connection);
   Awaitable<ApiResponse> Answer(ApiRequest request);
   Awaitable<bool> Write(Connection& connection, ApiResponse response);
-  // Ends the connection so that an answer on its way is not destroyed by a reset.
+  // Ends the connection gracefully, so that a reset does not destroy a response in flight.
   Awaitable<void> End(Connection& connection);
   int Unanswered() const;
 
--- a/src/http/asio.h
+++ b/src/http/asio.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Short names for the HTTP library (Boost.Beast), as the fleet's programs use it: coroutines on one thread.
+// Aliases for Boost.Asio and Boost.Beast, which the fleet's programs use with coroutines on one thread.
 #ifndef KESTRELLINE_HTTP_ASIO_H_
 #define KESTRELLINE_HTTP_ASIO_H_
 
@@ -35,10 +35,10 @@
 
 template <typename T>
 using Awaitable = asio::awaitable<T>;
-// What a parser is given at once at the most: Boost.Beast 1.81 throws out of the io_context where a field's
-// value is longer than it can count. A longer field ends in `buffer_overflow`.
+// Limit of the buffer that a parser reads from. With more, Boost.Beast 1.81 throws out of the io_context for
+// a header field longer than it can count; with this limit such a field fails with `buffer_overflow`.
 inline constexpr std::size_t kMaxParserBufferBytes = 65532;
-// Completes with the error as the first value instead of an exception.
+// Completion token: the error is the first value of the result, rather than an exception.
 inline constexpr auto kTuple = asio::as_tuple(asio::use_awaitable);
 
 }  // namespace kestrelline::http
--- a/src/http/sockets.cpp
+++ b/src/http/sockets.cpp
@@ -8,10 +8,10 @@
 
 std::error_code OpenAcceptor(Tcp::acceptor& acceptor, const node::Endpoint& endpoint) {
   error_code error;
-  const Tcp::endpoint here(asio::ip::make_address(endpoint.ip, error), endpoint.port);
-  if (!error) acceptor.open(here.protocol(), error);
+  const Tcp::endpoint address(asio::ip::make_address(endpoint.ip, error), endpoint.port);
+  if (!error) acceptor.open(address.protocol(), error);
   if (!error) acceptor.set_option(Tcp::acceptor::reuse_address(true), error);
-  if (!error) acceptor.bind(here, error);
+  if (!error) acceptor.bind(address, error);
   if (!error) acceptor.listen(asio::socket_base::max_listen_connections, error);
   return error;
 }
@@ -19,10 +19,10 @@
 Awaitable<error_code> Connect(beast::tcp_stream& stream, const node::Endpoint& endpoint,
                               steady_clock::time_point until) {
   error_code error;
-  const Tcp::endpoint there(asio::ip::make_address(endpoint.ip, error), endpoint.port);
+  const Tcp::endpoint address(asio::ip::make_address(endpoint.ip, error), endpoint.port);
   if (error) co_return error;
   stream.expires_at(until);
-  const auto [failed] = co_await stream.async_connect(there, kTuple);
+  const auto [failed] = co_await stream.async_connect(address, kTuple);
   if (!failed) stream.socket().set_option(Tcp::no_delay(true), error);
   co_return failed;
 }
@@ -36,11 +36,11 @@
   return error || count == 0 ? Peeked::kEnded : Peeked::kBytes;
 }
 
-Awaitable<void> ShutdownSendAndDrain(beast::tcp_stream& stream, steady_clock::duration patience) {
+Awaitable<void> ShutdownSendAndDrain(beast::tcp_stream& stream, steady_clock::duration timeout) {
   error_code ended;
   stream.socket().shutdown(Tcp::socket::shutdown_send, ended);
   std::array<char, 4096> unread{};
-  stream.expires_after(patience);
+  stream.expires_after(timeout);
   ended = {};
   while (!ended) {
     const auto [error, count] = co_await stream.async_read_some(asio::buffer(unread), kTuple);
--- a/src/mesh/connection.cpp
+++ b/src/mesh/connection.cpp
@@ -13,9 +13,9 @@
 namespace kestrelline::mesh {
 namespace {
 
-constexpr std::size_t kReadSize = 16 * 1024;
-constexpr unsigned kSilenceMs = 1200;        // unacknowledged data ends a connection after this
-constexpr std::size_t kMostInOneWrite = 16;  // frames
+constexpr std::size_t kReadBytes = 16 * 1024;
+constexpr unsigned kTcpUserTimeoutMs = 1200;  // unacknowledged data ends a connection after this time
+constexpr std::size_t kMaxFramesPerWrite = 16;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
   using UserTimeout = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
   boost::system::error_code ignored;
   socket.set_option(Tcp::no_delay(true), ignored);
-  socket.set_option(UserTimeout(static_cast<int>(kSilenceMs)), ignored);
+  socket.set_option(UserTimeout(static_cast<int>(kTcpUserTimeoutMs)), ignored);
 }
 
 Connection::Connection(Tcp::socket socket, OnMessage on_message, OnClosed on_closed,
@@ -36,7 +36,7 @@
 void Connection::Start() { Read(); }
 
 void Connection::Read() {
-  if (input_.size() < input_used_ + kReadSize) input_.resize(input_used_ + kReadSize);
+  if (input_.size() < input_used_ + kReadBytes) input_.resize(input_used_ + kReadBytes);
   socket_.async_read_some(
       boost::asio::buffer(input_.data() + input_used_, input_.size() - input_used_),
       [self = shared_from_this()](const boost::system::error_code& error, std::size_t count) {
@@ -48,17 +48,17 @@
       });
 }
 
-// False if what came is no frame.
+// Handles all complete frames in the input; false if it is malformed.
 bool Connection::TakeFrames() {
-  std::size_t taken = 0;
-  while (open_ && input_used_ - taken >= wire::kLengthBytes) {
-    const std::string_view rest(input_.data() + taken, input_used_ - taken);
-    const auto length = wire::DecodeLength(rest);
+  std::size_t consumed = 0;
+  while (open_ && input_used_ - consumed >= wire::kLengthBytes) {
+    const std::string_view unread(input_.data() + consumed, input_used_ - consumed);
+    const auto length = wire::DecodeLength(unread);
     if (!length) return false;
-    if (rest.size() < wire::kLengthBytes + *length) break;
-    auto message = wire::DecodeEnvelope(rest.substr(wire::kLengthBytes, *length));
+    if (unread.size() < wire::kLengthBytes + *length) break;
+    auto message = wire::DecodeEnvelope(unread.substr(wire::kLengthBytes, *length));
     if (!message) return false;
-    taken += wire::kLengthBytes + *length;
+    consumed += wire::kLengthBytes + *length;
     if (traffic_) traffic_->Received(message->body, wire::kLengthBytes + *length);
     if (const auto* echo = std::get_if<wire::Echo>(&message->body)) {
       echo_ = echo->value;
@@ -66,9 +66,9 @@
     }
     on_message_(*this, std::move(*message));
   }
-  input_.erase(0, taken);
-  input_used_ -= taken;
-  if (input_used_ == 0 && input_.size() > 4 * kReadSize) {
+  input_.erase(0, consumed);
+  input_used_ -= consumed;
+  if (input_used_ == 0 && input_.size() > 4 * kReadBytes) {
     input_.clear();
     input_.shrink_to_fit();
   }
@@ -79,12 +79,12 @@
   if (!open_) return;
   output_bytes_ += frame->size();
   output_.push_back(std::move(frame));
-  if (output_bytes_ > kMostQueuedBytes || output_.size() > kMostQueuedFrames) return Fail();
+  if (output_bytes_ > kMaxQueuedBytes || output_.size() > kMaxQueuedFrames) return Fail();
   if (!writing_) Write();
 }
 
 void Connection::Write() {
-  std::array<boost::asio::const_buffer, kMostInOneWrite> buffers;
+  std::array<boost::asio::const_buffer, kMaxFramesPerWrite> buffers;
   const std::size_t count = std::min(output_.size(), buffers.size());
   for (std::size_t i = 0; i < count; ++i) buffers[i] = boost::asio::buffer(*output_[i]);
   writing_ = true;
--- a/src/mesh/connection.h
+++ b/src/mesh/connection.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One TCP connection of the internal protocol: frames in both directions.
+// One TCP connection of the internal protocol, which carries frames in both directions. No thread of its own;
+// it lives as long as an operation is pending.
 #ifndef KESTRELLINE_MESH_CONNECTION_H_
 #define KESTRELLINE_MESH_CONNECTION_H_
 
@@ -16,30 +17,31 @@
 namespace kestrelline::mesh {
 
 using Tcp = boost::asio::ip::tcp;
-// An encoded message; one may wait on many connections at once.
+// An encoded message, which may be queued on many connections at once.
 using Frame = std::shared_ptr<const std::string>;
 
-// Socket options that every internal connection has: no delay, and an end to silence.
+// Sets the options of all internal connections: TCP_NODELAY, and a timeout for unacknowledged data.
 void SetOptions(Tcp::socket& socket);
 
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  // More waiting than this ends the connection: its peer does not read.
-  static constexpr std::size_t kMostQueuedBytes = 24 * 1024 * 1024;
-  static constexpr std::size_t kMostQueuedFrames = 512;
+  // A longer send queue ends the connection, since its peer does not read.
+  static constexpr std::size_t kMaxQueuedBytes = 24 * 1024 * 1024;
+  static constexpr std::size_t kMaxQueuedFrames = 512;
 
   using OnMessage = std::function<void(Connection&, wire::Message)>;
   using OnClosed = std::function<void(Connection&)>;
 
-  // `traffic` counts what comes; null: nobody counts.
+  // `traffic` counts received messages; it may be null.
   Connection(Tcp::socket socket, OnMessage on_message, OnClosed on_closed, std::shared_ptr<Traffic> traffic);
 
   void Start();
   void Send(Frame frame);
-  // Ends it; OnClosed is not called.
+  // Closes without calling OnClosed.
   void Close();
   bool open() const { return open_; }
-  // The newest echo that came: what follows it was composed after that probe had reached the peer. 0: none.
+  // The newest echo received: messages after it were composed after the peer had received that probe. 0:
+  // none.
   std::uint64_t echo() const { return echo_; }
 
  private:
--- a/src/mesh/mesh.cpp
+++ b/src/mesh/mesh.cpp
@@ -12,8 +12,8 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr milliseconds kConnectPatience{400};
-constexpr milliseconds kBetweenAttempts{150};
+constexpr milliseconds kConnectTimeout{400};
+constexpr milliseconds kMinAttemptInterval{150};
 
 }  // namespace
 
@@ -36,7 +36,7 @@
 void Mesh::Accept() {
   acceptor_.async_accept([this](const boost::system::error_code& error, Tcp::socket socket) {
     if (!acceptor_.is_open()) return;
-    if (!error && incoming_.size() < kMostIncoming) {
+    if (!error && incoming_.size() < kMaxIncoming) {
       SetOptions(socket);
       const auto connection = std::make_shared<Connection>(
           std::move(socket), on_message_,
@@ -59,45 +59,45 @@
 }
 
 void Mesh::Send(const std::string& name, Frame frame) {
-  if (!peers_.contains(name) && peers_.size() >= kMostPeers) return;
+  if (!peers_.contains(name) && peers_.size() >= kMaxPeers) return;
   Peer& peer = peers_[name];
   if (peer.connection && peer.connection->open()) return peer.connection->Send(std::move(frame));
   peer.connection = nullptr;
   if (!peer.connecting && steady_clock::now() < peer.next_attempt) return;
-  if (peer.waiting.size() >= kMostWaiting) peer.waiting.pop_front();
-  peer.waiting.push_back(std::move(frame));
+  if (peer.pending.size() >= kMaxPendingFrames) peer.pending.pop_front();
+  peer.pending.push_back(std::move(frame));
   if (!peer.connecting) Connect(name, peer);
 }
 
 void Mesh::Connect(const std::string& name, Peer& peer) {
   boost::system::error_code error;
-  const Tcp::endpoint there(boost::asio::ip::make_address(name, error), listen_.port);
-  if (error) return peer.waiting.clear();
+  const Tcp::endpoint endpoint(boost::asio::ip::make_address(name, error), listen_.port);
+  if (error) return peer.pending.clear();
   const auto socket = std::make_shared<Tcp::socket>(io_);
   peer.connecting = socket;
-  peer.next_attempt = steady_clock::now() + kBetweenAttempts;
-  peer.patience = std::make_unique<boost::asio::steady_timer>(io_, kConnectPatience);
-  peer.patience->async_wait([socket](const boost::system::error_code& cancelled) {
+  peer.next_attempt = steady_clock::now() + kMinAttemptInterval;
+  peer.connect_timer = std::make_unique<boost::asio::steady_timer>(io_, kConnectTimeout);
+  peer.connect_timer->async_wait([socket](const boost::system::error_code& cancelled) {
     boost::system::error_code ignored;
     if (!cancelled) socket->close(ignored);
   });
-  socket->async_connect(there, [this, name, socket](const boost::system::error_code& failed) {
-    Connected(name, socket, failed);
+  socket->async_connect(endpoint, [this, name, socket](const boost::system::error_code& failed) {
+    OnConnected(name, socket, failed);
   });
 }
 
-void Mesh::Connected(const std::string& name, const std::shared_ptr<Tcp::socket>& socket,
-                     const boost::system::error_code& error) {
+void Mesh::OnConnected(const std::string& name, const std::shared_ptr<Tcp::socket>& socket,
+                       const boost::system::error_code& error) {
   Peer& peer = peers_[name];
   if (peer.connecting != socket) return;
   peer.connecting = nullptr;
-  peer.patience = nullptr;
-  auto waiting = std::exchange(peer.waiting, {});
+  peer.connect_timer = nullptr;
+  auto pending = std::exchange(peer.pending, {});
   if (error || !socket->is_open()) return;
   SetOptions(*socket);
   peer.connection = std::make_shared<Connection>(std::move(*socket), on_message_, nullptr, traffic_);
   peer.connection->Start();
-  for (Frame& frame : waiting) peer.connection->Send(std::move(frame));
+  for (Frame& frame : pending) peer.connection->Send(std::move(frame));
 }
 
 void Mesh::Close() {
--- a/src/mesh/traffic.cpp
+++ b/src/mesh/traffic.cpp
@@ -6,7 +6,7 @@
 namespace kestrelline::mesh {
 namespace {
 
-// In the order of wire::Body.
+// The `kind` labels, in the order of wire::Body.
 constexpr std::array kKinds{
     "unknown",     "hello",         "vote_request", "vote_reply",    "heartbeat", "heartbeat_reply",
     "append",      "learn_request", "learn_reply",  "instance_list", "subscribe", "publication",
--- a/src/mesh/traffic.h
+++ b/src/mesh/traffic.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Counts what a process receives over internal connections, by kind of message. What it sends is counted by
-// those who receive it. No I/O, no clock.
+// Counts the messages that a process receives over internal connections, by kind. Sent messages are counted
+// by their receivers. No I/O, no clock.
 #ifndef KESTRELLINE_MESH_TRAFFIC_H_
 #define KESTRELLINE_MESH_TRAFFIC_H_
 
@@ -17,9 +17,9 @@
 
 class Traffic {
  public:
-  // A frame of so many bytes, its length included.
+  // `bytes`: size of the frame, including its length prefix.
   void Received(const wire::Body& body, std::size_t bytes);
-  // Counters in the Prometheus text format: messages and bytes of each kind that has come.
+  // Counters of messages and bytes in the Prometheus text format, for each kind received so far.
   std::string MetricsText() const;
 
  private:
--- a/src/node/settings.cpp
+++ b/src/node/settings.cpp
@@ -13,13 +13,13 @@
 namespace kestrelline::node {
 namespace {
 
-// Caught by ParseSettings, never seen outside. `line` 0: of the file as a whole.
+// Thrown on invalid settings and caught by ParseSettings. Line 0 means the file as a whole.
 struct Invalid : std::runtime_error {
   Invalid(toml::source_position at, const std::string& what) : std::runtime_error(what), line(at.line) {}
   std::uint32_t line;
 };
 
-// One table of the file, with typed look-ups.
+// Typed access to one table of the file.
 class Table {
  public:
   explicit Table(const toml::table& table, std::string prefix = "")
@@ -29,23 +29,23 @@
     if (!table_.contains(key)) throw Missing(key);
     return TextOr(key, "");
   }
-  std::string TextOr(const char* key, std::string otherwise) const {
-    return As<std::string>(key, std::move(otherwise), "no string");
+  std::string TextOr(const char* key, std::string fallback) const {
+    return As<std::string>(key, std::move(fallback), "no string");
   }
-  bool FlagOr(const char* key, bool otherwise) const {
-    return As<bool>(key, otherwise, "neither true nor false");
+  bool FlagOr(const char* key, bool fallback) const {
+    return As<bool>(key, fallback, "neither true nor false");
   }
-  double NumberOr(const char* key, double otherwise) const {
-    const auto value = As<double>(key, otherwise, "no number");
+  double NumberOr(const char* key, double fallback) const {
+    const auto value = As<double>(key, fallback, "no number");
     if (!(value >= 0)) throw Invalid(At(key), Name(key) + " is under 0");
     return value;
   }
-  Milliseconds MillisecondsOr(const char* key, Milliseconds otherwise) const {
-    return Milliseconds(static_cast<std::int64_t>(NumberOr(key, static_cast<double>(otherwise.count()))));
+  Milliseconds MillisecondsOr(const char* key, Milliseconds fallback) const {
+    return Milliseconds(static_cast<std::int64_t>(NumberOr(key, static_cast<double>(fallback.count()))));
   }
-  Milliseconds SecondsOr(const char* key, Milliseconds otherwise) const {
+  Milliseconds SecondsOr(const char* key, Milliseconds fallback) const {
     constexpr double kPerSecond = 1000;
-    const double seconds = NumberOr(key, static_cast<double>(otherwise.count()) / kPerSecond);
+    const double seconds = NumberOr(key, static_cast<double>(fallback.count()) / kPerSecond);
     return Milliseconds(static_cast<std::int64_t>(seconds * kPerSecond));
   }
   std::vector<std::string> Texts(const char* key) const {
@@ -60,7 +60,7 @@
     }
     return texts;
   }
-  std::optional<Endpoint> MaybeEndpoint(const char* key) const {
+  std::optional<Endpoint> OptionalEndpoint(const char* key) const {
     const std::string text = TextOr(key, "");
     if (text.empty()) return std::nullopt;
     auto endpoint = ParseEndpoint(text);
@@ -82,10 +82,10 @@
 
  private:
   template <typename T>
-  T As(const char* key, T otherwise, const char* complaint) const {
-    if (!table_.contains(key)) return otherwise;
+  T As(const char* key, T fallback, const char* error) const {
+    if (!table_.contains(key)) return fallback;
     const auto value = table_[key].value<T>();
-    if (!value) throw Invalid(At(key), Name(key) + " is " + complaint);
+    if (!value) throw Invalid(At(key), Name(key) + " is " + error);
     return *value;
   }
 
@@ -159,14 +159,14 @@
     settings.region_of_zone.emplace(zone.str(), region.value_or(std::string()));
   }
   const Table listen = root.Section("listen");
-  settings.front = listen.MaybeEndpoint("front");
-  settings.ready = listen.MaybeEndpoint("ready");
-  settings.control = listen.MaybeEndpoint("control");
+  settings.front = listen.OptionalEndpoint("front");
+  settings.ready = listen.OptionalEndpoint("ready");
+  settings.control = listen.OptionalEndpoint("control");
   ReadLimits(root.Section("limits"), settings.limits);
   ReadTolerance(root.Section("fault_tolerance"), settings.fault_tolerance);
   ReadBounds(root.Section("bounds"), settings.bounds);
   const Table cloud = root.Section("cloud");
-  settings.cloud = cloud.MaybeEndpoint("address");
+  settings.cloud = cloud.OptionalEndpoint("address");
   settings.cloud_rate_per_s = cloud.NumberOr("rate_per_s", settings.cloud_rate_per_s);
   const Table relay = root.Section("relay");
   settings.max_subscribers = static_cast<std::size_t>(
@@ -203,16 +203,16 @@
 }
 
 SettingsResult ParseSettings(const std::string& text, const std::string& name) {
-  const auto complain = [&name](std::uint32_t line, const std::string& what) {
+  const auto failure = [&name](std::uint32_t line, const std::string& what) {
     return SettingsResult{std::nullopt, name + ":" + std::to_string(line) + ": " + what};
   };
   try {
     const toml::table root = toml::parse(text);
     return {Read(Table(root)), ""};
   } catch (const toml::parse_error& error) {
-    return complain(error.source().begin.line, std::string(error.description()));
+    return failure(error.source().begin.line, std::string(error.description()));
   } catch (const Invalid& invalid) {
-    return complain(invalid.line, invalid.what());
+    return failure(invalid.line, invalid.what());
   }
 }
 
--- a/src/node/settings.h
+++ b/src/node/settings.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The settings file of a fleet process (TOML): reading and checks. Fields that are not known are ignored.
+// The settings file of a fleet process (TOML): reading and validation. Unknown fields are ignored.
 #ifndef KESTRELLINE_NODE_SETTINGS_H_
 #define KESTRELLINE_NODE_SETTINGS_H_
 
@@ -21,11 +21,12 @@
   std::uint16_t port = 0;
   bool operator==(const Endpoint&) const = default;
 };
-// IP:PORT.
+// Formats as IP:PORT.
 std::string ToText(const Endpoint& endpoint);
-// Nothing unless `text` is IP:PORT.
+// Parses IP:PORT with a port over 0; nothing if `text` is malformed.
 std::optional<Endpoint> ParseEndpoint(const std::string& text);
 
+// Resource limits of the process.
 struct ProcessLimits {
   double cpu_share = 1;
   std::int64_t memory_mb = 256;
@@ -33,14 +34,14 @@
   std::int64_t disk_mb = 0;
 };
 
-// What may be lost at once while all promises hold.
+// How many machines, zones and regions may fail at once without the guarantees being affected.
 struct FaultTolerance {
   int machines = 0;
   int zones = 0;
   int regions = 0;
 };
 
-// Bounds that the deployment holds the fleet to.
+// Time and retry limits that the deployment requires of the fleet.
 struct Bounds {
   Milliseconds drain{3000};
   Milliseconds grace{8000};
@@ -54,6 +55,7 @@
   Milliseconds lease{3000};
 };
 
+// All settings of a process.
 struct Settings {
   std::string node_name;
   std::string role;
@@ -62,7 +64,7 @@
   std::string ip;
   std::string zone;
   std::string region;
-  std::uint16_t first_port = 0;  // of the ports that are free for the internal protocol
+  std::uint16_t first_port = 0;  // first of the ports reserved for the internal protocol
   std::uint16_t last_port = 0;
   std::vector<Endpoint> seeds;
   bool bootstrap = false;
@@ -77,24 +79,25 @@
   Bounds bounds;
   std::optional<Endpoint> cloud;
   double cloud_rate_per_s = 1;
-  std::size_t max_subscribers = 24;  // of a member, or of a proxy that passes on; [relay] of the file
+  std::size_t max_subscribers = 24;  // per member or relaying proxy; most_subscribers in [relay]
 
   bool Serves(const std::string& interface) const;
-  // The addresses of `seeds`, in their order.
+  // The IP addresses of `seeds`, in the same order.
   std::vector<std::string> SeedIps() const;
-  // Where a member of the control plane listens for the internal protocol, on any machine.
+  // Where a member of the control plane listens for the internal protocol.
   Endpoint MemberEndpoint() const { return {ip, first_port}; }
-  // Where a proxy listens that passes on what it is told: beside a member on the same machine.
+  // Where a relaying proxy listens, next to a member on the same machine.
   Endpoint RelayEndpoint() const;
 };
 
-// Either settings or `FILE:LINE: what is wrong`.
+// Either the settings, or an error as `FILE:LINE: text`.
 struct SettingsResult {
   std::optional<Settings> settings;
   std::string error;
 };
 
 SettingsResult ReadSettings(const std::string& path);
+// `name` is the file name in error messages.
 SettingsResult ParseSettings(const std::string& text, const std::string& name);
 
 }  // namespace kestrelline::node
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -13,7 +13,7 @@
 namespace kestrelline::wire {
 namespace {
 
-// --- callbacks: strings, lists of strings, lists of messages ---
+// --- nanopb callbacks for strings, bytes and repeated fields ---
 
 bool WriteString(pb_ostream_t* stream, const pb_field_t* field, void* const* argument) {
   const auto& text = *static_cast<const std::string*>(*argument);
@@ -67,8 +67,8 @@
   return callback;
 }
 
-kestrelline_wire_Position Raw(const Position& position) { return {position.epoch, position.sequence}; }
-Position Cooked(const kestrelline_wire_Position& raw) { return {raw.epoch, raw.sequence}; }
+kestrelline_wire_Position ToRaw(const Position& position) { return {position.epoch, position.sequence}; }
+Position FromRaw(const kestrelline_wire_Position& raw) { return {raw.epoch, raw.sequence}; }
 
 // --- accepted changes ---
 
@@ -91,10 +91,10 @@
 
 // --- records ---
 
-kestrelline_wire_Record Raw(const Record& record) {
+kestrelline_wire_Record ToRaw(const Record& record) {
   kestrelline_wire_Record raw = kestrelline_wire_Record_init_zero;
   raw.has_position = true;
-  raw.position = Raw(record.position);
+  raw.position = ToRaw(record.position);
   raw.members = Writing(record.members);
   raw.next_members = Writing(record.next_members);
   raw.version = record.version;
@@ -113,7 +113,7 @@
 }
 
 void Finish(const kestrelline_wire_Record& raw, Record& record) {
-  record.position = Cooked(raw.position);
+  record.position = FromRaw(raw.position);
   record.version = raw.version;
 }
 
@@ -210,7 +210,7 @@
   return true;
 }
 
-kestrelline_wire_InstanceList Raw(const InstanceList& list) {
+kestrelline_wire_InstanceList ToRaw(const InstanceList& list) {
   kestrelline_wire_InstanceList raw = kestrelline_wire_InstanceList_init_zero;
   raw.revision = list.revision;
   raw.age_ms = list.age_ms;
@@ -229,7 +229,7 @@
   list.age_ms = raw.age_ms;
 }
 
-kestrelline_wire_ListChanges Raw(const ListChanges& changes) {
+kestrelline_wire_ListChanges ToRaw(const ListChanges& changes) {
   kestrelline_wire_ListChanges raw = kestrelline_wire_ListChanges_init_zero;
   raw.base = changes.base;
   raw.revision = changes.revision;
@@ -252,7 +252,7 @@
 
 // LoadReport and LoadChanges have the same fields.
 template <typename RawWork, typename Work>
-void PutWork(RawWork& raw, const Work& work) {
+void FillWork(RawWork& raw, const Work& work) {
   raw.loads = Writing(work.loads);
   raw.proxies = work.proxies;
   raw.demands.funcs.encode = WriteDemands;
@@ -266,7 +266,7 @@
   raw.demands.arg = &work.demands;
 }
 
-// --- one overload for each body: fills its part of the envelope ---
+// --- one overload for each body, which fills its part of the envelope ---
 
 using RawEnvelope = kestrelline_wire_Envelope;
 
@@ -277,7 +277,7 @@
 }
 void Put(RawEnvelope& raw, const VoteRequest& request) {
   raw.has_vote_request = true;
-  raw.vote_request = {request.epoch, request.pre_vote, true, Raw(request.held), request.nobody_leads};
+  raw.vote_request = {request.epoch, request.pre_vote, true, ToRaw(request.held), request.nobody_leads};
 }
 void Put(RawEnvelope& raw, const VoteReply& reply) {
   raw.has_vote_reply = true;
@@ -288,25 +288,33 @@
   raw.vote_reply.restarted_lately = reply.restarted_lately;
   raw.vote_reply.leading = reply.leading;
   raw.vote_reply.has_record = reply.record != nullptr;
-  if (reply.record) raw.vote_reply.record = Raw(*reply.record);
+  if (reply.record) raw.vote_reply.record = ToRaw(*reply.record);
 }
-void Put(RawEnvelope& raw, const Heartbeat& beat) {
+void Put(RawEnvelope& raw, const Heartbeat& heartbeat) {
   raw.has_heartbeat = true;
-  raw.heartbeat = {beat.epoch,          beat.sent_ms, true,        Raw(beat.held), true,
-                   Raw(beat.committed), beat.proxies, beat.leased, beat.resigning, beat.echo,
-                   beat.successor_waits};
+  raw.heartbeat = {heartbeat.epoch,
+                   heartbeat.sent_ms,
+                   true,
+                   ToRaw(heartbeat.held),
+                   true,
+                   ToRaw(heartbeat.committed),
+                   heartbeat.proxies,
+                   heartbeat.leased,
+                   heartbeat.resigning,
+                   heartbeat.echo,
+                   heartbeat.successor_waits};
 }
 void Put(RawEnvelope& raw, const HeartbeatReply& reply) {
   raw.has_heartbeat_reply = true;
-  raw.heartbeat_reply = {reply.epoch,   reply.sent_ms, reply.promised, true, Raw(reply.stored),
-                         reply.proxies, reply.probe,   reply.disk,     true, Raw(reply.writing),
+  raw.heartbeat_reply = {reply.epoch,   reply.sent_ms, reply.promised, true, ToRaw(reply.stored),
+                         reply.proxies, reply.probe,   reply.disk,     true, ToRaw(reply.writing),
                          reply.leaving};
 }
 void Put(RawEnvelope& raw, const Append& append) {
   raw.has_append = true;
   raw.append.epoch = append.epoch;
   raw.append.has_record = append.record != nullptr;
-  if (append.record) raw.append.record = Raw(*append.record);
+  if (append.record) raw.append.record = ToRaw(*append.record);
 }
 void Put(RawEnvelope& raw, const LearnRequest& request) {
   raw.has_learn_request = true;
@@ -318,11 +326,11 @@
   raw.learn_reply.promised = reply.promised;
   raw.learn_reply.voter = reply.voter;
   raw.learn_reply.has_record = reply.record != nullptr;
-  if (reply.record) raw.learn_reply.record = Raw(*reply.record);
+  if (reply.record) raw.learn_reply.record = ToRaw(*reply.record);
 }
 void Put(RawEnvelope& raw, const InstanceList& list) {
   raw.has_instances = true;
-  raw.instances = Raw(list);
+  raw.instances = ToRaw(list);
 }
 void Put(RawEnvelope& raw, const Subscribe& subscribe) {
   raw.has_subscribe = true;
@@ -340,21 +348,21 @@
   raw.publication.version = publication.version;
   raw.publication.configuration = Writing(publication.configuration);
   raw.publication.has_instances = publication.instances != nullptr;
-  if (publication.instances) raw.publication.instances = Raw(*publication.instances);
+  if (publication.instances) raw.publication.instances = ToRaw(*publication.instances);
   raw.publication.proxies = publication.proxies;
   raw.publication.control_peers = Writing(publication.control_peers);
   raw.publication.instances_revision = publication.instances_revision;
   raw.publication.instances_age_ms = publication.instances_age_ms;
   raw.publication.hops = publication.hops;
   raw.publication.has_list_changes = publication.list_changes.has_value();
-  if (publication.list_changes) raw.publication.list_changes = Raw(*publication.list_changes);
+  if (publication.list_changes) raw.publication.list_changes = ToRaw(*publication.list_changes);
   raw.publication.configuration_base = publication.configuration_base;
   raw.publication.configuration_patches = Writing(publication.configuration_patches);
 }
 
 void Put(RawEnvelope& raw, const LoadReport& report) {
   raw.has_load_report = true;
-  PutWork(raw.load_report, report);
+  FillWork(raw.load_report, report);
 }
 void Put(RawEnvelope& raw, const LoadSummary& summary) {
   raw.has_load_summary = true;
@@ -363,7 +371,7 @@
 }
 void Put(RawEnvelope& raw, const LoadChanges& changes) {
   raw.has_load_changes = true;
-  PutWork(raw.load_changes, changes);
+  FillWork(raw.load_changes, changes);
 }
 void Put(RawEnvelope& raw, const ListAge& age) {
   raw.has_list_age = true;
@@ -371,7 +379,7 @@
 }
 void Put(RawEnvelope& raw, const ListChanges& changes) {
   raw.has_list_changes = true;
-  raw.list_changes = Raw(changes);
+  raw.list_changes = ToRaw(changes);
 }
 void Put(RawEnvelope& raw, const ListRequest& request) {
   raw.has_list_request = true;
@@ -393,18 +401,19 @@
   raw.referral.leader = Writing(referral.leader);
 }
 
+// Encodes `raw` behind `header_bytes` zero bytes; empty on an error.
 template <typename Raw>
-std::string EncodeRaw(const pb_msgdesc_t* fields, const Raw& raw, std::size_t room_before) {
+std::string EncodeRaw(const pb_msgdesc_t* fields, const Raw& raw, std::size_t header_bytes) {
   std::size_t size = 0;
   if (!pb_get_encoded_size(&size, fields, &raw)) return {};
-  std::string bytes(room_before + size, '\0');
+  std::string bytes(header_bytes + size, '\0');
   pb_ostream_t stream =
-      pb_ostream_from_buffer(reinterpret_cast<pb_byte_t*>(bytes.data() + room_before), size);
+      pb_ostream_from_buffer(reinterpret_cast<pb_byte_t*>(bytes.data() + header_bytes), size);
   if (!pb_encode(&stream, fields, &raw)) return {};
   return bytes;
 }
 
-// What the callbacks of an envelope write into while it is read.
+// The targets of the callbacks while an envelope is decoded.
 struct Parts {
   std::string sender;
   Record vote_record, append_record, learn_record;
@@ -448,7 +457,7 @@
 Body TakeBody(const RawEnvelope& raw, Parts& parts) {
   if (raw.has_hello) return Hello{raw.hello.counts_for_quorum, raw.hello.incarnation};
   if (raw.has_vote_request) {
-    return VoteRequest{raw.vote_request.epoch, raw.vote_request.pre_vote, Cooked(raw.vote_request.held),
+    return VoteRequest{raw.vote_request.epoch, raw.vote_request.pre_vote, FromRaw(raw.vote_request.held),
                        raw.vote_request.nobody_leads};
   }
   if (raw.has_vote_reply) {
@@ -462,15 +471,17 @@
                      reply.leading};
   }
   if (raw.has_heartbeat) {
-    const auto& beat = raw.heartbeat;
-    return Heartbeat{beat.epoch,  beat.sent_ms,   Cooked(beat.held), Cooked(beat.committed), beat.proxies,
-                     beat.leased, beat.resigning, beat.echo,         beat.successor_waits};
+    const auto& heartbeat = raw.heartbeat;
+    return Heartbeat{
+        heartbeat.epoch,          heartbeat.sent_ms, FromRaw(heartbeat.held), FromRaw(heartbeat.committed),
+        heartbeat.proxies,        heartbeat.leased,  heartbeat.resigning,     heartbeat.echo,
+        heartbeat.successor_waits};
   }
   if (raw.has_heartbeat_reply) {
     const auto& reply = raw.heartbeat_reply;
-    return HeartbeatReply{reply.epoch,          reply.sent_ms,         reply.promised,
-                          Cooked(reply.stored), reply.proxies,         reply.probe,
-                          reply.disk,           Cooked(reply.writing), reply.leaving};
+    return HeartbeatReply{reply.epoch,   reply.sent_ms, reply.promised, FromRaw(reply.stored),
+                          reply.proxies, reply.probe,   reply.disk,     FromRaw(reply.writing),
+                          reply.leaving};
   }
   if (raw.has_append) {
     return Append{raw.append.epoch, Shared(raw.append.has_record, raw.append.record, parts.append_record)};
@@ -526,7 +537,7 @@
   raw.sender = Writing(message.sender);
   std::visit([&raw](const auto& body) { Put(raw, body); }, message.body);
   std::string frame = EncodeRaw(kestrelline_wire_Envelope_fields, raw, kLengthBytes);
-  if (frame.size() >= kCompressedFrom) {
+  if (frame.size() >= kMinCompressedBytes) {
     const auto compressed = Compress(std::string_view(frame).substr(kLengthBytes));
     if (compressed) frame.replace(kLengthBytes, std::string::npos, *compressed);
   }
@@ -543,13 +554,13 @@
   for (std::size_t i = 0; i < kLengthBytes; ++i) {
     length = (length << 8) | static_cast<unsigned char>(four_bytes[i]);
   }
-  if (length > kLongestEnvelope) return std::nullopt;
+  if (length > kMaxEnvelopeBytes) return std::nullopt;
   return length;
 }
 
 std::optional<Message> DecodeEnvelope(std::string_view bytes) {
   if (IsCompressed(bytes)) {
-    const auto envelope = Decompress(bytes, kLongestEnvelope);
+    const auto envelope = Decompress(bytes, kMaxEnvelopeBytes);
     if (!envelope || IsCompressed(*envelope)) return std::nullopt;
     return DecodeEnvelope(*envelope);
   }
@@ -585,7 +596,7 @@
 }
 
 std::string EncodeRecord(const Record& record) {
-  return EncodeRaw(kestrelline_wire_Record_fields, Raw(record), 0);
+  return EncodeRaw(kestrelline_wire_Record_fields, ToRaw(record), 0);
 }
 
 std::optional<Record> DecodeRecord(std::string_view bytes) {
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Messages of the internal protocol as bytes and back, by nanopb. No I/O.
+// Encoding and decoding of the internal protocol's messages, by nanopb. No I/O.
 #ifndef KESTRELLINE_WIRE_CODEC_H_
 #define KESTRELLINE_WIRE_CODEC_H_
 
@@ -13,19 +13,20 @@
 namespace kestrelline::wire {
 
 inline constexpr std::uint32_t kProtocolVersion = 1;
-// The longest envelope that is read or written: a configuration of the largest size, its history and room
-// besides.
-inline constexpr std::size_t kLongestEnvelope = 8 * 1024 * 1024;
+// Limit of an envelope in either direction: room for a configuration of the largest size and its history.
+inline constexpr std::size_t kMaxEnvelopeBytes = 8 * 1024 * 1024;
+// Size of the length that precedes an envelope.
 inline constexpr std::size_t kLengthBytes = 4;
 
-// The message with its length before it, ready to be written.
+// The encoded envelope, preceded by its length.
 std::string EncodeFrame(const Message& message);
-// The length that the first four bytes of a frame give; nothing if it is over the bound.
+// The envelope length in the first four bytes of a frame; nothing if there are fewer bytes or it is over the
+// limit.
 std::optional<std::size_t> DecodeLength(std::string_view four_bytes);
-// The envelope without its length; nothing if it is malformed or of an unknown protocol.
+// Decodes an envelope without its length; nothing if it is malformed or of an unknown protocol version.
 std::optional<Message> DecodeEnvelope(std::string_view bytes);
 
-// A record by itself, as it is stored.
+// A record on its own, as it is stored on disk.
 std::string EncodeRecord(const Record& record);
 std::optional<Record> DecodeRecord(std::string_view bytes);
 
--- a/src/wire/compression.h
+++ b/src/wire/compression.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Long envelopes are compressed (zlib): configurations and lists are mostly text that repeats. No I/O.
+// Compression of long envelopes by zlib; configurations and lists are mostly repetitive text. No I/O.
 #ifndef KESTRELLINE_WIRE_COMPRESSION_H_
 #define KESTRELLINE_WIRE_COMPRESSION_H_
 
@@ -11,15 +11,15 @@
 
 namespace kestrelline::wire {
 
-// Shorter envelopes are not worth the time.
-inline constexpr std::size_t kCompressedFrom = 4096;
+// Shorter envelopes are not worth the CPU time.
+inline constexpr std::size_t kMinCompressedBytes = 4096;
 
-// Whether an envelope is a compressed one: no other begins with this byte.
+// Whether an envelope is compressed, which its first byte tells.
 bool IsCompressed(std::string_view envelope);
-// The compressed form; nothing where it would not be shorter.
+// The compressed envelope; nothing if it would not be shorter.
 std::optional<std::string> Compress(std::string_view envelope);
-// Nothing where it is damaged or comes to more than `most` bytes.
-std::optional<std::string> Decompress(std::string_view compressed, std::size_t most);
+// Nothing if the data is damaged or expands to more than `max_bytes` bytes.
+std::optional<std::string> Decompress(std::string_view compressed, std::size_t max_bytes);
 
 }  // namespace kestrelline::wire
 
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // Through bytes and back.
-Message Again(const Body& body) {
+Message RoundTrip(const Body& body) {
   const std::string frame = EncodeFrame({"10.0.0.1", body});
   const auto length = DecodeLength(frame);
   EXPECT_EQ(length, frame.size() - kLengthBytes);
@@ -21,8 +21,8 @@
   return *message;
 }
 template <typename T>
-T AgainAs(const T& body) {
-  const Message message = Again(body);
+T RoundTripAs(const T& body) {
+  const Message message = RoundTrip(body);
   EXPECT_TRUE(std::holds_alternative<T>(message.body));
   return std::get<T>(message.body);
 }
@@ -49,35 +49,35 @@
 
 TEST(Codec, EveryMessageComesBackAsItWas) {
   const auto record = std::make_shared<const Record>(SampleRecord());
-  EXPECT_TRUE(AgainAs(Hello{true, 3}).counts_for_quorum);
-  const auto request = AgainAs(VoteRequest{4, true, {1, 2}, true});
+  EXPECT_TRUE(RoundTripAs(Hello{true, 3}).counts_for_quorum);
+  const auto request = RoundTripAs(VoteRequest{4, true, {1, 2}, true});
   EXPECT_EQ(request.epoch, 4u);
   EXPECT_TRUE(request.pre_vote && request.nobody_leads);
   EXPECT_EQ(request.held, (Position{1, 2}));
-  const auto vote = AgainAs(VoteReply{4, true, true, 9, record, true, true});
+  const auto vote = RoundTripAs(VoteReply{4, true, true, 9, record, true, true});
   ASSERT_TRUE(vote.record);
   ExpectSample(*vote.record);
   EXPECT_TRUE(vote.granted && vote.restarted_lately && vote.leading);
-  const auto beat = AgainAs(Heartbeat{4, 5, {1, 2}, {3, 4}, 6, true, true, 11, true});
-  EXPECT_EQ(beat.committed, (Position{3, 4}));
-  EXPECT_TRUE(beat.leased && beat.resigning && beat.successor_waits);
-  EXPECT_EQ(beat.echo, 11u);
-  const auto reply = AgainAs(HeartbeatReply{4, 5, 6, {7, 8}, 9, 12, 13, {14, 15}, true});
+  const auto heartbeat = RoundTripAs(Heartbeat{4, 5, {1, 2}, {3, 4}, 6, true, true, 11, true});
+  EXPECT_EQ(heartbeat.committed, (Position{3, 4}));
+  EXPECT_TRUE(heartbeat.leased && heartbeat.resigning && heartbeat.successor_waits);
+  EXPECT_EQ(heartbeat.echo, 11u);
+  const auto reply = RoundTripAs(HeartbeatReply{4, 5, 6, {7, 8}, 9, 12, 13, {14, 15}, true});
   EXPECT_EQ(reply.stored, (Position{7, 8}));
   EXPECT_EQ(reply.proxies, 9u);
   EXPECT_EQ(reply.probe, 12u);
   EXPECT_EQ(reply.disk, 13u);
   EXPECT_EQ(reply.writing, (Position{14, 15}));
   EXPECT_TRUE(reply.leaving);
-  ExpectSample(*AgainAs(Append{4, record}).record);
-  EXPECT_EQ(AgainAs(LearnRequest{8, true}).nonce, 8u);
-  EXPECT_TRUE(AgainAs(LearnRequest{8, true}).founding);
-  const auto lesson = AgainAs(LearnReply{8, 9, true, record});
-  ExpectSample(*lesson.record);
-  EXPECT_EQ(AgainAs(Subscribe{1, 2, "zone", 16}).zone, "zone");
-  EXPECT_EQ(AgainAs(Subscribe{1, 2, "zone", 16}).probe, 16u);
-  EXPECT_EQ(AgainAs(Probe{17}).value, 17u);
-  EXPECT_EQ(AgainAs(Echo{18}).value, 18u);
+  ExpectSample(*RoundTripAs(Append{4, record}).record);
+  EXPECT_EQ(RoundTripAs(LearnRequest{8, true}).nonce, 8u);
+  EXPECT_TRUE(RoundTripAs(LearnRequest{8, true}).founding);
+  const auto learned = RoundTripAs(LearnReply{8, 9, true, record});
+  ExpectSample(*learned.record);
+  EXPECT_EQ(RoundTripAs(Subscribe{1, 2, "zone", 16}).zone, "zone");
+  EXPECT_EQ(RoundTripAs(Subscribe{1, 2, "zone", 16}).probe, 16u);
+  EXPECT_EQ(RoundTripAs(Probe{17}).value, 17u);
+  EXPECT_EQ(RoundTripAs(Echo{18}).value, 18u);
 }
 
 TEST(Codec, PublicationsCarryTheListOfBackends) {
@@ -97,50 +97,50 @@
   publication.hops = 8;
   publication.configuration_base = 3;
   publication.configuration_patches = {"first", "second"};
-  const auto again = AgainAs(publication);
-  EXPECT_EQ(again.configuration_base, 3u);
-  EXPECT_EQ(again.configuration_patches, publication.configuration_patches);
-  ASSERT_TRUE(again.instances);
-  EXPECT_EQ(again.instances->instances, list.instances);
-  EXPECT_EQ(again.control_peers, publication.control_peers);
-  EXPECT_EQ(again.configuration, "text");
-  EXPECT_EQ(again.instances_revision, 6u);
-  EXPECT_EQ(again.hops, 8u);
-  EXPECT_EQ(AgainAs(list).instances, list.instances);
+  const auto decoded = RoundTripAs(publication);
+  EXPECT_EQ(decoded.configuration_base, 3u);
+  EXPECT_EQ(decoded.configuration_patches, publication.configuration_patches);
+  ASSERT_TRUE(decoded.instances);
+  EXPECT_EQ(decoded.instances->instances, list.instances);
+  EXPECT_EQ(decoded.control_peers, publication.control_peers);
+  EXPECT_EQ(decoded.configuration, "text");
+  EXPECT_EQ(decoded.instances_revision, 6u);
+  EXPECT_EQ(decoded.hops, 8u);
+  EXPECT_EQ(RoundTripAs(list).instances, list.instances);
 }
 
 TEST(Codec, LoadsAndDemandsComeBack) {
   const LoadReport report{{{1, 2, 3}, {4, 5, 6}}, {{"s", 7, 8}}, 9};
-  const auto again = AgainAs(report);
-  EXPECT_EQ(again.loads, report.loads);
-  EXPECT_EQ(again.demands, report.demands);
-  EXPECT_EQ(again.proxies, 9u);
-  const auto changes = AgainAs(LoadChanges{{{9, 8, 7}, {10, 0, 0}}, {{"s", 5, 6}}, 4});
+  const auto decoded = RoundTripAs(report);
+  EXPECT_EQ(decoded.loads, report.loads);
+  EXPECT_EQ(decoded.demands, report.demands);
+  EXPECT_EQ(decoded.proxies, 9u);
+  const auto changes = RoundTripAs(LoadChanges{{{9, 8, 7}, {10, 0, 0}}, {{"s", 5, 6}}, 4});
   EXPECT_EQ(changes.loads, (std::vector<BackendLoad>{{9, 8, 7}, {10, 0, 0}}));
   EXPECT_EQ(changes.demands, (std::vector<Demand>{{"s", 5, 6}}));
   EXPECT_EQ(changes.proxies, 4u);
-  EXPECT_EQ(AgainAs(ListAge{1ull << 40, 250}).revision, 1ull << 40);
-  EXPECT_EQ(AgainAs(ListAge{3, 250}).age_ms, 250u);
-  EXPECT_EQ(AgainAs(ListRequest{77}).held_revision, 77u);
+  EXPECT_EQ(RoundTripAs(ListAge{1ull << 40, 250}).revision, 1ull << 40);
+  EXPECT_EQ(RoundTripAs(ListAge{3, 250}).age_ms, 250u);
+  EXPECT_EQ(RoundTripAs(ListRequest{77}).held_revision, 77u);
   Instance changed;
   changed.id = "i-1";
-  const auto list_changes = AgainAs(ListChanges{7, 8, {changed}, {"i-2", "i-3"}});
+  const auto list_changes = RoundTripAs(ListChanges{7, 8, {changed}, {"i-2", "i-3"}});
   EXPECT_EQ(list_changes.base, 7u);
   EXPECT_EQ(list_changes.revision, 8u);
   EXPECT_EQ(list_changes.changed, (std::vector<Instance>{changed}));
   EXPECT_EQ(list_changes.removed, (std::vector<std::string>{"i-2", "i-3"}));
-  const auto referral = AgainAs(Referral{{"10.0.0.7:7"}, {"10.0.0.8", "10.0.0.9"}, "10.0.0.9"});
+  const auto referral = RoundTripAs(Referral{{"10.0.0.7:7"}, {"10.0.0.8", "10.0.0.9"}, "10.0.0.9"});
   EXPECT_EQ(referral.proxies, (std::vector<std::string>{"10.0.0.7:7"}));
   EXPECT_EQ(referral.members, (std::vector<std::string>{"10.0.0.8", "10.0.0.9"}));
   EXPECT_EQ(referral.leader, "10.0.0.9");
-  EXPECT_EQ(AgainAs(LoadSummary{report.loads, true}).loads, report.loads);
-  EXPECT_TRUE(AgainAs(LoadSummary{report.loads, true}).whole);
+  EXPECT_EQ(RoundTripAs(LoadSummary{report.loads, true}).loads, report.loads);
+  EXPECT_TRUE(RoundTripAs(LoadSummary{report.loads, true}).whole);
 }
 
 TEST(Codec, RecordsAsTheyAreStored) {
-  const auto again = DecodeRecord(EncodeRecord(SampleRecord()));
-  ASSERT_TRUE(again);
-  ExpectSample(*again);
+  const auto decoded = DecodeRecord(EncodeRecord(SampleRecord()));
+  ASSERT_TRUE(decoded);
+  ExpectSample(*decoded);
 }
 
 TEST(Codec, FieldsOfALaterProtocolAreSkipped) {
@@ -162,7 +162,7 @@
   const std::string frame = EncodeFrame({"10.0.0.1", body});
   EXPECT_TRUE(IsCompressed(std::string_view(frame).substr(kLengthBytes)));
   EXPECT_LT(frame.size(), SampleRecord().configuration.size() / 10);
-  ExpectSample(*std::get<VoteReply>(Again(body).body).record);
+  ExpectSample(*std::get<VoteReply>(RoundTrip(body).body).record);
   EXPECT_FALSE(IsCompressed(EncodeFrame({"10.0.0.1", LearnRequest{8, false}}).substr(kLengthBytes)));
 }
 
@@ -185,7 +185,7 @@
   const std::string compressed =
       EncodeFrame({"10.0.0.1", VoteReply{4, true, true, 9, std::make_shared<Record>(SampleRecord())}})
           .substr(kLengthBytes);
-  std::string plain = *Decompress(compressed, kLongestEnvelope);
+  std::string plain = *Decompress(compressed, kMaxEnvelopeBytes);
   plain.resize(4000 - kLengthBytes);
   for (const std::string& base : {plain, compressed}) {
     for (int round = 0; round < 20000; ++round) {
