--- a/models/peer.pml
+++ b/models/peer.pml
@@ -1,25 +1,26 @@
 /* SPDX-License-Identifier: Apache-2.0
  *
- * One member of the fleet of proxies at three observers: it answers or does not, is suspected, buried, contradicts, crashes, and
- * is started anew under a boot that may be the lesser one. Statements pass between all but the member and the third observer,
- * whose link is cut; they are lost (nothing happens) and come again (an observer tells what it holds as often as it likes).
+ * One member of the fleet of proxies and three observers. The member answers or not, is suspected, is declared faulty, refutes
+ * that, crashes, and is restarted under a boot that may be lower than before. All exchange statements, except the member and the
+ * third observer, whose link is cut. A lost statement is a step not taken, and a duplicate has no effect, since observers repeat
+ * what they hold.
  * Checked with SPIN: see check.sh.
  *
- * Every step raises what somebody holds, or spends a fault, so that a run ends: `over` is when nothing more can be learned. What
- * then holds, holds for ever.
+ * Every step raises what a process holds, or uses up a fault, so that each run ends: `over` means that no process can learn
+ * anything more. From then on nothing changes.
  *
- * A MUTATION takes one rule away; each must be found by the property named with it:
+ * A MUTATION removes one rule; the property named with it must detect each:
  *
- *   1  an observer takes what it was told last, not what wins             never_back
- *   2  the member does not contradict                                     in_the_end
- *   3  nobody tells the member that it is held for dead                   in_the_end
- *   4  it contradicts under the incarnation that it is accused in         in_the_end
- *   5  a new process does not raise its incarnation over its predecessor's     in_the_end
- *   6  observers do not tell each other                                   in_the_end
- *   7  the death of one that answers here is taken on another's word      not_buried
+ *   1  an observer keeps the last statement, not the greatest             never_back
+ *   2  the member does not refute                                         in_the_end
+ *   3  no observer tells the member that it is declared faulty            in_the_end
+ *   4  it refutes without raising its incarnation                         in_the_end
+ *   5  a new process does not raise its incarnation over its predecessor's in_the_end
+ *   6  observers do not exchange statements                               in_the_end
+ *   7  a reachable member is declared faulty on another's word            not_buried
  *   8  a suspicion does not expire                                        in_the_end
  *
- * Mutation 9 breaks nothing, but is not what the code does: for the bridge.
+ * Mutation 9 breaks no property, but differs from the code: for the bridge test.
  */
 #ifndef MUTATION
 #define MUTATION 0
@@ -27,42 +28,42 @@
 #define ALIVE 0
 #define SUSPECT 1
 #define FAULTY 2
-#define MOST 12 /* incarnations; never reached */
+#define MAX_INC 12 /* bound of incarnations, which is never reached */
 
 /* The member. */
 bool up = true;
 byte own_inc = 0, own_boot = 2;
 
-/* What the observers hold of it, and whether it has answered them since it last did not. */
+/* What the observers hold of it, and whether it has answered them since it last failed to. */
 byte inc[3], boot[3], state[3];
 bool fresh[3];
 
 byte doubts = 0, crashes = 0, starts = 0;
 bool faults = true, went_back = false, buried = false, over = false;
 
-#define BEATS(i, c, s, j, d, t) ((i) > (j) || ((i) == (j) && ((c) > (d) || ((c) == (d) && (s) > (t)))))
-#define NEWS(o, i, c, s) BEATS(i, c, s, inc[o], boot[o], state[o])
-/* As it would be stored: the death of one that answers here is a suspicion. */
+#define SUPERSEDES(i, c, s, j, d, t) ((i) > (j) || ((i) == (j) && ((c) > (d) || ((c) == (d) && (s) > (t)))))
+#define IS_NEWER(o, i, c, s) SUPERSEDES(i, c, s, inc[o], boot[o], state[o])
+/* A failure of a member that answers this observer is stored as a suspicion. */
 #define DOUBTED(o, c, s) ((s) == FAULTY && state[o] != FAULTY && fresh[o] && (c) == boot[o] && MUTATION != 7)
-#define CHANGES(o, i, c, s) ((DOUBTED(o, c, s) && NEWS(o, i, c, SUSPECT)) || (!DOUBTED(o, c, s) && NEWS(o, i, c, s)))
-/* What is held of the member that it has to contradict, or that stands over it from an earlier boot. */
+#define CHANGES(o, i, c, s) ((DOUBTED(o, c, s) && IS_NEWER(o, i, c, SUSPECT)) || (!DOUBTED(o, c, s) && IS_NEWER(o, i, c, s)))
+/* Whether the member has to refute what the observer holds, or to raise its incarnation over that of an earlier boot. */
 #define AGAINST(o) ((boot[o] == own_boot && state[o] != ALIVE && inc[o] >= own_inc) || \
-                    (boot[o] != own_boot && BEATS(inc[o], boot[o], state[o], own_inc, own_boot, ALIVE)))
+                    (boot[o] != own_boot && SUPERSEDES(inc[o], boot[o], state[o], own_inc, own_boot, ALIVE)))
 
 inline Store(o, i, c, s) {
-  if :: !NEWS(o, i, c, s) -> went_back = true :: else fi;
+  if :: !IS_NEWER(o, i, c, s) -> went_back = true :: else fi;
   if :: s == FAULTY && state[o] != FAULTY && fresh[o] && c == boot[o] -> buried = true :: else fi;
   if :: c != boot[o] -> fresh[o] = false :: else fi;
   inc[o] = i; boot[o] = c; state[o] = s
 }
 
 #define ANSWERS(o) \
-  atomic { up && (NEWS(o, own_inc, own_boot, ALIVE) || (!fresh[o] && boot[o] == own_boot)) -> \
+  atomic { up && (IS_NEWER(o, own_inc, own_boot, ALIVE) || (!fresh[o] && boot[o] == own_boot)) -> \
     printf("answers %d %d %d\n", o, own_inc, own_boot); \
-    if :: NEWS(o, own_inc, own_boot, ALIVE) -> Store(o, own_inc, own_boot, ALIVE) :: else fi; \
+    if :: IS_NEWER(o, own_inc, own_boot, ALIVE) -> Store(o, own_inc, own_boot, ALIVE) :: else fi; \
     if :: boot[o] == own_boot -> fresh[o] = true :: else fi; \
     Holds(o) }
-/* It does not answer: because it is down or another process, or by a fault. */
+/* The member does not answer, because it is down, another process, or because of a fault. */
 #define SUSPECTS(o) \
   atomic { state[o] == ALIVE && (!up || boot[o] != own_boot || (faults && doubts < 2)) -> \
     if :: up && boot[o] == own_boot -> doubts++ :: else fi; \
@@ -76,7 +77,7 @@
     printf("expires %d\n", o); \
     Store(o, inc[o], boot[o], FAULTY); \
     Holds(o) }
-/* One observer tells another. */
+/* An observer sends another what it holds. */
 #define TOLD(o, by) \
   atomic { MUTATION != 6 && (CHANGES(o, inc[by], boot[by], state[by]) || (MUTATION == 1 && inc[o] != inc[by])) -> \
     printf("told %d %d %d %d\n", o, inc[by], boot[by], state[by]); \
@@ -85,9 +86,9 @@
     :: else -> Store(o, inc[by], boot[by], state[by]) \
     fi; \
     Holds(o) }
-/* An observer tells the member: by a probe, an answer, or a knock. */
+/* An observer sends the member what it holds: with a ping, an ack or a join. */
 #define ACCUSES(o) \
-  atomic { up && AGAINST(o) && own_inc < MOST && MUTATION != 2 && !(MUTATION == 3 && state[o] == FAULTY) && \
+  atomic { up && AGAINST(o) && own_inc < MAX_INC && MUTATION != 2 && !(MUTATION == 3 && state[o] == FAULTY) && \
            !(MUTATION == 4 && boot[o] == own_boot && own_inc == inc[o]) && !(MUTATION == 5 && boot[o] != own_boot) -> \
     printf("accused %d %d %d\n", inc[o], boot[o], state[o]); \
     own_inc = (MUTATION == 4 && boot[o] == own_boot -> inc[o] : inc[o] + 1 + (MUTATION == 9 -> 1 : 0)); \
@@ -127,5 +128,5 @@
 
 ltl never_back { [] !went_back }
 ltl not_buried { [] !buried }
-/* All know that it lives, if it does, and under which boot and incarnation; or that it does not. */
-ltl in_the_end { [] (over -> (RIGHT(0) && RIGHT(1) && RIGHT(2) && own_inc < MOST)) }
+/* In the end all observers agree with the truth: alive with its boot and incarnation, or faulty. */
+ltl in_the_end { [] (over -> (RIGHT(0) && RIGHT(1) && RIGHT(2) && own_inc < MAX_INC)) }
--- a/tests/peers/datagram_fuzz.cpp
+++ b/tests/peers/datagram_fuzz.cpp
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Whatever stands in a datagram whose seal is right: read, written again, and taken by a member, which keeps
-// its bounds and goes on. A libFuzzer target (-DKESTRELLINE_FUZZ=ON, with clang); the tests replay its
-// corpus.
+// Fuzzes datagrams behind the seal: each is decoded, re-encoded, and received by a node, which must keep its
+// limits and go on. A libFuzzer target (-DKESTRELLINE_FUZZ=ON, with clang); wire_test.cpp replays its corpus.
 //
-// The input: the format, then the body. What follows a body of the length that the second and third byte say is
-// the next datagram's.
+// The input is a sequence of datagrams: the format, the length of the body in two bytes (little-endian), and
+// the body.
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
@@ -18,7 +17,7 @@
 
 using namespace kestrelline::peers;
 
-constexpr std::size_t kMaxReplies = 16;  // of one datagram: six pages, an answer, and no more than a few
+constexpr std::size_t kMaxReplies = 16;  // to one datagram: six datagrams of entries, an ack, and a few more
 
 void Require(bool holds, const char* what) {
   if (holds) return;
@@ -26,7 +25,7 @@
   std::abort();
 }
 
-Member Other(int i) {
+Member PeerMember(int i) {
   return {"n" + std::to_string(i),
           100u + static_cast<unsigned>(i),
           0,
@@ -42,14 +41,14 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   Time now{std::chrono::hours(1)};
   Node::Options options{.name = "n0", .zone = "z0", .version = "1", .boot = 100, .seed = 1};
-  options.address = Other(0).address;
-  options.seeds = {Other(1).address};
+  options.address = PeerMember(0).address;
+  options.seeds = {PeerMember(1).address};
   Node node(options, now);
   for (int i = 1; i <= 3; ++i) {
-    Message hello;
-    hello.kind = Message::Kind::kAck;
-    hello.from = Other(i);
-    node.Receive(now, hello);
+    Message ack;
+    ack.kind = Message::Kind::kAck;
+    ack.from = PeerMember(i);
+    node.Receive(now, ack);
   }
   std::span<const std::uint8_t> rest(data, size);
   while (rest.size() >= 3) {
@@ -60,15 +59,16 @@
     now += std::chrono::milliseconds(50);
     node.TakeOutgoing();
     if (message) {
-      const auto again = wire::Decode(wire::Encode(*message, format), format);
-      Require(again && *again == *message, "what is read and written again is not the same");
+      const auto reencoded = wire::Decode(wire::Encode(*message, format), format);
+      Require(reencoded && *reencoded == *message, "what is read and written again is not the same");
       node.Receive(now, *message);
     }
-    const auto answers = node.TakeOutgoing();
-    Require(answers.size() <= kMaxReplies, "too many answers to one datagram");
+    const auto replies = node.TakeOutgoing();
+    Require(replies.size() <= kMaxReplies, "too many answers to one datagram");
     node.Tick(now);
-    for (const Outgoing& out : answers)
-      Require(wire::Encode(out.message, out.wire).size() <= wire::kMaxBodyBytes, "a datagram that is too long");
+    for (const Outgoing& out : replies)
+      Require(wire::Encode(out.message, out.wire).size() <= wire::kMaxBodyBytes,
+              "a datagram that is too long");
     Require(node.view().entries().size() <= kMaxMembers, "too many members");
     Require(node.displaced() || node.self().boot == options.boot, "somebody else's boot");
     Require(node.NextDue() > now, "a timer that never sleeps");
--- a/tests/peers/name_contest_test.cpp
+++ b/tests/peers/name_contest_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Two processes under one name, in virtual time, over a network that loses datagrams and delays them.
+// Two processes with one name, in virtual time, over a network that loses and delays datagrams.
 //
-// Symptom: a process that had yielded its name to an earlier one took it back though that one lived, and
-// others took it for the holder for a moment. Sequence: it asks the holder twice a second; some ten answers
-// in a row are lost, or late. Cause: five seconds without an answer counted as its end. Settled by
-// `name-regained` in virtual time: one of 60 minutes in which a third of all datagrams is lost.
+// Guards against a displaced process that takes its name back although the holder is alive, so that others
+// take it for the holder for a moment. The displaced process contacts the holder several times a second, and
+// some ten answers in a row may be lost or late. When five seconds without an answer counted as the holder's
+// end, one of 60 simulated minutes with a third of all datagrams lost ended in `name-regained`.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -25,28 +25,28 @@
 constexpr std::uint32_t kLoopback = 0x7f000001;
 constexpr milliseconds kStep{10};
 
-struct Losses {
+struct LossModel {
   double loss = 0;
-  milliseconds longest_delay{0};
+  milliseconds max_delay{0};
 };
 
-// n0, n1, n2, and a process that starts later under the name of n1, at an address of its own.
-class ContestedName {
+// The processes n0, n1 and n2, and a second process named n1 that starts later at another address.
+class ContestedNameWorld {
  public:
-  static constexpr std::size_t kOther = 0, kFirst = 1, kTwin = 3;
+  static constexpr std::size_t kObserver = 0, kFirst = 1, kSecond = 3;
 
-  ContestedName(std::uint64_t seed, Losses losses) : random_(seed), losses_(losses) {
+  ContestedNameWorld(std::uint64_t seed, LossModel loss_model) : random_(seed), loss_model_(loss_model) {
     for (const std::size_t i : {0, 1, 2}) Start(i, "n" + std::to_string(i));
     Run(seconds(10));
-    Start(kTwin, "n1");
+    Start(kSecond, "n1");
   }
   void Run(Span length) {
     for (const Time until = now_ + length; now_ < until; now_ += kStep) Step();
   }
-  // Whom n0 takes for the holder of the name.
-  std::uint64_t HolderAtOther() const { return nodes_[kOther]->view().Find("n1")->member.boot; }
+  // The boot of the process that n0 takes for the holder of the name.
+  std::uint64_t HolderAtObserver() const { return nodes_[kObserver]->view().Find("n1")->member.boot; }
   std::uint64_t FirstBoot() const { return kFirst + 1; }
-  bool TwinIsDisplaced() const { return nodes_[kTwin]->displaced(); }
+  bool SecondIsDisplaced() const { return nodes_[kSecond]->displaced(); }
   bool FirstIsDisplaced() const { return nodes_[kFirst]->displaced(); }
   int regained() const { return regained_; }
   void KillFirst() { nodes_[kFirst].reset(); }
@@ -57,16 +57,16 @@
   void Start(std::size_t i, const std::string& name) {
     Node::Options options;
     options.name = name;
-    options.boot = i + 1;  // a later process has a greater one
+    options.boot = i + 1;  // increases with the start time
     options.seed = random_();
     options.address = AddressOf(i);
-    options.seeds = {AddressOf(kOther)};
+    options.seeds = {AddressOf(kObserver)};
     nodes_[i] = std::make_unique<Node>(options, now_);
   }
   void Step() {
-    while (!under_way_.empty() && under_way_.begin()->first <= now_) {
-      const auto [to, message] = under_way_.begin()->second;
-      under_way_.erase(under_way_.begin());
+    while (!in_flight_.empty() && in_flight_.begin()->first <= now_) {
+      const auto [to, message] = in_flight_.begin()->second;
+      in_flight_.erase(in_flight_.begin());
       if (nodes_[to]) nodes_[to]->Receive(now_, message);
     }
     for (const auto& node : nodes_) {
@@ -77,56 +77,58 @@
     }
   }
   void Deliver(Outgoing& out) {
-    if (std::uniform_real_distribution<double>(0, 1)(random_) < losses_.loss) return;
+    if (std::uniform_real_distribution<double>(0, 1)(random_) < loss_model_.loss) return;
     const auto delay =
-        milliseconds(random_() % static_cast<std::uint64_t>(losses_.longest_delay.count() + 1));
-    under_way_.emplace(now_ + kStep + delay,
+        milliseconds(random_() % static_cast<std::uint64_t>(loss_model_.max_delay.count() + 1));
+    in_flight_.emplace(now_ + kStep + delay,
                        std::pair{static_cast<std::size_t>(out.to.port - 7000), out.message});
   }
 
   std::mt19937_64 random_;
-  Losses losses_;
+  LossModel loss_model_;
   Time now_{seconds(1000)};
   std::array<std::unique_ptr<Node>, 4> nodes_;
-  std::multimap<Time, std::pair<std::size_t, Message>> under_way_;
+  std::multimap<Time, std::pair<std::size_t, Message>> in_flight_;
   int regained_ = 0;
 };
 
-void ExpectTheFirstHoldsIt(Losses losses) {
+void ExpectFirstKeepsItsName(LossModel loss_model) {
   for (std::uint64_t seed = 1; seed <= testing::OrFewer(60u, 10u); ++seed) {
     SCOPED_TRACE(seed);
-    ContestedName names(seed, losses);
+    ContestedNameWorld names(seed, loss_model);
     names.Run(seconds(15));
-    EXPECT_TRUE(names.TwinIsDisplaced());
+    EXPECT_TRUE(names.SecondIsDisplaced());
     for (int i = 0; i < 600; ++i) {
       names.Run(milliseconds(100));
-      ASSERT_EQ(names.HolderAtOther(), names.FirstBoot()) << "after " << i << " tenths of a second";
+      ASSERT_EQ(names.HolderAtObserver(), names.FirstBoot()) << "after " << i << " tenths of a second";
       ASSERT_FALSE(names.FirstIsDisplaced());
     }
     EXPECT_EQ(names.regained(), 0);
   }
 }
 
-TEST(NameContest, TheFirstHoldsItWhereNothingIsLost) { ExpectTheFirstHoldsIt({}); }
-TEST(NameContest, TheFirstHoldsItThoughDatagramsAreLate) { ExpectTheFirstHoldsIt({0, milliseconds(400)}); }
-TEST(NameContest, TheFirstHoldsItThoughAThirdIsLost) { ExpectTheFirstHoldsIt({0.33, milliseconds(20)}); }
-// The contest itself may take longer then; once it is over, the later one does not take the name for free.
-TEST(NameContest, NobodyTakesItBackFromOneThatLivesThoughHalfIsLost) {
+TEST(NameConflictSimulation, FirstKeepsItsNameWithoutLoss) { ExpectFirstKeepsItsName({}); }
+TEST(NameConflictSimulation, FirstKeepsItsNameWithDelays) { ExpectFirstKeepsItsName({0, milliseconds(400)}); }
+TEST(NameConflictSimulation, FirstKeepsItsNameAtAThirdLost) {
+  ExpectFirstKeepsItsName({0.33, milliseconds(20)});
+}
+// The conflict may take longer to settle here. Once it has, the second process must not take the name for
+// free.
+TEST(NameConflictSimulation, NeverTakenBackFromALiveHolderAtHalfLost) {
   for (std::uint64_t seed = 1; seed <= testing::OrFewer(60u, 10u); ++seed) {
-    ContestedName names(seed, {0.5, milliseconds(20)});
+    ContestedNameWorld names(seed, {0.5, milliseconds(20)});
     names.Run(seconds(75));
     EXPECT_EQ(names.regained(), 0) << "seed " << seed;
   }
 }
 
-// And takes it up once the first has gone.
-TEST(NameContest, TheLaterOneTakesItUpOnceTheFirstHasGone) {
-  ContestedName names(1, {});
+TEST(NameConflictSimulation, SecondTakesTheNameOverAfterTheFirstHasGone) {
+  ContestedNameWorld names(1, {});
   names.Run(seconds(5));
-  ASSERT_TRUE(names.TwinIsDisplaced());
+  ASSERT_TRUE(names.SecondIsDisplaced());
   names.KillFirst();
   names.Run(seconds(9));
-  EXPECT_FALSE(names.TwinIsDisplaced());
+  EXPECT_FALSE(names.SecondIsDisplaced());
   EXPECT_EQ(names.regained(), 1);
 }
 
--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Several processes of the program, a network with faults between them, and whether their views come to be
-// equal, and equal to who runs.
+// Several proxy processes with a faulty network between them: their views must become equal, and equal to the
+// set of running processes.
 #include <gtest/gtest.h>
 
 #include <future>
@@ -14,7 +14,7 @@
 namespace kestrelline::testing {
 namespace {
 
-TEST(PeerProcesses, ACrashIsKnownAReturnTooAndOneThatStopsHasLeft) {
+TEST(PeerProcesses, DetectsCrashesReturnsAndDepartures) {
   PeerFleet peers(5);
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   peers.Apply("kill n3 10m");
@@ -27,19 +27,20 @@
   for (const int i : {0, 1, 2}) EXPECT_EQ(peers.Events(i, "failed"), 1) << i;  // n3 alone
 }
 
-// Another process under the same name and address before anybody noticed: nobody is ever said to have failed.
-TEST(PeerProcesses, ARestartBeforeAnybodyNoticedIsNoFailure) {
+// A process is replaced by another with the same name and address before its end is noticed: no failure is
+// reported.
+TEST(PeerProcesses, AQuickRestartIsNoFailure) {
   PeerFleet peers(5);
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   const auto before = peers.View(0)["view"];
-  peers.Apply("kill n0 10ms");  // it is a seed as well
+  peers.Apply("kill n0 10ms");  // which is also a seed
   ASSERT_TRUE(peers.WaitReadable([&] { return peers.View(1)["view"] != before; }));
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   EXPECT_EQ(peers.EventsOfAll("failed"), 0);
 }
 
-// Both seeds are dead: one that starts anew finds the others since they knock at it.
-TEST(PeerProcesses, WithNoSeedAliveWhoeverReturnsIsFound) {
+// With both seeds dead, a restarted member rejoins because the others contact it.
+TEST(PeerProcesses, MembersReturnWithAllSeedsDead) {
   PeerFleet peers(5);
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   peers.Apply("kill n0 10m");
@@ -49,7 +50,7 @@
   ASSERT_TRUE(peers.AwaitAgreement({{2, 3, 4}}));
 }
 
-TEST(PeerProcesses, OneThatWasPausedTakesNobodyForDeadAndItsOwnDeathBack) {
+TEST(PeerProcesses, APausedMemberRefutesItsFailureAndSuspectsNobody) {
   PeerFleet peers(5);
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   peers.Apply("pause n1 10s");
@@ -59,18 +60,18 @@
   EXPECT_GE(peers.View(0)["members"][1]["incarnation"], 1);
 }
 
-// Of processor time it gets 2 ms, if it wants them, and then stands still for 98, as on a machine that gives
-// it a fiftieth of a core; under a sanitizer as much as that does the same work with.
-TEST(PeerProcesses, OneThatGetsTwoPercentOfACoreIsNotDeadAndTakesNobodyForDead) {
+// The process gets up to 2 ms of CPU time and is then stopped for 98 ms, as on a machine that gives it a
+// fiftieth of a core. Sanitizer builds get as much as they need for the same work.
+TEST(PeerProcesses, TwoPercentOfACoreCausesNoFalseFailures) {
 #ifdef __SANITIZE_ADDRESS__
-  constexpr std::chrono::milliseconds kRuns{10};
+  constexpr std::chrono::milliseconds kCpuSlice{10};
 #else
-  constexpr std::chrono::milliseconds kRuns{2};
+  constexpr std::chrono::milliseconds kCpuSlice{2};
 #endif
   PeerFleet peers(5);
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   {
-    std::jthread starve([&, pid = peers.Pid(1)](std::stop_token stop) {
+    std::jthread throttle([&, pid = peers.Pid(1)](std::stop_token stop) {
       clockid_t clock;
       if (clock_getcpuclockid(pid, &clock) != 0) return;
       const auto used = [clock] {
@@ -83,9 +84,9 @@
         std::this_thread::sleep_for(std::chrono::milliseconds(98));
         const auto before = used();
         kill(pid, SIGCONT);
-        // Whether it gets a processor at once is the machine's business; whoever wants none for so long is
-        // idle.
-        for (int ms = 0; ms < 20 && used() - before < kRuns; ++ms)
+        // The wait counts CPU time, since a busy machine may schedule the process late. 20 ms without that
+        // much use mean that it is idle.
+        for (int ms = 0; ms < 20 && used() - before < kCpuSlice; ++ms)
           std::this_thread::sleep_for(std::chrono::milliseconds(1));
       }
       kill(pid, SIGCONT);
@@ -96,46 +97,46 @@
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
 }
 
-struct Parting {
+struct Partition {
   const char* name;
   std::vector<std::string> zones, faults;
   std::vector<Group> groups;
 };
-class Partings : public ::testing::TestWithParam<Parting> {};
+class Partitions : public ::testing::TestWithParam<Partition> {};
 
-TEST_P(Partings, EachPartAgreesAndAllDoOnceItHasHealed) {
-  const Parting& parting = GetParam();
-  PeerFleet peers(6, parting.zones);
+TEST_P(Partitions, SidesAgreeAndConvergeAfterTheHeal) {
+  const Partition& partition = GetParam();
+  PeerFleet peers(6, partition.zones);
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
-  for (const auto& fault : parting.faults) peers.Apply(fault);
-  ASSERT_TRUE(peers.AwaitAgreement(parting.groups));
-  for (const Group& group : parting.groups)
+  for (const auto& fault : partition.faults) peers.Apply(fault);
+  ASSERT_TRUE(peers.AwaitAgreement(partition.groups));
+  for (const Group& group : partition.groups)
     ASSERT_TRUE(peers.WaitReadable(
         [&] { return peers.View(*group.begin())["reading"] == (group.size() > 1 ? "part" : "alone"); }));
-  // One side is changed meanwhile: a member of it is another process when they meet again.
+  // One side changes during the partition: one of its members is another process after the heal.
   peers.Apply("kill n2 10ms");
-  ASSERT_TRUE(peers.AwaitAgreement(parting.groups));
+  ASSERT_TRUE(peers.AwaitAgreement(partition.groups));
   peers.MendAll();
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   ASSERT_TRUE(peers.WaitReadable([&] { return peers.View(0)["reading"] == "whole"; }));
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Of, Partings,
+    Of, Partitions,
     ::testing::Values(
-        Parting{"Halves", {"a", "b"}, {"cut zone:a 10m"}, {{0, 2, 4}, {1, 3, 5}}},
-        Parting{"Three", {"a", "b", "c"}, {"cut zone:a 10m", "cut zone:b 10m"}, {{0, 3}, {1, 4}, {2, 5}}},
-        Parting{"One", {"a"}, {"cut n5 10m"}, {{0, 1, 2, 3, 4}, {5}}}),
+        Partition{"Halves", {"a", "b"}, {"cut zone:a 10m"}, {{0, 2, 4}, {1, 3, 5}}},
+        Partition{"Three", {"a", "b", "c"}, {"cut zone:a 10m", "cut zone:b 10m"}, {{0, 3}, {1, 4}, {2, 5}}},
+        Partition{"One", {"a"}, {"cut n5 10m"}, {{0, 1, 2, 3, 4}, {5}}}),
     [](const auto& info) { return info.param.name; });
 
-struct Trouble {
+struct NetworkFault {
   const char* name;
   std::vector<std::string> faults;
 };
-class Troubles : public ::testing::TestWithParam<Trouble> {};
+class NetworkFaults : public ::testing::TestWithParam<NetworkFault> {};
 
-// Who can be reached, if only through others or now and then, is never said to have failed; a real crash is.
-TEST_P(Troubles, NobodyFlapsAndACrashIsStillFound) {
+// A member that can be reached through others, or now and then, is never reported as failed; a real crash is.
+TEST_P(NetworkFaults, NoFalseFailuresAndCrashesAreDetected) {
   PeerFleet peers(5);
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   for (const auto& fault : GetParam().faults) peers.Apply(fault);
@@ -148,14 +149,14 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Of, Troubles,
-    ::testing::Values(Trouble{"Partial", {"cut n0-n1 10m"}}, Trouble{"OneWay", {"cut n0>n1 10m"}},
-                      Trouble{"Loss", {"net_loss all 10m 0.3"}},
-                      Trouble{"TwiceAndOutOfOrder", {"net_twice all 10m 0.5", "net_order all 10m 0.3"}},
-                      Trouble{"Slow", {"net_delay all 10m 40", "net_slow n1 10m 20000"}}),
+    Of, NetworkFaults,
+    ::testing::Values(NetworkFault{"Partial", {"cut n0-n1 10m"}}, NetworkFault{"OneWay", {"cut n0>n1 10m"}},
+                      NetworkFault{"Loss", {"net_loss all 10m 0.3"}},
+                      NetworkFault{"TwiceAndOutOfOrder", {"net_twice all 10m 0.5", "net_order all 10m 0.3"}},
+                      NetworkFault{"Slow", {"net_delay all 10m 40", "net_slow n1 10m 20000"}}),
     [](const auto& info) { return info.param.name; });
 
-TEST(PeerProcesses, WhatComesTwiceIsReadOnceAndGarbageNotAtAll) {
+TEST(PeerProcesses, DropsDuplicatesAndGarbage) {
   PeerFleet peers(2, {"a"});
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   peers.Apply("net_twice all 10m 1");
@@ -166,7 +167,7 @@
   const std::string garbage[] = {std::string(2000, 'x'), "kp",
                                  std::string("kp\x02\x09", 4) + std::string(60, 'y'),
                                  std::string("kp\x02\x01", 4) + std::string(60, 'z'), std::string(100, '\0')};
-  for (int i = 0; i < 1000; ++i) {  // a burst beyond what may be read at once
+  for (int i = 0; i < 1000; ++i) {  // a burst beyond the read budget
     error_code full;
     socket.send_to(asio::buffer(garbage[static_cast<std::size_t>(i) % 5]), {at.address(), at.port()}, 0,
                    full);
@@ -181,11 +182,11 @@
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   EXPECT_EQ(peers.EventsOfAll("failed"), 0);
   std::ifstream log(peers.folder() / "n1.log");
-  const std::string said{std::istreambuf_iterator<char>(log), {}};
-  EXPECT_LT(std::count(said.begin(), said.end(), '\n'), 30) << said;
+  const std::string text{std::istreambuf_iterator<char>(log), {}};
+  EXPECT_LT(std::count(text.begin(), text.end(), '\n'), 30) << text;
 }
 
-TEST(PeerProcesses, AnOldFormAmongNewOnes) {
+TEST(PeerProcesses, MixesDatagramFormats) {
   PeerFleet peers(3, {"a"});
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   std::ofstream(peers.folder() / "n1.toml", std::ios::app) << "wire = 1\n";
@@ -197,21 +198,21 @@
   ASSERT_TRUE(peers.AwaitAgreement({{0, 1}}));
 }
 
-// Added at each, put first at each, the old one taken away, one half being cut off meanwhile.
-TEST(PeerProcesses, AKeyIsChangedWhileTheFleetIsParted) {
+// Adds the new key at each proxy, puts it first, then removes the old one, with one half cut off in between.
+TEST(PeerProcesses, RotatesAKeyDuringAPartition) {
   PeerFleet peers(4);
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   std::ifstream file(peers.folder() / "peers.key");
   std::string first, second = "2 ffeeddccbbaa99887766554433221100";
   std::getline(file, first);
-  const auto take_over = [&](const std::string& keys, const Group& at) {
+  const auto install_keys = [&](const std::string& keys, const Group& at) {
     std::ofstream(peers.folder() / "peers.key", std::ios::trunc) << keys << '\n';
     for (const int i : at) {
       const auto holds = [&] {
         std::ifstream log(peers.folder() / ("n" + std::to_string(i) + ".log"));
-        const std::string said{std::istreambuf_iterator<char>(log), {}};
+        const std::string text{std::istreambuf_iterator<char>(log), {}};
         std::size_t n = 0;
-        for (std::size_t p = 0; (p = said.find("hold from now on", p)) != std::string::npos; ++p) ++n;
+        for (std::size_t p = 0; (p = text.find("hold from now on", p)) != std::string::npos; ++p) ++n;
         return n;
       };
       const auto before = holds();
@@ -219,55 +220,56 @@
       ASSERT_TRUE(peers.WaitReadable([&] { return holds() > before; }));
     }
   };
-  take_over(first + "\n" + second, peers.All());
+  install_keys(first + "\n" + second, peers.All());
   peers.Apply("cut zone:a 10m");
   ASSERT_TRUE(peers.AwaitAgreement({{0, 2}, {1, 3}}));
-  take_over(second + "\n" + first, {0, 2});
+  install_keys(second + "\n" + first, {0, 2});
   peers.MendAll();
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
-  // The step is finished at the other half, and what was sealed before it has been read, before the next
+  // This step must be complete on the other half, and the datagrams sealed before it read, before the next
   // begins.
-  take_over(second + "\n" + first, {1, 3});
+  install_keys(second + "\n" + first, {1, 3});
   ASSERT_TRUE(peers.AwaitDatagrams(peers.All(), 60));
-  take_over(second, peers.All());
+  install_keys(second, peers.All());
   EXPECT_EQ(peers.Figure(0, "_dropped{why=\"key\"}"), 0);
   peers.Apply("kill n3 10ms");
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
 }
 
-// A second process under the name of one that lives: the first holds it, both say so, and it comes to rest.
-TEST(PeerProcesses, OfTwoWithOneNameTheFirstHoldsIt) {
+// A second process with the name of a live one: the first keeps the name, both report it, and the views
+// settle.
+TEST(PeerProcesses, FirstOfTwoKeepsItsName) {
   PeerFleet peers(3, {"a"});
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   std::ifstream file(peers.folder() / "n1.json");
   auto config = nlohmann::json::parse(file);
-  const auto door = FreePort();
+  const auto management = FreePort();
   config["listen"] = "127.0.0.1:" + std::to_string(FreePort().port());
-  config["mgmt"] = "127.0.0.1:" + std::to_string(door.port());
+  config["mgmt"] = "127.0.0.1:" + std::to_string(management.port());
   const ConfigFile platform(config.dump());
-  const std::string own = "127.77.0.1:" + std::to_string(door.port());
+  const std::string own = "127.77.0.1:" + std::to_string(management.port());
   std::ofstream(peers.folder() / "twin.toml")
       << "version = 1\n[peers]\nlisten = \"" << own << "\"\nseeds = [\""
       << peers.fleet().Ask([](standin::Fleet& f) { return f.network().listens(0); })
       << "\"]\nkey_file = \"peers.key\"\n";
   const auto boot_at_all = peers.View(1)["members"][1]["boot"];
-  Child twin({{"ROUTER_CONFIG", platform.path}}, 0, {"--operator", peers.folder() / "twin.toml"});
-  ASSERT_TRUE(peers.WaitReadable([&] { return PeerFleet::ViewAt(door).value("displaced", false); }));
+  Child second_process({{"ROUTER_CONFIG", platform.path}}, 0, {"--operator", peers.folder() / "twin.toml"});
+  ASSERT_TRUE(peers.WaitReadable([&] { return PeerFleet::ViewAt(management).value("displaced", false); }));
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   ASSERT_TRUE(peers.AwaitDatagrams(peers.All(), 60));
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   EXPECT_EQ(peers.View(0)["members"][1]["boot"], boot_at_all);
   EXPECT_EQ(peers.Events(1, "name-taken"), 1);
-  // Once the first has gone the other takes the name up.
+  // Once the first is gone, the other takes the name over.
   peers.Apply("kill n1 10m");
   ASSERT_TRUE(peers.WaitReadable([&] {
-    const auto view = PeerFleet::ViewAt(door);
+    const auto view = PeerFleet::ViewAt(management);
     return !view.value("displaced", true) && peers.View(0)["view"] == view["view"];
   }));
 }
 
-// Seven in ten at once, then all of them a tenth at a time.
-TEST(PeerProcesses, SixteenOfWhichMostAreKilledAndThenAllRestarted) {
+// Kills seven in ten at once, then restarts all members two at a time.
+TEST(PeerProcesses, KillsMostOfSixteenThenRestartsAll) {
   PeerFleet peers(16, {"a", "b", "c"});
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   Group killed;
@@ -286,12 +288,12 @@
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
 }
 
-// Kills, planned restarts, pauses, cuts, one-way links and losses as a seed draws them, while clients of all
-// five proxies ask on, and their keys are claimed: the ledger finds no rule broken, and once all is well
-// again views and copies are equal.
-class Storm : public ::testing::TestWithParam<std::uint64_t> {};
+// Random kills, planned restarts, pauses, cuts, one-way cuts and losses, while all five proxies serve
+// requests whose keys are claimed. The ledger must find no rule broken, and after all faults have ended,
+// views and replicas are equal.
+class RandomFaults : public ::testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Storm, UnderLoadBreaksNoRuleAndViewsAgreeAfterIt) {
+TEST_P(RandomFaults, KeepTheRulesUnderLoad) {
   const std::uint64_t seed = GetParam();
   SCOPED_TRACE("seed " + std::to_string(seed));
   PeerFleet peers(5, {"a", "b"}, "claim = \"wait 1\"\n");
@@ -306,33 +308,33 @@
   plan.mixture.shapes = {load::Constant{150}};
   plan.mixture.seconds = 12;
   load::RuleFigures figures = site.Rules();
-  figures.slack = Ms(10000);  // a slow machine is not the matter
+  figures.slack = Ms(10000);  // latency on a slow machine is not under test
   std::vector<Tcp::endpoint> proxies;
   for (const auto& text : peers.fleet().Ask([](standin::Fleet& f) { return f.proxy_addresses(); }))
     proxies.push_back(RunningFleet::EndpointOf(text));
-  auto verdict =
+  auto playing =
       std::async(std::launch::async, [&] { return PlayAndJudge(plan, proxies, peers.fleet(), figures); });
-  std::mt19937_64 draw(seed);
-  while (verdict.wait_for(std::chrono::milliseconds(draw() % 900)) != std::future_status::ready) {
-    const std::string n = "n" + std::to_string(draw() % 5), m = "n" + std::to_string(draw() % 5);
-    const std::string lasts = " " + std::to_string(200 + draw() % 2500) + "ms";
-    const std::string commands[] = {"kill " + n + lasts,  "restart_proxy " + n + lasts,
-                                    "pause " + n + lasts, "cut zone:a" + lasts,
-                                    "cut " + n + lasts,   "net_loss all" + lasts + " 0.4"};
-    peers.Apply(commands[draw() % 6]);
-    if (n != m) peers.Apply("cut " + n + ">" + m + lasts);
+  std::mt19937_64 random(seed);
+  while (playing.wait_for(std::chrono::milliseconds(random() % 900)) != std::future_status::ready) {
+    const std::string n = "n" + std::to_string(random() % 5), m = "n" + std::to_string(random() % 5);
+    const std::string duration = " " + std::to_string(200 + random() % 2500) + "ms";
+    const std::string commands[] = {"kill " + n + duration,  "restart_proxy " + n + duration,
+                                    "pause " + n + duration, "cut zone:a" + duration,
+                                    "cut " + n + duration,   "net_loss all" + duration + " 0.4"};
+    peers.Apply(commands[random() % 6]);
+    if (n != m) peers.Apply("cut " + n + ">" + m + duration);
   }
-  const auto judged = verdict.get();
-  for (const auto& violation : judged.violations) ADD_FAILURE() << violation.text;
-  EXPECT_GT(judged.served, judged.requests / 2);
+  const auto result = playing.get();
+  for (const auto& violation : result.violations) ADD_FAILURE() << violation.text;
+  EXPECT_GT(result.served, result.requests / 2);
   peers.MendAll();
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   ASSERT_TRUE(peers.WaitReadable([&] { return peers.EqualCopies(peers.All()); }));
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, Storm, ::testing::Values(20261201));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, ::testing::Values(20261201));
 
-// An upgrade with two processes of one proxy on one listening socket: the new one takes the address up when
-// the old one is told to stop, and nobody takes it for a failure or for a departure.
+// An upgrade with two processes of one proxy on one listening socket: the new process takes the address over
+// when the old one is told to stop, and the others report neither a failure nor a departure.
 TEST(PeerProcesses, AnUpgradeIsNoFailure) {
   PeerFleet peers(3, {"a"});
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
@@ -343,8 +345,8 @@
   asio::io_context io;
   Tcp::acceptor listener(io, kAnyPort);
   config["listen"] = "127.0.0.1:" + std::to_string(listener.local_endpoint().port());
-  const auto start = [&](const Tcp::endpoint& door) {
-    config["mgmt"] = "127.0.0.1:" + std::to_string(door.port());
+  const auto start = [&](const Tcp::endpoint& management) {
+    config["mgmt"] = "127.0.0.1:" + std::to_string(management.port());
     const ConfigFile platform(config.dump());
     auto child = std::make_unique<Child>(
         std::map<std::string, std::string>{{"ROUTER_CONFIG", platform.path},
@@ -352,7 +354,7 @@
                                            {"TMPDIR", peers.folder().path()}},
         rlim_t{0}, std::vector<std::string>{"--operator", peers.folder() / "n2.toml"},
         listener.native_handle());
-    EXPECT_TRUE(peers.WaitReadable([&] { return Call(door, "ready\n").starts_with("ACK"); }));
+    EXPECT_TRUE(peers.WaitReadable([&] { return Call(management, "ready\n").starts_with("ACK"); }));
     return child;
   };
   auto running = start(FreePort());
--- a/tests/peers/settings_test.cpp
+++ b/tests/peers/settings_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// [peers] in the operator's file: what is accepted, and the line and reason of what is not.
+// The [peers] section of the operator's file: accepted sections, and the line and text of errors.
 #include "peers/settings.h"
 
 #include <gtest/gtest.h>
@@ -33,29 +33,29 @@
   std::string diagnostics_text_;
 };
 
-const std::string kGood =
+const std::string kValid =
     "[peers]\nlisten = \"127.0.0.1:7001\"\nseeds = [\"127.0.0.1:7002\", \"127.0.0.1:7001\"]\nkey_file = "
     "\"key\"\n";
 
-TEST_F(PeersSettings, FiveLinesDo) {
-  const auto settings = Read(kGood);
+TEST_F(PeersSettings, AcceptsAMinimalSection) {
+  const auto settings = Read(kValid);
   ASSERT_TRUE(settings) << diagnostics_text_;
   EXPECT_EQ(settings->listen.Text(), "127.0.0.1:7001");
   EXPECT_EQ(settings->advertise, settings->listen);
   EXPECT_EQ(settings->seeds.size(), 2u);
-  EXPECT_TRUE(Read(kGood, true));
+  EXPECT_TRUE(Read(kValid, true));
   EXPECT_FALSE(Read("", false));
-  EXPECT_EQ(diagnostics_text_, "");  // no section, nothing to say
+  EXPECT_EQ(diagnostics_text_, "");  // without a section there is nothing to report
 }
 
 TEST_F(PeersSettings, ErrorsNameTheLine) {
   struct Case {
-    std::string section, says;
+    std::string section, expected_text;
     std::optional<bool> allowed = std::nullopt;
   };
   const std::string head = "[peers]\nlisten = \"127.0.0.1:7001\"\nseeds = [\"127.0.0.1:7002\"]\n";
-  for (const auto& [section, says, allowed] : {
-           Case{kGood, "f.toml:2:1: [peers-off]", false},
+  for (const auto& [section, expected_text, allowed] : {
+           Case{kValid, "f.toml:2:1: [peers-off]", false},
            Case{head, "key_file"},
            Case{head + "key_file = \"none\"\n", "f.toml:5:12: [peers-key] none: No such file"},
            Case{head + "key_file = \"open\"\n", "f.toml:5:12: [peers-key] open: others than its owner"},
@@ -66,21 +66,21 @@
            Case{"[peers]\nlisten = \"0.0.0.0:7001\"\nseeds = [\"127.0.0.1:1\"]\nkey_file = \"key\"\n",
                 "f.toml:3:10: [peers-address] others cannot write to 0.0.0.0"},
            Case{"[peers]\nlisten = \"127.0.0.1:7001\"\nseeds = []\nkey_file = \"key\"\n", "[peers-seeds]"},
-           Case{kGood + "probe_every = \"1ms\"\n", "f.toml:6:15: [range]"},
-           Case{kGood + "probe_every = \"1s\"\n", "f.toml:6:15: [peers-times] with a probe every 1s"},
-           Case{kGood + "detect_within = \"500ms\"\n", "f.toml:6:17: [peers-times]"},
-           Case{kGood + "forget_after = \"10s\"\ndetect_within = \"8s\"\n", "f.toml:6:16: [peers-times]"},
-           Case{kGood + "wire = 3\n", "f.toml:6:8"},
-           Case{kGood + "sedes = 3\n", "did you mean 'seeds'"},
+           Case{kValid + "probe_every = \"1ms\"\n", "f.toml:6:15: [range]"},
+           Case{kValid + "probe_every = \"1s\"\n", "f.toml:6:15: [peers-times] with a probe every 1s"},
+           Case{kValid + "detect_within = \"500ms\"\n", "f.toml:6:17: [peers-times]"},
+           Case{kValid + "forget_after = \"10s\"\ndetect_within = \"8s\"\n", "f.toml:6:16: [peers-times]"},
+           Case{kValid + "wire = 3\n", "f.toml:6:8"},
+           Case{kValid + "sedes = 3\n", "did you mean 'seeds'"},
        }) {
     EXPECT_FALSE(Read(section, allowed)) << section;
-    EXPECT_NE(diagnostics_text_.find(says), std::string::npos) << section << diagnostics_text_;
+    EXPECT_NE(diagnostics_text_.find(expected_text), std::string::npos) << section << diagnostics_text_;
   }
 }
 
-// Slower probes are accepted with a promise that they can keep.
-TEST_F(PeersSettings, TimesKeepTheirProportion) {
-  const auto settings = Read(kGood + "probe_every = \"400ms\"\ndetect_within = \"6s\"\n");
+// Slower probes are accepted together with a detect_within that they can meet.
+TEST_F(PeersSettings, TimesScaleWithTheProbeInterval) {
+  const auto settings = Read(kValid + "probe_every = \"400ms\"\ndetect_within = \"6s\"\n");
   ASSERT_TRUE(settings) << diagnostics_text_;
   EXPECT_EQ(settings->times.period, std::chrono::milliseconds(400));
   EXPECT_EQ(settings->times.min_suspicion, 2 * Times().min_suspicion);
--- a/tests/peers/wire_test.cpp
+++ b/tests/peers/wire_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Bytes of the peers: forms old and new, bounds, seals, replays; whatever is wrong is dropped, and crashes
-// nothing.
+// Datagrams between proxies: both formats, limits, seals and replays. Whatever is malformed is dropped
+// without a crash.
 #include "peers/wire.h"
 
 #include <gtest/gtest.h>
@@ -21,8 +21,8 @@
 namespace kestrelline::peers {
 namespace {
 
-constexpr const char* kFirst = "1 00112233445566778899aabbccddeeff";
-constexpr const char* kSecond = "2 ffeeddccbbaa99887766554433221100";
+constexpr const char* kFirstKey = "1 00112233445566778899aabbccddeeff";
+constexpr const char* kSecondKey = "2 ffeeddccbbaa99887766554433221100";
 
 Keys KeysOf(const std::string& text) {
   std::string why;
@@ -38,57 +38,56 @@
   return text;
 }
 
-Message Drawn(std::mt19937_64& draw) {
-  const auto text = [&](std::size_t most) { return std::string(draw() % (most + 1), 'a' + draw() % 26); };
+Message RandomMessage(std::mt19937_64& random) {
+  const auto text = [&](std::size_t max) { return std::string(random() % (max + 1), 'a' + random() % 26); };
   const auto member = [&](bool full) {
     Member m{"n" + text(kMaxNameBytes - 1),
-             draw() | 1,
-             draw() >> 1,
-             static_cast<State>(draw() % kStates),
+             random() | 1,
+             random() >> 1,
+             static_cast<State>(random() % kStates),
              {},
              "",
              "",
              1};
     if (full) {
-      m.address = {static_cast<std::uint32_t>(draw()), static_cast<std::uint16_t>(draw() | 1)};
+      m.address = {static_cast<std::uint32_t>(random()), static_cast<std::uint16_t>(random() | 1)};
       m.zone = text(kMaxZoneBytes), m.version = text(kMaxVersionBytes), m.wire = 2;
     }
     return m;
   };
   Message m;
-  m.kind = static_cast<Message::Kind>(1 + draw() % 7);
+  m.kind = static_cast<Message::Kind>(1 + random() % 7);
   m.from = member(true);
-  m.view = draw(), m.number = draw(), m.target = text(kMaxNameBytes), m.target_boot = draw();
-  m.target_address = {static_cast<std::uint32_t>(draw()), static_cast<std::uint16_t>(draw())};
-  if (draw() % 2) {
+  m.view = random(), m.number = random(), m.target = text(kMaxNameBytes), m.target_boot = random();
+  m.target_address = {static_cast<std::uint32_t>(random()), static_cast<std::uint16_t>(random())};
+  if (random() % 2) {
     m.digest.resize(kBuckets);
-    for (auto& bucket : m.digest) bucket = static_cast<std::uint32_t>(draw());
+    for (auto& bucket : m.digest) bucket = static_cast<std::uint32_t>(random());
   }
-  for (auto& word : m.whole) word = draw();
-  m.reply = draw() % 2;
+  for (auto& word : m.whole) word = random();
+  m.reply = random() % 2;
   while (true) {
-    const Statement s{member(draw() % 2), static_cast<std::uint32_t>(draw())};
+    const Statement s{member(random() % 2), static_cast<std::uint32_t>(random())};
     if (wire::MaxBytes(m) + wire::MaxBytes(s) > wire::kMaxBodyBytes) return m;
     m.statements.push_back(s);
   }
 }
 
-TEST(PeersWire, WhatIsWrittenIsReadAndNoLongerThanForetold) {
-  std::mt19937_64 draw(7);
+TEST(PeersWire, RoundTripsWithinMaxBytes) {
+  std::mt19937_64 random(7);
   for (int i = 0; i < 300; ++i) {
-    Message m = Drawn(draw);
+    Message m = RandomMessage(random);
     const auto bytes = wire::Encode(m, 2);
     EXPECT_LE(bytes.size(), wire::MaxBytes(m));
     EXPECT_EQ(wire::Decode(bytes, 2), m);
-    const auto old = wire::Decode(wire::Encode(m, 1), 1);  // the first form has no view
+    const auto old = wire::Decode(wire::Encode(m, 1), 1);  // format 1 has no view hash
     m.view = 0;
     EXPECT_EQ(old, m);
   }
 }
 
-// What the fuzzer has found worth keeping: each of it breaks no promise of datagram_fuzz.cpp, which ends the
-// program where one is broken.
-TEST(PeersWire, TheCorpusOfTheFuzzerBreaksNoPromise) {
+// Replays the fuzzer's corpus through datagram_fuzz.cpp, which aborts if an invariant is broken.
+TEST(PeersWire, FuzzerCorpusKeepsTheInvariants) {
   int files = 0;
   for (const auto& file : std::filesystem::directory_iterator(SOURCE_PATH "/tests/peers/corpus")) {
     std::ifstream in(file.path(), std::ios::binary);
@@ -100,28 +99,28 @@
   EXPECT_GT(files, 20);
 }
 
-TEST(PeersWire, WhatANewerOneAddsIsLeftAlone) {
-  std::mt19937_64 draw(8);
-  const Message m = Drawn(draw);
-  EXPECT_EQ(wire::Decode(wire::Encode(m, 2), 1).has_value(), true);  // one element more than it knows
-  EXPECT_FALSE(wire::Decode(wire::Encode(m, 1), 2));                 // one fewer
+TEST(PeersWire, IgnoresTrailingElements) {
+  std::mt19937_64 random(8);
+  const Message m = RandomMessage(random);
+  EXPECT_EQ(wire::Decode(wire::Encode(m, 2), 1).has_value(), true);  // one element more than format 1 has
+  EXPECT_FALSE(wire::Decode(wire::Encode(m, 1), 2));                 // one element fewer
   EXPECT_FALSE(wire::Decode(wire::Encode(m, 2), 3));
 }
 
-TEST(PeersWire, RandomAndCutAndChangedBytesAreNoMessageOrOneWithinBounds) {
-  std::mt19937_64 draw(9);
+TEST(PeersWire, DamagedBytesAreRejectedOrWithinLimits) {
+  std::mt19937_64 random(9);
   int read = 0;
   for (int i = 0; i < 20000; ++i) {
-    auto bytes = wire::Encode(Drawn(draw), 2);
-    switch (draw() % 3) {
+    auto bytes = wire::Encode(RandomMessage(random), 2);
+    switch (random() % 3) {
       case 0:
-        bytes.resize(draw() % bytes.size());
+        bytes.resize(random() % bytes.size());
         break;
       case 1:
-        for (auto& b : bytes) b = static_cast<std::uint8_t>(draw());
+        for (auto& b : bytes) b = static_cast<std::uint8_t>(random());
         break;
       default:
-        for (int n = 0; n < 3; ++n) bytes[draw() % bytes.size()] = static_cast<std::uint8_t>(draw());
+        for (int n = 0; n < 3; ++n) bytes[random() % bytes.size()] = static_cast<std::uint8_t>(random());
     }
     const auto m = wire::Decode(bytes, 2);
     if (!m) continue;
@@ -131,23 +130,23 @@
     EXPECT_NE(m->from.address.port, 0);
     for (const Statement& s : m->statements) EXPECT_LT(static_cast<std::size_t>(s.member.state), kStates);
   }
-  EXPECT_GT(read, 0);  // changed numbers are messages too: it is the seal that keeps them out
+  EXPECT_GT(read, 0);  // a changed number still makes a valid message: only the seal detects it
 }
 
-TEST(Authenticator, OpensWhatItsKeysSealedAndNothingElse) {
-  std::mt19937_64 draw(10);
-  Message m = Drawn(draw), read;
+TEST(Authenticator, OpensOnlyWhatItsKeysSealed) {
+  std::mt19937_64 random(10);
+  Message m = RandomMessage(random), read;
   m.from.boot = 77;
-  Authenticator sender(KeysOf(kFirst), 77), same(KeysOf(kFirst), 1),
+  Authenticator sender(KeysOf(kFirstKey), 77), same(KeysOf(kFirstKey), 1),
       other(KeysOf(std::string("1 0011223344556677") + "8899aabbccddeefe"), 2);
   auto bytes = sender.Seal(m, 2);
   EXPECT_EQ(other.Open(bytes, &read), DropReason::kSeal);
-  EXPECT_EQ(Authenticator(KeysOf(kSecond), 3).Open(bytes, &read), DropReason::kKey);
+  EXPECT_EQ(Authenticator(KeysOf(kSecondKey), 3).Open(bytes, &read), DropReason::kKey);
   EXPECT_EQ(same.Open(bytes, &read), DropReason::kNone);
   EXPECT_EQ(read, m);
   EXPECT_EQ(same.Open(bytes, &read), DropReason::kReplay);
   bytes = sender.Seal(m, 2);
-  for (std::size_t i = 0; i < bytes.size(); ++i) {  // each byte counts
+  for (std::size_t i = 0; i < bytes.size(); ++i) {  // every byte is covered by the seal
     auto changed = bytes;
     changed[i] ^= 1;
     EXPECT_NE(same.Open(changed, &read), DropReason::kNone) << i;
@@ -155,29 +154,30 @@
   EXPECT_EQ(same.Open(std::span(bytes).first(bytes.size() - 1), &read), DropReason::kSeal);
   EXPECT_EQ(same.Open(std::span(bytes).first(36), &read), DropReason::kSize);
   EXPECT_EQ(same.Open(wire::Bytes(1201), &read), DropReason::kSize);
-  EXPECT_EQ(same.Open(bytes, &read), DropReason::kNone);  // none of those counted as having come
-  // Whoever holds the key still speaks for its own boot alone.
+  EXPECT_EQ(same.Open(bytes, &read), DropReason::kNone);  // none of the rejected copies used up the number
+  // A key holder can send only under its own boot.
   m.from.boot = 78;
   EXPECT_EQ(same.Open(sender.Seal(m, 2), &read), DropReason::kBody);
 }
 
-// Every byte, worked out by other means from RFC 8949 and RFC 2104.
+// The expected bytes were computed independently of this code, from RFC 8949 and RFC 2104.
 TEST(Authenticator, TheSealIsHmacSha256) {
   Message m;
   m.from = {"n0", 5, 0, State::kAlive, {0x7f000001, 7000}, "a", "1", 2};
   m.from.boot = 5;
-  const auto bytes = Authenticator(KeysOf(kFirst), 5).Seal(m, 1);
+  const auto bytes = Authenticator(KeysOf(kFirstKey), 5).Seal(m, 1);
   EXPECT_EQ(HexOf(bytes),
             "6b700101000000000000000500000000000000018b0189626e30050000001b00007f0000011b5861"
             "6161310200600000800000008004a37337edc060c4bb7a1449bb7e691b");
 }
 
-TEST(Authenticator, AKeyIsChangedOneByOneWithoutASilentMoment) {
-  std::mt19937_64 draw(11);
-  Message m = Drawn(draw), read;
+TEST(Authenticator, KeysRotateWithoutLosingDatagrams) {
+  std::mt19937_64 random(11);
+  Message m = RandomMessage(random), read;
   m.from.boot = 5;
-  const std::string first = kFirst, second = kSecond;
-  // Added at each, then first at each, then alone at each: two neighbours in the change always understand.
+  const std::string first = kFirstKey, second = kSecondKey;
+  // Each proxy adds the new key, then puts it first, then drops the old one. Proxies one step apart
+  // understand each other.
   const std::vector<std::string> steps{first, first + "\n" + second, second + "\n" + first, second};
   for (std::size_t s = 0; s + 1 < steps.size(); ++s) {
     Authenticator behind(KeysOf(steps[s]), 5), ahead(KeysOf(steps[s + 1]), 5);
@@ -186,7 +186,7 @@
   }
 }
 
-TEST(Authenticator, NumbersComeOnceInWhateverOrderWithinTheWindow) {
+TEST(Authenticator, AcceptsEachNumberOnceWithinTheWindow) {
   ReplayWindow window;
   EXPECT_FALSE(window.Take(0));
   std::vector<std::uint64_t> numbers;
@@ -200,7 +200,7 @@
   EXPECT_FALSE(window.Take(200));
 }
 
-TEST(Keys, WhatIsWrongIsSaid) {
+TEST(Keys, ReportsErrors) {
   struct Case {
     const char* text;
     const char* why;
@@ -218,12 +218,12 @@
                 "00112233445566778899aabbccddeeff",
                 "line 3: more than two keys"},
        }) {
-    std::string said;
-    EXPECT_FALSE(ParseKeys(text, &said));
-    EXPECT_EQ(said, why);
+    std::string error;
+    EXPECT_FALSE(ParseKeys(text, &error));
+    EXPECT_EQ(error, why);
   }
   const kestrelline::testing::TemporaryFolder folder;
-  folder.Write("key", kFirst);
+  folder.Write("key", kFirstKey);
   std::string why;
   ::chmod((folder / "key").c_str(), 0640);
   EXPECT_FALSE(ReadKeys(folder / "key", &why));
--- a/tests/peers/world_test.cpp
+++ b/tests/peers/world_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Views of many proxies in virtual time: what processes cannot show, and random schedules with a checker. The
-// seed is printed with what fails.
+// Views of many proxies in virtual time: cases that are out of reach for tests with processes, and random
+// fault schedules with a checker. Failures print the seed.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -20,7 +20,7 @@
 using std::chrono::seconds;
 using Kind = peers::Event::Kind;
 
-std::unique_ptr<PeersWorld> Started(PeersWorld::Options options) {
+std::unique_ptr<PeersWorld> StartedWorld(PeersWorld::Options options) {
   auto world = std::make_unique<PeersWorld>(options);
   world->StartAll();
   world->Run(milliseconds(250));
@@ -29,7 +29,7 @@
   return world;
 }
 
-// The fleet, how many datagrams are lost, and by when all know of a crash, a return and a heal.
+// Fleet size, share of lost datagrams, and the time by which all must know of a crash, a return or a heal.
 struct Size {
   int members;
   double loss;
@@ -37,13 +37,13 @@
 };
 class Sizes : public ::testing::TestWithParam<Size> {};
 
-TEST_P(Sizes, CrashesReturnsAndHealsAreKnownInTime) {
+TEST_P(Sizes, DetectsCrashesReturnsAndHealsInTime) {
   const auto [members, loss, within_s] = GetParam();
   const seconds within(within_s);
   for (std::uint64_t seed = 1; seed <= (members >= 100 ? 1u : testing::OrFewer(3u, 1u)); ++seed) {
     PeersWorld::Options options;
     options.members = members, options.zones = 3, options.seed = seed;
-    const auto world = Started(options);
+    const auto world = StartedWorld(options);
     auto& all = *world;
     all.net().SetAll({.loss = loss, .delay = options.delay, .jitter = options.jitter});
     all.Kill(members - 1);
@@ -69,11 +69,11 @@
                                   std::to_string(static_cast<int>(info.param.loss * 100));
                          });
 
-TEST(PeersWorld, NoFalseDeathAtAFifthOfLossNorWhileAThirdStandsStill) {
+TEST(PeersWorld, NoFalseFailuresUnderLossOrPauses) {
   for (std::uint64_t seed = 1; seed <= testing::OrFewer(2u, 1u); ++seed) {
     PeersWorld::Options options;
     options.members = 16, options.zones = 3, options.seed = seed;
-    const auto world = Started(options);
+    const auto world = StartedWorld(options);
     world->net().SetAll({.loss = 0.2, .delay = options.delay, .jitter = options.jitter});
     world->Run(std::chrono::minutes(testing::OrFewer(3, 1)));
     EXPECT_EQ(world->totals().false_failures, 0u) << "loss, seed " << seed;
@@ -89,12 +89,12 @@
   }
 }
 
-TEST(PeersWorld, AnAddressUnderAnotherNameAndANameAtAnotherAddress) {
-  const auto world = Started({.members = 6});
+TEST(PeersWorld, NamesAndAddressesCanBeExchanged) {
+  const auto world = StartedWorld({.members = 6});
   world->Kill(4);
   world->Kill(5);
   world->Run(seconds(4));
-  world->StartAt(4, 5);  // n4 comes back where n5 was
+  world->StartAt(4, 5);  // n4 returns at the address of n5
   EXPECT_TRUE(world->RunUntil([&] { return world->Agree(); }, seconds(5)));
   world->Run(seconds(20));
   EXPECT_TRUE(world->Agree());
@@ -102,18 +102,18 @@
   EXPECT_EQ(world->totals().false_failures, 0u);
 }
 
-// While the halves do not see each other, half of one is restarted, each at an address that nobody knows.
-TEST(PeersWorld, AHealAfterWhichHalfOfTheOtherSideIsElsewhere) {
+// During a partition, two of the four members of one side are restarted at addresses that no one knows.
+TEST(PeersWorld, HealsAfterHalfOfOneSideHasMoved) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SCOPED_TRACE(seed);
     PeersWorld::Options options;
     options.members = 8, options.seed = seed;
-    const auto world = Started(options);
+    const auto world = StartedWorld(options);
     world->net().Part({4, 5, 6, 7}, 8, true);
     const std::vector<std::vector<int>> halves{{0, 1, 2, 3}, {4, 5, 6, 7}};
     ASSERT_TRUE(world->RunUntil([&] { return world->Agree(halves); }, seconds(6)));
     for (const int i : {6, 7}) world->StartAt(i, i + 20);
-    // Their seeds are on the other side: who is left here knocks at the old addresses only.
+    // Their seeds are on the other side, and the members left on theirs know only their old addresses.
     world->Run(seconds(4));
     world->net().MendAll();
     EXPECT_TRUE(world->RunUntil([&] { return world->Agree(); }, seconds(5))) << world->Told();
@@ -122,9 +122,9 @@
   }
 }
 
-// A machine whose clock was set back: the new process has a lesser boot than its predecessor.
-TEST(PeersWorld, AClockThatIsSetBackChangesNothing) {
-  const auto world = Started({.members = 5});
+// On a machine whose clock was set back, a new process has a lower boot than its predecessor.
+TEST(PeersWorld, ToleratesAClockThatIsSetBack) {
+  const auto world = StartedWorld({.members = 5});
   for (const bool noticed : {false, true}) {
     world->Kill(2);
     if (noticed) world->Run(seconds(5));
@@ -136,8 +136,8 @@
   EXPECT_EQ(world->totals().false_failures, 0u);
 }
 
-TEST(PeersWorld, OneThatComesAndGoesEveryTwoSecondsDisturbsNobodyElse) {
-  const auto world = Started({.members = 8});
+TEST(PeersWorld, AFlappingMemberAffectsNoOther) {
+  const auto world = StartedWorld({.members = 8});
   std::set<std::string> failed;
   world->on_event = [&](int, const peers::Event& e) {
     if (e.kind == Kind::kFailed) failed.insert(e.member.name);
@@ -151,8 +151,8 @@
   EXPECT_TRUE(failed.empty()) << *failed.begin();
 }
 
-TEST(PeersWorld, RepeatedPartitionsDoNotBlowUpWhatIsSaid) {
-  const auto world = Started({.members = 16, .zones = 2});
+TEST(PeersWorld, RepeatedPartitionsDoNotMultiplyTraffic) {
+  const auto world = StartedWorld({.members = 16, .zones = 2});
   world->Run(seconds(5));
   const auto bytes = [&](seconds lasts) {
     const auto before = world->totals().bytes;
@@ -168,13 +168,13 @@
   EXPECT_LT(parted, 5 * calm);
 }
 
-// A recorded network does the same again where nothing is set to go wrong, and a trace that is none is
-// refused.
-TEST(PeersWorld, ARecordedNetworkIsPlayedAgain) {
-  const auto play = [](double loss, std::istream* again, std::ostream* trace) {
+// Replaying a recorded network trace reproduces the run without the fault settings, and malformed traces are
+// rejected.
+TEST(PeersWorld, ReplaysARecordedNetwork) {
+  const auto play = [](double loss, std::istream* replayed_trace, std::ostream* trace) {
     PeersWorld world({.members = 6, .seed = 3});
     std::string why;
-    if (again && !standin::ReadTrace(*again, &world.net(), &why)) return why;
+    if (replayed_trace && !standin::ReadTrace(*replayed_trace, &world.net(), &why)) return why;
     if (trace) standin::WriteTrace(&world.net(), *trace);
     world.net().SetAll(
         {.loss = loss, .duplicate = loss, .delay = milliseconds(1), .jitter = milliseconds(2)});
@@ -200,8 +200,9 @@
   }
 }
 
-// The example's plan: a crash, a zone cut off, a pair that does not see each other, losses and a pause.
-TEST(PeersWorld, ThePlanOfASiteIsPlayed) {
+// The fault plan of the example: a crash, a zone cut off, a broken link between two members, losses and a
+// pause.
+TEST(PeersWorld, PlaysTheFaultPlanOfASite) {
   operator_file::Diagnostics diagnostics("site");
   std::ifstream file(SOURCE_PATH "/deploy/peers.site.toml");
   const std::string text((std::istreambuf_iterator<char>(file)), {});
@@ -220,7 +221,8 @@
       EXPECT_EQ(change.differed.count(), 0);
     }
   }
-  // Where nothing gets through, nobody is told to be cut off, and views that were equal no longer are.
+  // With all datagrams lost, members are declared failed although the plan cuts no one off: these count as
+  // false failures, and views that had agreed differ again.
   site->faults = {{seconds(2), standin::Fault::Kind::kCut, "zone:ebene", seconds(30), 0},
                   {seconds(9), standin::Fault::Kind::kNetLoss, "all", seconds(100), 1}};
   const PeersPlayed dark = PeersPlay(*site, 1).Play();
@@ -229,10 +231,10 @@
   EXPECT_GT(dark.false_deaths, 0u);
 }
 
-// One that holds the key and lies: what it says of others is taken back by them, and holds no longer than it
-// keeps saying it; it cannot make anybody leave, nor fill more than the table.
-TEST(PeersWorld, ALiarIsContradicted) {
-  const auto world = Started({.members = 8});
+// A key holder sends false statements. The members concerned refute them, so that they last no longer than
+// the sender repeats them. It can neither make a member leave nor grow the view beyond its limit.
+TEST(PeersWorld, FalseStatementsAreRefuted) {
+  const auto world = StartedWorld({.members = 8});
   peers::Message lie;
   lie.kind = peers::Message::Kind::kAck;
   lie.from = world->node(7)->self();
@@ -253,7 +255,7 @@
     world->Run(milliseconds(100));
   }
   EXPECT_FALSE(world->Agree());
-  // The living are back at once; the strangers are found dead one by one.
+  // The real members are back at once; the invented ones are detected as failed one by one.
   EXPECT_TRUE(world->RunUntil(
       [&] {
         for (int i = 0; i < 8; ++i)
@@ -268,50 +270,50 @@
   EXPECT_TRUE(world->RunUntil([&] { return world->Agree(); }, seconds(90))) << world->Told().substr(0, 3000);
 }
 
-// Joins, kills, restarts, pauses, cuts, losses and heals as a seed draws them. Whenever all is well again the
-// views agree with the truth within the bound, and stay so.
+// Random joins, kills, restarts, pauses, cuts, losses and heals. After each round all faults end; then the
+// views must agree with the truth within the limit, and stay so.
 class Schedules : public ::testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Schedules, ViewsComeBackToTheTruth) {
+TEST_P(Schedules, ViewsConvergeAfterRandomFaults) {
   const std::uint64_t seed = GetParam();
   SCOPED_TRACE("seed " + std::to_string(seed));
   constexpr int kMembers = 12;
   PeersWorld::Options options;
   options.members = kMembers, options.zones = 3, options.seed = seed;
-  const auto world = Started(options);
-  std::mt19937_64 draw(seed);
-  std::string story;
+  const auto world = StartedWorld(options);
+  std::mt19937_64 random(seed);
+  std::string schedule;
   for (int round = 0; round < 8; ++round) {
-    const int steps = 1 + static_cast<int>(draw() % 6);
+    const int steps = 1 + static_cast<int>(random() % 6);
     for (int s = 0; s < steps; ++s) {
-      const int who = static_cast<int>(draw() % kMembers);
-      const int what = static_cast<int>(draw() % 7);
-      story += std::to_string(what) + ":" + std::to_string(who) + " ";
+      const int who = static_cast<int>(random() % kMembers);
+      const int what = static_cast<int>(random() % 7);
+      schedule += std::to_string(what) + ":" + std::to_string(who) + " ";
       if (what == 0) world->Kill(who);
       if (what == 1) world->Start(who);
       if (what == 2 && world->runs(who)) world->Leave(who);
       if (what == 3 && world->runs(who)) world->Pause(who);
       if (what == 4)
         world->net().SetAll({.loss = 0.3, .duplicate = 0.2, .reorder = 0.2, .delay = options.delay});
-      if (what == 5) world->net().Link(who, static_cast<int>(draw() % kMembers)).cut = true;
+      if (what == 5) world->net().Link(who, static_cast<int>(random() % kMembers)).cut = true;
       if (what == 6) {
         std::set<int> side;
         for (int i = 0; i < kMembers; ++i)
-          if (draw() % 2) side.insert(i);
+          if (random() % 2) side.insert(i);
         world->net().Part(side, kMembers, true);
       }
-      world->Run(milliseconds(draw() % 3000));
+      world->Run(milliseconds(random() % 3000));
     }
     world->net().MendAll();
     world->net().SetAll({.delay = options.delay, .jitter = options.jitter});
     for (int i = 0; i < kMembers; ++i) world->Resume(i);
     if (!world->runs(0)) world->Start(0);
-    world->Run(milliseconds(600));  // those that were leaving are gone
-    ASSERT_TRUE(world->RunUntil([&] { return world->Agree(); }, seconds(12))) << story << world->Told();
-    ASSERT_TRUE(world->RunUntil([&] { return world->AllSettled(); }, seconds(8))) << story;
+    world->Run(milliseconds(600));  // members that were leaving have left
+    ASSERT_TRUE(world->RunUntil([&] { return world->Agree(); }, seconds(12))) << schedule << world->Told();
+    ASSERT_TRUE(world->RunUntil([&] { return world->AllSettled(); }, seconds(8))) << schedule;
     for (int i = 0; i < 50; ++i) {
       world->Run(milliseconds(100));
-      ASSERT_TRUE(world->Agree()) << story;
+      ASSERT_TRUE(world->Agree()) << schedule;
     }
   }
 }
