--- a/tests/concert/partition_test.cpp
+++ b/tests/concert/partition_test.cpp
@@ -74,16 +74,16 @@
   for (int configured = 1; configured <= 9; ++configured) {
     for (int here = 1; here <= configured; ++here) {
       const auto of = [&](int present) {
-        return SituationOf(present > 1 ? Reading::kPart : Reading::kAlone, static_cast<std::size_t>(present),
-                           configured);
+        return SituationOf(present > 1 ? Connectivity::kPart : Connectivity::kAlone,
+                           static_cast<std::size_t>(present), configured);
       };
       const int there = configured - here;
       EXPECT_FALSE(of(here) == Situation::kPart && there > 0 && of(there) == Situation::kPart);
       EXPECT_EQ(of(here) == Situation::kPart, here > 1 && 2 * here > configured);
     }
   }
-  EXPECT_EQ(SituationOf(Reading::kWhole, 1, 5), Situation::kWhole);
-  EXPECT_EQ(SituationOf(Reading::kAlone, 3, 5), Situation::kAlone);
+  EXPECT_EQ(SituationOf(Connectivity::kWhole, 1, 5), Situation::kWhole);
+  EXPECT_EQ(SituationOf(Connectivity::kAlone, 3, 5), Situation::kAlone);
 }
 
 // Two classes, one server that answers at once, a request of each every 10 ms.
