--- a/bench/peers_bench.cpp
+++ b/bench/peers_bench.cpp
@@ -1,11 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The view of the fleet in virtual time: how soon all know, what it costs, and other ways of finding failures
-// on the same network and seeds.
+// The membership view in virtual time: how fast all members learn of changes, what that costs, and other
+// failure detectors on the same network and seeds.
 //
-//   peers_bench times [MEMBERS LOSS]   crash, join, cut and heal until all views are equal; all sizes and
-//   losses peers_bench compare                plain SWIM, heartbeats of all to all, phi-accrual on those
-//   peers_bench calm HOURS             false deaths a member-hour
+//   peers_bench times [MEMBERS LOSS]
+//       Time from a crash, join, cut and heal until all views are equal; without arguments for all sizes and
+//       losses.
+//   peers_bench compare
+//       Against plain SWIM, all-to-all heartbeats, and phi-accrual on these heartbeats.
+//   peers_bench calm HOURS
+//       False failures per member-hour.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -22,13 +26,13 @@
 using sim::Microseconds;
 using sim::PeersWorld;
 
-constexpr Microseconds kGiveUp{60000000};
+constexpr Microseconds kTimeLimit{60000000};
 constexpr Microseconds kSecond{1000000};
 
 struct Series {
   std::vector<double> ms;
-  void Add(std::optional<Microseconds> took) {
-    ms.push_back(took ? static_cast<double>(took->count()) / 1000 : INFINITY);
+  void Add(std::optional<Microseconds> interval) {
+    ms.push_back(interval ? static_cast<double>(interval->count()) / 1000 : INFINITY);
   }
   double At(double share) {
     std::sort(ms.begin(), ms.end());
@@ -45,7 +49,8 @@
   peers::Times times;
   times.max_suspicion_factor = 1;
   times.health_step = 0;
-  times.digest_interval = times.digest_retry_interval = std::chrono::hours(100);  // who joins still asks a seed
+  // A joining member still gets the view from a seed.
+  times.digest_interval = times.digest_retry_interval = std::chrono::hours(100);
   return times;
 }
 
@@ -57,12 +62,12 @@
 
 struct Figures {
   Series crash, join, cut, heal;
-  double bytes = 0, datagrams = 0;  // a second and member, when nothing happens
-  std::uint64_t false_deaths = 0;
+  double bytes = 0, datagrams = 0;  // per second and member, without changes
+  std::uint64_t false_failures = 0;
   double hours = 0;
 };
 
-Figures Play(int members, double loss, int runs, const peers::Times& times, bool parts) {
+Figures Measure(int members, double loss, int runs, const peers::Times& times, bool with_partition) {
   Figures all;
   for (int run = 0; run < runs; ++run) {
     PeersWorld::Options options;
@@ -72,31 +77,31 @@
     const auto agree = [&] { return world.Agree(); };
     world.StartAll();
     world.Run(kSecond);
-    world.RunUntil(agree, kGiveUp);
+    world.RunUntil(agree, kTimeLimit);
     world.Run(3 * kSecond);
     world.net().SetAll({.loss = loss, .delay = options.delay, .jitter = options.jitter});
-    world.Run(4 * kSecond + members * kSecond / 12);  // until the news of the start have been told
+    world.Run(4 * kSecond + members * kSecond / 12);  // until the updates about the start are sent
     const auto before = world.totals();
     world.Run(10 * kSecond);
     const auto after = world.totals();
     all.bytes += static_cast<double>(after.bytes - before.bytes) / 10 / members / runs;
     all.datagrams += static_cast<double>(after.datagrams - before.datagrams) / 10 / members / runs;
     world.Kill(members - 1);
-    all.crash.Add(world.RunUntil(agree, kGiveUp));
+    all.crash.Add(world.RunUntil(agree, kTimeLimit));
     world.Run(2 * kSecond);
     world.Start(members - 1);
-    all.join.Add(world.RunUntil(agree, kGiveUp));
+    all.join.Add(world.RunUntil(agree, kTimeLimit));
     world.Run(2 * kSecond);
-    all.false_deaths += world.totals().false_failures;
+    all.false_failures += world.totals().false_failures;
     all.hours += world.totals().unpaused_member_hours;
-    if (!parts) continue;
+    if (!with_partition) continue;
     const auto halves = Halves(members);
     const std::set<int> side(halves[0].begin(), halves[0].end());
     world.net().Part(side, members, true);
-    all.cut.Add(world.RunUntil([&] { return world.Agree(halves); }, kGiveUp));
+    all.cut.Add(world.RunUntil([&] { return world.Agree(halves); }, kTimeLimit));
     world.Run(2 * kSecond);
     world.net().MendAll();
-    all.heal.Add(world.RunUntil(agree, kGiveUp));
+    all.heal.Add(world.RunUntil(agree, kTimeLimit));
   }
   return all;
 }
@@ -106,97 +111,102 @@
   for (const int members : sizes) {
     for (const double loss : losses) {
       const int runs = members <= 32 ? 100 : members <= 100 ? 10 : 1;
-      Figures f = Play(members, loss, runs, {}, true);
+      Figures figures = Measure(members, loss, runs, {}, true);
       std::printf("%5d  %3.0f %%  |  %s  |  %s  |  %s  |  %s  |  %5.0f  %4.1f\n", members, loss * 100,
-                  f.crash.Text().c_str(), f.join.Text().c_str(),
-                  f.cut.ms.empty() ? "-" : f.cut.Text().c_str(),
-                  f.heal.ms.empty() ? "-" : f.heal.Text().c_str(), f.bytes, f.datagrams);
+                  figures.crash.Text().c_str(), figures.join.Text().c_str(),
+                  figures.cut.ms.empty() ? "-" : figures.cut.Text().c_str(),
+                  figures.heal.ms.empty() ? "-" : figures.heal.Text().c_str(), figures.bytes,
+                  figures.datagrams);
       std::fflush(stdout);
     }
   }
 }
 
-// Heartbeats of all to all every 200 ms; a member is dead to another after a fixed silence, or where phi, the
-// minus logarithm of the chance that its next one is still to come, passes 8 (Hayashibara et al. 2004, a
-// normal distribution over the last 100 intervals).
+// All-to-all heartbeats every 200 ms. A member is declared failed after a fixed silence, or when phi exceeds
+// 8: the negative logarithm of the probability that its next heartbeat is still to come (Hayashibara et al.
+// 2004, with a normal distribution over the last 100 intervals).
 class Heartbeats {
  public:
   Heartbeats(int members, double loss, std::uint64_t seed, bool phi)
-      : n_(members),
+      : members_(members),
         phi_(phi),
         kernel_(seed),
         net_(seed, {.loss = loss, .delay = Microseconds(200), .jitter = Microseconds(300)}),
-        alive_(static_cast<std::size_t>(n_), true),
-        heard_(static_cast<std::size_t>(n_ * n_)) {
-    for (int i = 0; i < n_; ++i) kernel_.At(Microseconds(i * 200000 / n_), [this, i] { Beat(i); });
-    kernel_.At(Microseconds(0), [this] { Look(); });
+        alive_(static_cast<std::size_t>(members_), true),
+        records_(static_cast<std::size_t>(members_ * members_)) {
+    for (int i = 0; i < members_; ++i)
+      kernel_.At(Microseconds(i * 200000 / members_), [this, i] { SendHeartbeats(i); });
+    kernel_.At(Microseconds(0), [this] { CheckSilence(); });
   }
-  void Run(Microseconds lasts) {
-    const auto until = kernel_.now() + lasts;
+  void Run(Microseconds duration) {
+    const auto until = kernel_.now() + duration;
     while (kernel_.Step(until)) {
     }
   }
-  std::optional<Microseconds> UntilKnown(int dead) {
-    alive_[static_cast<std::size_t>(dead)] = false;
+  std::optional<Microseconds> TimeUntilDetected(int faulty) {
+    alive_[static_cast<std::size_t>(faulty)] = false;
     const auto from = kernel_.now();
-    while (kernel_.now() - from < kGiveUp) {
+    while (kernel_.now() - from < kTimeLimit) {
       bool all = true;
-      for (int i = 0; i < n_; ++i) all &= i == dead || At(i, dead).dead;
+      for (int i = 0; i < members_; ++i) all &= i == faulty || At(i, faulty).faulty;
       if (all) return kernel_.now() - from;
       Run(Microseconds(10000));
     }
     return std::nullopt;
   }
   double datagrams = 0;
-  std::uint64_t false_deaths = 0;
+  std::uint64_t false_failures = 0;
 
  private:
-  struct Heard {
+  struct Record {
     Microseconds last{0};
     double mean = 200000, variance = 4e8;
-    bool dead = false;
+    bool faulty = false;
   };
-  Heard& At(int observer, int of) { return heard_[static_cast<std::size_t>(observer * n_ + of)]; }
+  Record& At(int observer, int subject) {
+    return records_[static_cast<std::size_t>(observer * members_ + subject)];
+  }
 
-  void Beat(int i) {
+  void SendHeartbeats(int i) {
     if (!alive_[static_cast<std::size_t>(i)]) return;
-    for (int j = 0; j < n_; ++j) {
+    for (int j = 0; j < members_; ++j) {
       if (j == i) continue;
       ++datagrams;
-      for (const auto late : net_.Judge(kernel_.now(), i, j, 60).copies)
-        kernel_.After(late, [this, i, j] {
-          Heard& h = At(j, i);
-          const double took = static_cast<double>((kernel_.now() - h.last).count());
-          if (h.last.count() > 0) {
-            h.variance += 0.01 * ((took - h.mean) * (took - h.mean) - h.variance);
-            h.mean += 0.01 * (took - h.mean);
+      for (const auto delay : net_.Judge(kernel_.now(), i, j, 60).copies)
+        kernel_.After(delay, [this, i, j] {
+          Record& record = At(j, i);
+          const double interval = static_cast<double>((kernel_.now() - record.last).count());
+          if (record.last.count() > 0) {
+            record.variance += 0.01 * ((interval - record.mean) * (interval - record.mean) - record.variance);
+            record.mean += 0.01 * (interval - record.mean);
           }
-          h.last = kernel_.now();
-          h.dead = false;
+          record.last = kernel_.now();
+          record.faulty = false;
         });
     }
-    kernel_.After(Microseconds(200000), [this, i] { Beat(i); });
+    kernel_.After(Microseconds(200000), [this, i] { SendHeartbeats(i); });
   }
-  void Look() {
-    for (int i = 0; i < n_; ++i) {
-      for (int j = 0; j < n_; ++j) {
-        Heard& h = At(i, j);
-        if (i == j || h.dead || h.last.count() == 0) continue;
-        const double silent = static_cast<double>((kernel_.now() - h.last).count());
-        const double later = 0.5 * std::erfc((silent - h.mean) / std::sqrt(2 * std::max(h.variance, 1e8)));
-        h.dead = phi_ ? later < 1e-8 : silent > 1500000;
-        if (h.dead && alive_[static_cast<std::size_t>(j)]) ++false_deaths;
+  void CheckSilence() {
+    for (int i = 0; i < members_; ++i) {
+      for (int j = 0; j < members_; ++j) {
+        Record& record = At(i, j);
+        if (i == j || record.faulty || record.last.count() == 0) continue;
+        const double silent = static_cast<double>((kernel_.now() - record.last).count());
+        const double chance =
+            0.5 * std::erfc((silent - record.mean) / std::sqrt(2 * std::max(record.variance, 1e8)));
+        record.faulty = phi_ ? chance < 1e-8 : silent > 1500000;
+        if (record.faulty && alive_[static_cast<std::size_t>(j)]) ++false_failures;
       }
     }
-    kernel_.After(Microseconds(50000), [this] { Look(); });
+    kernel_.After(Microseconds(50000), [this] { CheckSilence(); });
   }
 
-  int n_;
+  int members_;
   bool phi_;
   sim::Kernel kernel_;
   standin::NetFaults net_;
   std::vector<bool> alive_;
-  std::vector<Heard> heard_;
+  std::vector<Record> records_;
 };
 
 void Compare() {
@@ -206,33 +216,33 @@
   for (const int members : {16, 100}) {
     for (const double loss : {0.0, 0.2}) {
       const int runs = members == 16 ? 50 : 5;
-      const auto row = [&](const char* way, Series crash, double bytes, double deaths) {
-        std::printf("%5d  %3.0f %%  %-12s |  %s  |  %6.0f  |  %.2f\n", members, loss * 100, way,
-                    crash.Text().c_str(), bytes, deaths);
+      const auto row = [&](const char* method, Series crash, double bytes, double failures) {
+        std::printf("%5d  %3.0f %%  %-12s |  %s  |  %6.0f  |  %.2f\n", members, loss * 100, method,
+                    crash.Text().c_str(), bytes, failures);
         std::fflush(stdout);
       };
-      Figures ours = Play(members, loss, runs, {}, false);
-      row("kestrelline", ours.crash, ours.bytes, static_cast<double>(ours.false_deaths) / ours.hours);
-      Figures swim = Play(members, loss, runs, PlainSwim(), false);
-      row("plain SWIM", swim.crash, swim.bytes, static_cast<double>(swim.false_deaths) / swim.hours);
+      Figures ours = Measure(members, loss, runs, {}, false);
+      row("kestrelline", ours.crash, ours.bytes, static_cast<double>(ours.false_failures) / ours.hours);
+      Figures swim = Measure(members, loss, runs, PlainSwim(), false);
+      row("plain SWIM", swim.crash, swim.bytes, static_cast<double>(swim.false_failures) / swim.hours);
       for (const bool phi : {false, true}) {
         Series crash;
-        double bytes = 0, deaths = 0, hours = 0;
+        double bytes = 0, failures = 0, hours = 0;
         for (int run = 0; run < runs; ++run) {
           Heartbeats world(members, loss, static_cast<std::uint64_t>(run + 1), phi);
           world.Run(22 * kSecond);
-          bytes += world.datagrams * 60 / 22 / members / runs;  // a name, a boot, a number and the seal
-          deaths += static_cast<double>(world.false_deaths);
+          bytes += world.datagrams * 60 / 22 / members / runs;  // name, boot, number and seal
+          failures += static_cast<double>(world.false_failures);
           hours += 22.0 / 3600 * members;
-          crash.Add(world.UntilKnown(members - 1));
+          crash.Add(world.TimeUntilDetected(members - 1));
         }
-        row(phi ? "phi-accrual" : "heartbeats", crash, bytes, deaths / hours);
+        row(phi ? "phi-accrual" : "heartbeats", crash, bytes, failures / hours);
       }
     }
   }
 }
 
-void Calm(double hours) {
+void FalseFailures(double hours) {
   for (const double loss : {0.0, 0.05, 0.2}) {
     PeersWorld::Options options;
     options.members = 16, options.zones = 3;
@@ -255,7 +265,7 @@
   if (what == "times" && argc == 4) return Times({std::atoi(argv[2])}, {std::atof(argv[3])}), 0;
   if (what == "times") return Times({5, 16, 32, 100, 1000}, {0, 0.05, 0.2}), 0;
   if (what == "compare") return Compare(), 0;
-  if (what == "calm") return Calm(argc > 2 ? std::atof(argv[2]) : 4), 0;
+  if (what == "calm") return FalseFailures(argc > 2 ? std::atof(argv[2]) : 4), 0;
   std::fprintf(stderr, "peers_bench times [MEMBERS LOSS] | compare | calm [HOURS]\n");
   return 2;
 }
--- a/tests/node/settings_test.cpp
+++ b/tests/node/settings_test.cpp
@@ -6,7 +6,7 @@
 namespace kestrelline::node {
 namespace {
 
-const std::string kGood = R"(node_name = "edge-1"
+const std::string kValid = R"(node_name = "edge-1"
 role = "edge"
 serves = ["edge"]
 ip = "10.1.0.13"
@@ -37,15 +37,15 @@
 )";
 
 std::string ErrorOf(const std::string& from, const std::string& to) {
-  std::string text = kGood;
+  std::string text = kValid;
   text.replace(text.find(from), from.size(), to);
   const SettingsResult result = ParseSettings(text, "local.toml");
   EXPECT_FALSE(result.settings);
   return result.error;
 }
 
-TEST(NodeSettings, ReadsWhatItKnowsAndIgnoresTheRest) {
-  const SettingsResult result = ParseSettings(kGood, "local.toml");
+TEST(NodeSettings, ReadsKnownFieldsAndIgnoresOthers) {
+  const SettingsResult result = ParseSettings(kValid, "local.toml");
   ASSERT_TRUE(result.settings) << result.error;
   const Settings& settings = *result.settings;
   EXPECT_EQ(settings.node_name, "edge-1");
@@ -63,7 +63,7 @@
   EXPECT_EQ(settings.region_of_zone.at("a"), "r");
 }
 
-TEST(NodeSettings, SaysFileAndLineOfWhatIsWrong) {
+TEST(NodeSettings, ErrorsNameFileAndLine) {
   EXPECT_EQ(ErrorOf("ip = \"10.1.0.13\"", "ip = 5"), "local.toml:4: ip is no string");
   EXPECT_EQ(ErrorOf("[7720,7735]", "[7735,7720]"), "local.toml:6: ephemeral_ports is no range of ports");
   EXPECT_EQ(ErrorOf("10.2.0.32:8166", "10.2.0.32"),
@@ -75,7 +75,7 @@
   EXPECT_NE(ErrorOf("role = \"edge\"", "role = ").find("local.toml:2: "), std::string::npos);
 }
 
-TEST(NodeSettings, AFileThatIsNotThereIsAnError) {
+TEST(NodeSettings, AMissingFileIsAnError) {
   EXPECT_EQ(ReadSettings("/nowhere/local.toml").error, "/nowhere/local.toml:0: cannot be read");
 }
 
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -10,7 +10,7 @@
 namespace kestrelline::wire {
 namespace {
 
-// Through bytes and back.
+// Encodes and decodes.
 Message RoundTrip(const Body& body) {
   const std::string frame = EncodeFrame({"10.0.0.1", body});
   const auto length = DecodeLength(frame);
@@ -47,7 +47,7 @@
   EXPECT_EQ(record.history, sample.history);
 }
 
-TEST(Codec, EveryMessageComesBackAsItWas) {
+TEST(Codec, EveryMessageRoundTrips) {
   const auto record = std::make_shared<const Record>(SampleRecord());
   EXPECT_TRUE(RoundTripAs(Hello{true, 3}).counts_for_quorum);
   const auto request = RoundTripAs(VoteRequest{4, true, {1, 2}, true});
@@ -80,7 +80,7 @@
   EXPECT_EQ(RoundTripAs(Echo{18}).value, 18u);
 }
 
-TEST(Codec, PublicationsCarryTheListOfBackends) {
+TEST(Codec, PublicationsRoundTrip) {
   InstanceList list;
   list.revision = 3;
   list.instances = {{"i-1", "s", "10.0.0.9:80", "z", 8, true, true, false, 5, {"m", "n"}}, {}};
@@ -109,7 +109,7 @@
   EXPECT_EQ(RoundTripAs(list).instances, list.instances);
 }
 
-TEST(Codec, LoadsAndDemandsComeBack) {
+TEST(Codec, LoadsAndDemandsRoundTrip) {
   const LoadReport report{{{1, 2, 3}, {4, 5, 6}}, {{"s", 7, 8}}, 9};
   const auto decoded = RoundTripAs(report);
   EXPECT_EQ(decoded.loads, report.loads);
@@ -137,7 +137,7 @@
   EXPECT_TRUE(RoundTripAs(LoadSummary{report.loads, true}).whole);
 }
 
-TEST(Codec, RecordsAsTheyAreStored) {
+TEST(Codec, StoredRecordsRoundTrip) {
   const auto decoded = DecodeRecord(EncodeRecord(SampleRecord()));
   ASSERT_TRUE(decoded);
   ExpectSample(*decoded);
@@ -152,7 +152,7 @@
   EXPECT_EQ(std::get<LearnRequest>(message->body).nonce, 8u);
 }
 
-TEST(Codec, LengthsOverTheBoundAreRefused) {
+TEST(Codec, RejectsLengthsOverTheLimit) {
   EXPECT_FALSE(DecodeLength(std::string("\x7f\xff\xff\xff", 4)));
   EXPECT_FALSE(DecodeLength("abc"));
 }
@@ -166,21 +166,22 @@
   EXPECT_FALSE(IsCompressed(EncodeFrame({"10.0.0.1", LearnRequest{8, false}}).substr(kLengthBytes)));
 }
 
-TEST(Codec, DamagedCompressedEnvelopesAreRefused) {
+TEST(Codec, RejectsDamagedCompressedEnvelopes) {
   const Body body = VoteReply{4, true, true, 9, std::make_shared<Record>(SampleRecord())};
   const std::string envelope = EncodeFrame({"10.0.0.1", body}).substr(kLengthBytes);
   EXPECT_FALSE(DecodeEnvelope(envelope.substr(0, envelope.size() - 1)));
   std::string flipped = envelope;
-  flipped.back() ^= 1;  // of the checksum
+  flipped.back() ^= 1;  // in the checksum
   EXPECT_FALSE(DecodeEnvelope(flipped));
   std::string longer = envelope;
-  longer[1] = '\x7f';  // its length
+  longer[1] = '\x7f';  // in its length
   EXPECT_FALSE(DecodeEnvelope(longer));
   EXPECT_FALSE(DecodeEnvelope(std::string(3, '\0')));
 }
 
-// The record's configuration is cut so that the bytes that are changed are often those of fields.
-TEST(Codec, NoBytesCrashTheReader) {
+// The plain envelope is truncated, so that the damaged bytes are often those of fields rather than of the
+// long configuration.
+TEST(Codec, RandomBytesDoNotCrashTheDecoder) {
   std::mt19937_64 random(1);
   const std::string compressed =
       EncodeFrame({"10.0.0.1", VoteReply{4, true, true, 9, std::make_shared<Record>(SampleRecord())}})
