--- a/src/peers/contest.h
+++ b/src/peers/name_conflict.h
@@ -10,8 +10,8 @@
 // To raise is to set the own incarnation above the other's. A process counts as live if it has sent a
 // datagram itself, or if it keeps raising its incarnation over this one's, which no other process can do on
 // its behalf. If both are live, both apply the same rule, so that exactly one yields.
-#ifndef KESTRELLINE_PEERS_CONTEST_H_
-#define KESTRELLINE_PEERS_CONTEST_H_
+#ifndef KESTRELLINE_PEERS_NAME_CONFLICT_H_
+#define KESTRELLINE_PEERS_NAME_CONFLICT_H_
 
 #include <cstdint>
 #include <map>
@@ -57,4 +57,4 @@
 
 }  // namespace kestrelline::peers
 
-#endif  // KESTRELLINE_PEERS_CONTEST_H_
+#endif  // KESTRELLINE_PEERS_NAME_CONFLICT_H_
--- a/tests/peers/member_test.cpp
+++ b/tests/peers/member_test.cpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <vector>
 
-#include "peers/contest.h"
+#include "peers/name_conflict.h"
 #include "peers/view.h"
 
 namespace kestrelline::peers {
