--- a/src/concert/partition.h
+++ b/src/concert/partition.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "operator/document.h"
-#include "peers/reading.h"
+#include "peers/connectivity.h"
 
 namespace kestrelline::concert {
 
--- a/src/peers/reading.h
+++ b/src/peers/connectivity.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Classifies a view: the whole fleet is reachable, a part of it, or this proxy is alone. No I/O, no clock.
-#ifndef KESTRELLINE_PEERS_READING_H_
-#define KESTRELLINE_PEERS_READING_H_
+#ifndef KESTRELLINE_PEERS_CONNECTIVITY_H_
+#define KESTRELLINE_PEERS_CONNECTIVITY_H_
 
 #include <cstddef>
 
@@ -54,4 +54,4 @@
 
 }  // namespace kestrelline::peers
 
-#endif  // KESTRELLINE_PEERS_READING_H_
+#endif  // KESTRELLINE_PEERS_CONNECTIVITY_H_
--- a/src/peers/node.h
+++ b/src/peers/node.h
@@ -17,12 +17,12 @@
 #include <utility>
 #include <vector>
 
+#include "peers/connectivity.h"
 #include "peers/exchange.h"
 #include "peers/gossip.h"
 #include "peers/message.h"
 #include "peers/name_conflict.h"
 #include "peers/prober.h"
-#include "peers/reading.h"
 #include "peers/times.h"
 #include "peers/view.h"
 
