--- a/src/peers/seal.h
+++ b/src/peers/authenticator.h
@@ -10,8 +10,8 @@
 // The protocol is 'p' for membership, whose body is CBOR (wire.h), or the letter of another protocol. The
 // seal covers all bytes before it. OpenSSL is loaded when it is first needed, so that a program without peers
 // does not pay for it.
-#ifndef KESTRELLINE_PEERS_SEAL_H_
-#define KESTRELLINE_PEERS_SEAL_H_
+#ifndef KESTRELLINE_PEERS_AUTHENTICATOR_H_
+#define KESTRELLINE_PEERS_AUTHENTICATOR_H_
 
 #include <array>
 #include <cstdint>
@@ -101,4 +101,4 @@
 
 }  // namespace kestrelline::peers
 
-#endif  // KESTRELLINE_PEERS_SEAL_H_
+#endif  // KESTRELLINE_PEERS_AUTHENTICATOR_H_
--- a/src/peers/link.h
+++ b/src/peers/link.h
@@ -23,8 +23,8 @@
 #include <string>
 #include <vector>
 
+#include "peers/authenticator.h"
 #include "peers/node.h"
-#include "peers/seal.h"
 #include "peers/settings.h"
 
 namespace kestrelline::peers {
--- a/src/peers/seal.cpp
+++ b/src/peers/seal.cpp
@@ -1,6 +1,4 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "peers/seal.h"
-
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <openssl/crypto.h>
@@ -14,6 +12,8 @@
 #include <cstring>
 #include <stdexcept>
 
+#include "peers/authenticator.h"
+
 namespace kestrelline::peers {
 namespace {
 
--- a/src/peers/settings.h
+++ b/src/peers/settings.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "operator/document.h"
-#include "peers/seal.h"
+#include "peers/authenticator.h"
 #include "peers/times.h"
 
 namespace kestrelline::peers {
--- a/tests/peers/wire_test.cpp
+++ b/tests/peers/wire_test.cpp
@@ -13,7 +13,7 @@
 #include <fstream>
 #include <random>
 
-#include "peers/seal.h"
+#include "peers/authenticator.h"
 #include "support/temporary.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size);
