--- a/src/peers/seal.cpp
+++ b/src/peers/authenticator.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+#include "peers/authenticator.h"
+
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <openssl/crypto.h>
@@ -12,8 +14,6 @@
 #include <cstring>
 #include <stdexcept>
 
-#include "peers/authenticator.h"
-
 namespace kestrelline::peers {
 namespace {
 
