--- a/src/peers/node.h
+++ b/src/peers/node.h
@@ -65,7 +65,7 @@
 
   Node(Options options, Time now);
 
-  // `message` must have been authenticated (seal.h).
+  // `message` must have been authenticated (authenticator.h).
   void Receive(Time now, const Message& message);
   // Does everything that is due at `now`.
   void Tick(Time now);
--- a/src/peers/wire.h
+++ b/src/peers/wire.h
@@ -20,7 +20,7 @@
 
 inline constexpr std::uint8_t kOldestFormat = 1, kNewestFormat = 2;
 inline constexpr std::size_t kMaxDatagramBytes = 1200;  // including the seal
-inline constexpr std::size_t kSealOverheadBytes = 36;   // header and tag; seal.h
+inline constexpr std::size_t kSealOverheadBytes = 36;   // header and tag; authenticator.h
 inline constexpr std::size_t kMaxBodyBytes = kMaxDatagramBytes - kSealOverheadBytes;
 
 using Bytes = std::vector<std::uint8_t>;
