--- a/src/peers/authenticator.cpp
+++ b/src/peers/authenticator.cpp
@@ -137,7 +137,7 @@
   return kNames[static_cast<std::size_t>(reason)];
 }
 
-bool ReplayWindow::Take(std::uint64_t number) {
+bool ReplayWindow::Accept(std::uint64_t number) {
   if (number == 0) return false;
   if (number > newest_) {
     const std::uint64_t skipped = std::min(number - newest_, kWindowSize);
@@ -219,13 +219,13 @@
   if (entry == windows_.end()) {
     if (windows_.size() >= kMaxSenders) {
       windows_.erase(std::min_element(windows_.begin(), windows_.end(), [](const auto& a, const auto& b) {
-        return a.second.used < b.second.used;
+        return a.second.last_use < b.second.last_use;
       }));
     }
     entry = windows_.try_emplace(boot).first;
   }
-  entry->second.used = ++uses_;
-  return entry->second.window.Take(number);
+  entry->second.last_use = ++uses_;
+  return entry->second.window.Accept(number);
 }
 
 }  // namespace kestrelline::peers
--- a/src/peers/authenticator.h
+++ b/src/peers/authenticator.h
@@ -26,6 +26,7 @@
 
 namespace kestrelline::peers {
 
+// A shared secret, and the id by which datagrams refer to it.
 struct Key {
   std::uint8_t id = 0;
   std::vector<std::uint8_t> secret;
@@ -51,7 +52,7 @@
 class ReplayWindow {
  public:
   static constexpr std::uint64_t kWindowSize = 256;
-  bool Take(std::uint64_t number);
+  bool Accept(std::uint64_t number);
 
  private:
   std::uint64_t newest_ = 0;
@@ -87,7 +88,7 @@
  private:
   struct Window {
     ReplayWindow window;
-    std::uint64_t used = 0;
+    std::uint64_t last_use = 0;
   };
   wire::Bytes SealBody(char kind, std::uint8_t format, std::span<const std::uint8_t> body);
   DropReason Verify(std::span<const std::uint8_t> datagram, std::uint64_t* boot,
--- a/src/peers/gossip.h
+++ b/src/peers/gossip.h
@@ -20,6 +20,7 @@
 
 namespace kestrelline::peers {
 
+// See the head of this file.
 class Gossip {
  public:
   static constexpr std::size_t kMaxUpdates = 2048;
--- a/src/peers/link.cpp
+++ b/src/peers/link.cpp
@@ -101,37 +101,38 @@
   read_budget_.Refill(now);
   std::array<std::uint8_t, wire::kMaxDatagramBytes + 1> bytes;
   int read = 0;
-  for (; read < kMaxDatagramsPerSlice && read_budget_.Has() && (read == 0 || Now() - now < kMaxSliceTime);
+  for (;
+       read < kMaxDatagramsPerSlice && read_budget_.HasToken() && (read == 0 || Now() - now < kMaxSliceTime);
        ++read) {
     Udp::endpoint from;
     Error failed;
     const std::size_t size = socket_.receive_from(asio::buffer(bytes), from, 0, failed);
     if (failed == asio::error::would_block) break;
-    if (failed)
-      continue;  // reports an earlier send (ECONNREFUSED); the prober notices dead members by itself
+    // An error of an earlier send (ECONNREFUSED); the prober notices dead members by itself.
+    if (failed) continue;
     read_budget_.Take();
     ++counts_.received;
     counts_.bytes_received += size;
     const DropReason reason =
-        Take(now, {from.address().to_v4().to_uint(), from.port()}, {bytes.data(), size});
+        HandleDatagram(now, {from.address().to_v4().to_uint(), from.port()}, {bytes.data(), size});
     ++counts_.dropped[static_cast<std::size_t>(reason)];
     if (reason != DropReason::kNone) LogDrop(reason, from, now);
   }
   Flush();
-  if (read_budget_.Has()) return WaitReadable();
+  if (read_budget_.HasToken()) return WaitReadable();
   retry_timer_.expires_after(kReadPause);
   retry_timer_.async_wait([this](const Error& cancelled) {
     if (!cancelled) WaitReadable();
   });
 }
 
-DropReason Link::Take(Time now, const Address& from, std::span<const std::uint8_t> datagram) {
-  if (const auto other = protocol_handlers_.find(Authenticator::ProtocolOf(datagram));
-      other != protocol_handlers_.end()) {
+DropReason Link::HandleDatagram(Time now, const Address& from, std::span<const std::uint8_t> datagram) {
+  if (const auto handler = protocol_handlers_.find(Authenticator::ProtocolOf(datagram));
+      handler != protocol_handlers_.end()) {
     std::uint64_t boot = 0;
     std::span<const std::uint8_t> body;
     const DropReason reason = authenticator_.OpenProtocol(datagram, &boot, &body);
-    return reason == DropReason::kNone && !other->second(boot, from, body) ? DropReason::kBody : reason;
+    return reason == DropReason::kNone && !handler->second(boot, from, body) ? DropReason::kBody : reason;
   }
   Message message;
   const DropReason reason = authenticator_.Open(datagram, &message);
@@ -202,7 +203,7 @@
 void Link::Log(const std::string& line, Time now) {
   if (!log_) return;
   log_budget_.Refill(now);
-  if (!log_budget_.Has()) {
+  if (!log_budget_.HasToken()) {
     ++suppressed_lines_;
     return;
   }
--- a/src/peers/link.h
+++ b/src/peers/link.h
@@ -29,6 +29,7 @@
 
 namespace kestrelline::peers {
 
+// See the head of this file.
 class Link {
  public:
   static constexpr int kDescriptors = 1;  // file descriptors that a link holds
@@ -92,21 +93,22 @@
   class TokenBucket {
    public:
     TokenBucket(double per_second, double burst, Time now)
-        : per_second_(per_second), burst_(burst), left_(burst), refilled_(now) {}
+        : per_second_(per_second), burst_(burst), tokens_(burst), refilled_(now) {}
     void Refill(Time now) {
-      left_ = std::min(burst_, left_ + per_second_ * std::chrono::duration<double>(now - refilled_).count());
+      tokens_ =
+          std::min(burst_, tokens_ + per_second_ * std::chrono::duration<double>(now - refilled_).count());
       refilled_ = now;
     }
-    bool Has() const { return left_ >= 1; }
-    void Take() { left_ -= 1; }
+    bool HasToken() const { return tokens_ >= 1; }
+    void Take() { tokens_ -= 1; }
 
    private:
-    double per_second_, burst_, left_;
+    double per_second_, burst_, tokens_;
     Time refilled_;
   };
   using Udp = boost::asio::ip::udp;
 
-  DropReason Take(Time now, const Address& from, std::span<const std::uint8_t> datagram);
+  DropReason HandleDatagram(Time now, const Address& from, std::span<const std::uint8_t> datagram);
   void SendTo(const Address& to, const wire::Bytes& datagram);
   void StartReceiving();
   void BindOrRetry();
--- a/src/peers/name_conflict.h
+++ b/src/peers/name_conflict.h
@@ -21,6 +21,7 @@
 
 namespace kestrelline::peers {
 
+// See the head of this file. Keeps what is known of at most kMaxRivals other processes.
 class NameConflict {
  public:
   // What this process has to do about a statement that carries its name.
@@ -43,7 +44,7 @@
     if (lives && other.boot < self.boot) return Verdict::kYield;
     return Supersedes(other, self) ? Verdict::kRaise : Verdict::kIgnore;
   }
-  // True for the first call for this rival since it was added to the table or evicted from it.
+  // True for the first call about this rival since it was last added to the table.
   bool IsFirstReport(std::uint64_t boot) { return !std::exchange(rivals_[boot].reported, true); }
 
  private:
--- a/src/peers/node.h
+++ b/src/peers/node.h
@@ -52,6 +52,7 @@
 };
 const char* NameOf(Event::Kind kind);
 
+// See the head of this file.
 class Node {
  public:
   struct Options {
--- a/tests/node/settings_test.cpp
+++ b/tests/node/settings_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Parsing of the node's settings file, and the file and line in its error messages.
 #include "node/settings.h"
 
 #include <gtest/gtest.h>
--- a/tests/peers/wire_test.cpp
+++ b/tests/peers/wire_test.cpp
@@ -188,16 +188,16 @@
 
 TEST(Authenticator, AcceptsEachNumberOnceWithinTheWindow) {
   ReplayWindow window;
-  EXPECT_FALSE(window.Take(0));
+  EXPECT_FALSE(window.Accept(0));
   std::vector<std::uint64_t> numbers;
   for (std::uint64_t n = 1; n <= 200; ++n) numbers.push_back(n);
   std::shuffle(numbers.begin(), numbers.end(), std::mt19937_64(3));
-  for (const auto n : numbers) EXPECT_TRUE(window.Take(n));
-  for (const auto n : numbers) EXPECT_FALSE(window.Take(n));
-  EXPECT_TRUE(window.Take(100000));
-  EXPECT_FALSE(window.Take(100000 - ReplayWindow::kWindowSize));
-  EXPECT_TRUE(window.Take(100000 - ReplayWindow::kWindowSize + 1));
-  EXPECT_FALSE(window.Take(200));
+  for (const auto n : numbers) EXPECT_TRUE(window.Accept(n));
+  for (const auto n : numbers) EXPECT_FALSE(window.Accept(n));
+  EXPECT_TRUE(window.Accept(100000));
+  EXPECT_FALSE(window.Accept(100000 - ReplayWindow::kWindowSize));
+  EXPECT_TRUE(window.Accept(100000 - ReplayWindow::kWindowSize + 1));
+  EXPECT_FALSE(window.Accept(200));
 }
 
 TEST(Keys, ReportsErrors) {
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+//
+// Round trips of all messages of the internal protocol, compression, and rejection of damaged input.
 #include "wire/codec.h"
 
 #include <gtest/gtest.h>
