--- a/tests/router_fleet/control_drain_test.cpp
+++ b/tests/router_fleet/control_drain_test.cpp
@@ -151,7 +151,7 @@
 TEST(ControlDrain, TheAnswerToARequestThatIsTooLongIsNotDestroyedByAReset) {
   Fleet fleet(ControlOnly());
   ASSERT_EQ(fleet.Put(fleet.Configuration(1), 0), 200);
-  const std::string body(http::ApiServer::kLongestBody + 1024 * 1024, ' ');
+  const std::string body(http::ApiServer::kMaxBodyBytes + 1024 * 1024, ' ');
   KeptConnection client(fleet.CoreIp(0), Fleet::kControl);
   EXPECT_TRUE(client.Send("PUT /-/config HTTP/1.1\r\nHost: x\r\nIf-Match: 1\r\nContent-Length: " +
                           std::to_string(body.size()) + "\r\n\r\n" + body));
