--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -20,7 +20,7 @@
   peers.Apply("kill n3 10m");
   ASSERT_TRUE(peers.AwaitAgreement({peers.AllBut({3})}));
   EXPECT_EQ(PeerFleet::StateOf(peers.View(0), "n3"), "faulty");
-  ASSERT_TRUE(peers.WaitReadable([&] { return peers.View(0)["reading"] == "part"; }));
+  ASSERT_TRUE(peers.Await([&] { return peers.View(0)["reading"] == "part"; }));
   peers.Apply("restart_proxy n4 10m");
   ASSERT_TRUE(peers.AwaitAgreement({peers.AllBut({3, 4})}));
   EXPECT_EQ(PeerFleet::StateOf(peers.View(0), "n4"), "left");
@@ -34,7 +34,7 @@
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   const auto before = peers.View(0)["view"];
   peers.Apply("kill n0 10ms");  // which is also a seed
-  ASSERT_TRUE(peers.WaitReadable([&] { return peers.View(1)["view"] != before; }));
+  ASSERT_TRUE(peers.Await([&] { return peers.View(1)["view"] != before; }));
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   EXPECT_EQ(peers.EventsOfAll("failed"), 0);
 }
@@ -111,14 +111,14 @@
   for (const auto& fault : partition.faults) peers.Apply(fault);
   ASSERT_TRUE(peers.AwaitAgreement(partition.groups));
   for (const Group& group : partition.groups)
-    ASSERT_TRUE(peers.WaitReadable(
+    ASSERT_TRUE(peers.Await(
         [&] { return peers.View(*group.begin())["reading"] == (group.size() > 1 ? "part" : "alone"); }));
   // One side changes during the partition: one of its members is another process after the heal.
   peers.Apply("kill n2 10ms");
   ASSERT_TRUE(peers.AwaitAgreement(partition.groups));
   peers.MendAll();
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
-  ASSERT_TRUE(peers.WaitReadable([&] { return peers.View(0)["reading"] == "whole"; }));
+  ASSERT_TRUE(peers.Await([&] { return peers.View(0)["reading"] == "whole"; }));
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -175,7 +175,7 @@
   const auto dropped = [&](const char* why) {
     return peers.Figure(1, std::string("_dropped{why=\"") + why + "\"}");
   };
-  ASSERT_TRUE(peers.WaitReadable([&] {
+  ASSERT_TRUE(peers.Await([&] {
     return dropped("replay") > 5 && dropped("size") > 0 && dropped("form") > 0 && dropped("key") > 0 &&
            dropped("seal") > 0;
   }));
@@ -192,7 +192,7 @@
   std::ofstream(peers.folder() / "n1.toml", std::ios::app) << "wire = 1\n";
   const auto before = peers.View(0)["view"];
   peers.Apply("kill n1 10ms");
-  ASSERT_TRUE(peers.WaitReadable([&] { return peers.View(0)["view"] != before; }));
+  ASSERT_TRUE(peers.Await([&] { return peers.View(0)["view"] != before; }));
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   peers.Apply("kill n2 10m");
   ASSERT_TRUE(peers.AwaitAgreement({{0, 1}}));
@@ -217,7 +217,7 @@
       };
       const auto before = holds();
       ::kill(peers.Pid(i), SIGHUP);
-      ASSERT_TRUE(peers.WaitReadable([&] { return holds() > before; }));
+      ASSERT_TRUE(peers.Await([&] { return holds() > before; }));
     }
   };
   install_keys(first + "\n" + second, peers.All());
@@ -254,7 +254,7 @@
       << "\"]\nkey_file = \"peers.key\"\n";
   const auto boot_at_all = peers.View(1)["members"][1]["boot"];
   Child second_process({{"ROUTER_CONFIG", platform.path}}, 0, {"--operator", peers.folder() / "twin.toml"});
-  ASSERT_TRUE(peers.WaitReadable([&] { return PeerFleet::ViewAt(management).value("displaced", false); }));
+  ASSERT_TRUE(peers.Await([&] { return PeerFleet::ViewAt(management).value("displaced", false); }));
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
   ASSERT_TRUE(peers.AwaitDatagrams(peers.All(), 60));
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
@@ -262,7 +262,7 @@
   EXPECT_EQ(peers.Events(1, "name-taken"), 1);
   // Once the first is gone, the other takes the name over.
   peers.Apply("kill n1 10m");
-  ASSERT_TRUE(peers.WaitReadable([&] {
+  ASSERT_TRUE(peers.Await([&] {
     const auto view = PeerFleet::ViewAt(management);
     return !view.value("displaced", true) && peers.View(0)["view"] == view["view"];
   }));
@@ -283,7 +283,7 @@
     peers.Apply("restart_proxy n" + std::to_string(i) + " 10ms");
     peers.Apply("restart_proxy n" + std::to_string(i + 1) + " 10ms");
     const auto old = peers.View((i + 4) % 16)["view"];
-    ASSERT_TRUE(peers.WaitReadable([&] { return peers.View((i + 4) % 16)["view"] != old; }));
+    ASSERT_TRUE(peers.Await([&] { return peers.View((i + 4) % 16)["view"] != old; }));
   }
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
 }
@@ -329,7 +329,7 @@
   EXPECT_GT(result.served, result.requests / 2);
   peers.MendAll();
   ASSERT_TRUE(peers.AwaitAgreement({peers.All()}));
-  ASSERT_TRUE(peers.WaitReadable([&] { return peers.EqualCopies(peers.All()); }));
+  ASSERT_TRUE(peers.Await([&] { return peers.EqualCopies(peers.All()); }));
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomFaults, ::testing::Values(20261201));
 
@@ -354,11 +354,11 @@
                                            {"TMPDIR", peers.folder().path()}},
         rlim_t{0}, std::vector<std::string>{"--operator", peers.folder() / "n2.toml"},
         listener.native_handle());
-    EXPECT_TRUE(peers.WaitReadable([&] { return Call(management, "ready\n").starts_with("ACK"); }));
+    EXPECT_TRUE(peers.Await([&] { return Call(management, "ready\n").starts_with("ACK"); }));
     return child;
   };
   auto running = start(FreePort());
-  ASSERT_TRUE(peers.WaitReadable([&] { return PeerFleet::StateOf(peers.View(0), "n2") == "alive"; }));
+  ASSERT_TRUE(peers.Await([&] { return PeerFleet::StateOf(peers.View(0), "n2") == "alive"; }));
   const auto failed = peers.Events(0, "failed"), left = peers.Events(0, "left");
   for (int upgrade = 0; upgrade < 3; ++upgrade) {
     const auto before = peers.View(0)["view"];
@@ -366,7 +366,7 @@
     running->Signal(SIGTERM);
     EXPECT_EQ(running->Wait(), 0);
     running = std::move(next);
-    ASSERT_TRUE(peers.WaitReadable([&] {
+    ASSERT_TRUE(peers.Await([&] {
       const auto view = peers.View(0);
       return view["view"] != before && PeerFleet::StateOf(view, "n2") == "alive" &&
              peers.View(1)["view"] == view["view"];
