--- a/bench/replica_bench.cpp
+++ b/bench/replica_bench.cpp
@@ -148,7 +148,8 @@
     replica::wire::Packer packer(header);
     packer.Add(w.replica(0)->store().EntriesAfter(w.Now(), w.replica(0)->store().own(), 0, kEntries));
     std::size_t whole = 0;
-    for (const auto& m : packer.Take()) whole += replica::wire::Encode(m).size() + peers::wire::kSealBytes;
+    for (const auto& m : packer.Take())
+      whole += replica::wire::Encode(m).size() + peers::wire::kSealOverheadBytes;
     std::printf("%11zu  %13.0f  %17zu  %9llu   %s\n", differences,
                 static_cast<double>(w.totals().shared_bytes - before.shared_bytes) -
                     idle_bytes * (elapsed ? static_cast<double>(elapsed->count()) / 1e6 : 0),
--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -56,7 +56,7 @@
       settings_(settings),
       mesh_(io, settings.ip, settings.MemberEndpoint(), traffic_),
       replica_(OptionsOf(settings), LoadState(store.get()), Now()),
-      publisher_(mesh_, settings.most_subscribers),
+      publisher_(mesh_, settings.max_subscribers),
       reader_(io, settings.cloud.value_or(node::Endpoint{})),
       api_(io, *this, settings.control ? settings.control->port : 0),
       server_(io, [this](ApiRequest request) { return api_.Handle(std::move(request)); }),
@@ -277,7 +277,7 @@
   const auto demands = loads_.board().Everywhere().demands;
   for (const wire::Demand& demand : demands) {
     spdlog::debug("demand service={} reading_ms_per_s={} generating_ms_per_s={}", demand.service,
-                  demand.reading_ms_per_s, demand.generating_ms_per_s);
+                  demand.prefill_ms_per_s, demand.decode_ms_per_s);
   }
   auto orders = planner_.Plan(Now(), platform_instances_, demands);
   if (!orders.empty()) PublishList();  // so that no proxy picks the backends from now on
--- a/src/control_plane/stage_planner.cpp
+++ b/src/control_plane/stage_planner.cpp
@@ -22,9 +22,9 @@
                                          service.moving_to_prefill + service.moving_to_decode);
   const double min_prefill = std::max(1.0, std::ceil(total * options_.min_stage_share));
   const wire::Instance& sample = *service.prefill.front();
-  double prefill = demand.reading_ms_per_s / kMsPerS / options_.target_prefill_utilization;
+  double prefill = demand.prefill_ms_per_s / kMsPerS / options_.target_prefill_utilization;
   const double decode =
-      demand.generating_ms_per_s / kMsPerS / std::max(1u, sample.slots) / options_.target_decode_utilization;
+      demand.decode_ms_per_s / kMsPerS / std::max(1u, sample.slots) / options_.target_decode_utilization;
   if (prefill + decode < total * options_.idle_utilization)
     return static_cast<std::size_t>(total * options_.idle_prefill_share);
   // Spare capacity is divided in proportion to the need.
--- a/src/distribution/load_feed.cpp
+++ b/src/distribution/load_feed.cpp
@@ -20,7 +20,7 @@
 
 // The urgency of an update; 0 if it is too small to be sent.
 double WeightOf(const wire::BackendLoad& sent, const wire::BackendLoad& now) {
-  const double reading = Difference(sent.reading_ms, now.reading_ms);
+  const double reading = Difference(sent.prefill_ms, now.prefill_ms);
   const double running = Difference(sent.running, now.running);
   const bool small = reading <= kMinReadingMs && running == 0;
   if (small && sent.idle() == now.idle()) return 0;
--- a/src/quota/link.cpp
+++ b/src/quota/link.cpp
@@ -29,16 +29,16 @@
     node_->OnPeer(Now(), event);
     Flush();
   });
-  peers_.CarryOthers(kDatagramKind, peers::Link::kMostPerSecond,
-                     [this](std::uint64_t boot, const peers::Address&, std::span<const std::uint8_t> body) {
-                       ++received_;
-                       const auto message = wire::Decode(body);
-                       if (!message) return ++undecodable_, false;
-                       if (!node_ || handed_over_) return true;
-                       node_->Receive(Now(), boot, *message);
-                       Flush();
-                       return true;
-                     });
+  peers_.CarryProtocol(kDatagramKind, peers::Link::kMaxDatagramsPerSecond,
+                       [this](std::uint64_t boot, const peers::Address&, std::span<const std::uint8_t> body) {
+                         ++received_;
+                         const auto message = wire::Decode(body);
+                         if (!message) return ++undecodable_, false;
+                         if (!node_ || handed_over_) return true;
+                         node_->Receive(Now(), boot, *message);
+                         Flush();
+                         return true;
+                       });
   ScheduleMeasurement();
   if (peers_.listens()) {
     StartNode();
@@ -82,7 +82,7 @@
 void Link::Flush() {
   for (const Outgoing& out : node_->TakeOutgoing()) {
     ++sent_;
-    peers_.SendOther(kDatagramKind, {&out.to, 1}, wire::Encode(out.message));
+    peers_.SendProtocol(kDatagramKind, {&out.to, 1}, wire::Encode(out.message));
   }
   for (const Event& event : node_->TakeEvents()) Report(event);
   if (const auto lease = node_->share_lease(); lease != reported_lease_) {
--- a/src/quota/partition.cpp
+++ b/src/quota/partition.cpp
@@ -45,9 +45,9 @@
   return kNames[static_cast<std::size_t>(state)];
 }
 
-PartitionState PartitionStateOf(peers::Reading reading, std::size_t present, int configured) {
-  if (reading == peers::Reading::kWhole) return PartitionState::kWhole;
-  if (reading == peers::Reading::kAlone || present <= 1) return PartitionState::kIsolated;
+PartitionState PartitionStateOf(peers::Connectivity reading, std::size_t present, int configured) {
+  if (reading == peers::Connectivity::kWhole) return PartitionState::kWhole;
+  if (reading == peers::Connectivity::kAlone || present <= 1) return PartitionState::kIsolated;
   return 2 * present > static_cast<std::size_t>(std::max(configured, 0)) ? PartitionState::kMajority
                                                                          : PartitionState::kMinority;
 }
--- a/src/quota/partition.h
+++ b/src/quota/partition.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "operator/document.h"
-#include "peers/reading.h"
+#include "peers/connectivity.h"
 
 namespace kestrelline::quota {
 
@@ -31,7 +31,7 @@
 const char* NameOf(PartitionState state);
 
 // `present`: the number of proxies seen, including this one.
-PartitionState PartitionStateOf(peers::Reading reading, std::size_t present, int configured);
+PartitionState PartitionStateOf(peers::Connectivity reading, std::size_t present, int configured);
 
 // What happens to the requests of a class.
 enum class PartitionRule {
--- a/src/quota/partition_link.cpp
+++ b/src/quota/partition_link.cpp
@@ -22,7 +22,7 @@
 void PartitionLink::Update() {
   const peers::Node& node = peers_.node();
   const std::size_t present = node.view().present();
-  const PartitionState now = PartitionStateOf(node.reading(), present, configured_);
+  const PartitionState now = PartitionStateOf(node.connectivity(), present, configured_);
   const PartitionState before = std::exchange(state_, now);
   if (now == before) return;
   std::string line = std::string("partition: ") + NameOf(now) + " (" + std::to_string(present) + " of " +
--- a/src/quota/wire.cpp
+++ b/src/quota/wire.cpp
@@ -10,9 +10,9 @@
 
 using std::chrono::milliseconds;
 
-void Put(peers::Writer* out, double number) { out->Whole(std::bit_cast<std::uint64_t>(number)); }
+void Put(peers::Writer* out, double number) { out->Fixed(std::bit_cast<std::uint64_t>(number)); }
 double GetDouble(peers::Reader* in, double max) {
-  const auto number = std::bit_cast<double>(in->Whole<std::uint64_t>());
+  const auto number = std::bit_cast<double>(in->Fixed<std::uint64_t>());
   if (!(number >= 0 && number <= max)) return in->Fail(), 0;
   return number;
 }
@@ -24,19 +24,19 @@
   peers::Writer out(&bytes);
   out.Byte(kFormatVersion);
   out.Byte(static_cast<std::uint8_t>(message.kind));
-  out.Number(message.term.number);
-  out.Whole(message.term.boot);
-  out.Number(message.round);
+  out.Varint(message.term.number);
+  out.Fixed(message.term.boot);
+  out.Varint(message.round);
   if (message.kind == Message::Kind::kClaim) {
-    out.Number(message.grant.reply_number);
-    out.Number(message.grant.number);
+    out.Varint(message.grant.reply_number);
+    out.Varint(message.grant.number);
     Put(&out, message.grant.share);
-    out.Number(static_cast<std::uint64_t>(std::chrono::floor<milliseconds>(message.grant.duration).count()));
+    out.Varint(static_cast<std::uint64_t>(std::chrono::floor<milliseconds>(message.grant.duration).count()));
   } else {
-    out.Number(message.highest_term);
-    out.Number(message.number);
-    out.Number(message.member_index);
-    out.Number(message.accepted_grant);
+    out.Varint(message.highest_term);
+    out.Varint(message.number);
+    out.Varint(message.member_index);
+    out.Varint(message.accepted_grant);
     Put(&out, message.rate);
   }
   return bytes;
@@ -49,20 +49,20 @@
   const std::uint8_t kind = in.Byte();
   if (kind != 1 && kind != 2) return std::nullopt;
   message.kind = static_cast<Message::Kind>(kind);
-  message.term.number = in.Number();
-  message.term.boot = in.Whole<std::uint64_t>();
-  message.round = in.Number();
+  message.term.number = in.Varint();
+  message.term.boot = in.Fixed<std::uint64_t>();
+  message.round = in.Varint();
   if (message.kind == Message::Kind::kClaim) {
-    message.grant.reply_number = in.Number();
-    message.grant.number = in.Number();
+    message.grant.reply_number = in.Varint();
+    message.grant.number = in.Varint();
     message.grant.share = GetDouble(&in, 1);
     message.grant.duration =
-        milliseconds(in.Number(std::chrono::floor<milliseconds>(kMaxGrantDuration).count()));
+        milliseconds(in.Varint(std::chrono::floor<milliseconds>(kMaxGrantDuration).count()));
   } else {
-    message.highest_term = in.Number();
-    message.number = in.Number();
-    message.member_index = static_cast<std::uint32_t>(in.Number(~0u));
-    message.accepted_grant = in.Number();
+    message.highest_term = in.Varint();
+    message.number = in.Varint();
+    message.member_index = static_cast<std::uint32_t>(in.Varint(~0u));
+    message.accepted_grant = in.Varint();
     message.rate = GetDouble(&in, kMaxRate);
   }
   if (!in.ok()) return std::nullopt;
--- a/src/replica/wire.cpp
+++ b/src/replica/wire.cpp
@@ -33,13 +33,13 @@
 
 // The detail of a claim is the hash of a zone name and a small cell number (claims.h), encoded separately.
 void MergeResult(Writer& w, const Entry& e, Base* base) {
-  w.Number(e.seq - base->seq);
+  w.Varint(e.seq - base->seq);
   w.Byte(static_cast<std::uint8_t>(e.subject.table));
-  w.Whole(e.subject.id);
-  w.Whole(static_cast<std::uint32_t>(e.subject.detail >> 32));
-  w.Number(e.subject.detail & 0xffffffff);
-  w.Number(Base::ZigZag(e.until_ms, base->until_ms));
-  w.Number(e.value);
+  w.Fixed(e.subject.id);
+  w.Fixed(static_cast<std::uint32_t>(e.subject.detail >> 32));
+  w.Varint(e.subject.detail & 0xffffffff);
+  w.Varint(Base::ZigZag(e.until_ms, base->until_ms));
+  w.Varint(e.value);
   *base = {e.seq, e.until_ms};
 }
 
@@ -49,39 +49,39 @@
 }
 
 void MergeResult(Writer& w, const Interval& i) {
-  w.Whole(i.origin);
-  w.Whole(i.owner);
-  w.Number(i.now_ms);
-  w.Number(i.after);
-  w.Number(i.upto - i.after);
-  w.Number(i.entries.size());
+  w.Fixed(i.origin);
+  w.Fixed(i.owner);
+  w.Varint(i.now_ms);
+  w.Varint(i.after);
+  w.Varint(i.upto - i.after);
+  w.Varint(i.entries.size());
   Base base{i.after, i.now_ms};
   for (const Entry& e : i.entries) MergeResult(w, e, &base);
 }
 
 Interval GetInterval(Reader& r) {
   Interval i;
-  i.origin = r.Whole<std::uint64_t>();
-  i.owner = r.Whole<std::uint64_t>();
-  i.now_ms = r.Number();
-  i.after = r.Number();
-  const auto length = r.Number();
+  i.origin = r.Fixed<std::uint64_t>();
+  i.owner = r.Fixed<std::uint64_t>();
+  i.now_ms = r.Varint();
+  i.after = r.Varint();
+  const auto length = r.Varint();
   if (length > ~0ull - i.after) r.Fail();
   i.upto = i.after + length;
-  const auto n = r.Number(kMaxBodyBytes);
+  const auto n = r.Varint(kMaxBodyBytes);
   Base base{i.after, i.now_ms};
   for (std::uint64_t k = 0; k < n && r.ok(); ++k) {
     Entry e;
-    const auto ahead = r.Number();
+    const auto ahead = r.Varint();
     if (ahead == 0 || ahead > i.upto - base.seq) r.Fail();
     e.seq = base.seq + ahead;
     const std::uint8_t table = r.Byte();
     e.subject.table = static_cast<Table>(table);
-    e.subject.id = r.Whole<std::uint64_t>();
-    e.subject.detail = std::uint64_t{r.Whole<std::uint32_t>()} << 32;
-    e.subject.detail |= r.Number(0xffffffff);
-    e.until_ms = Base::FromZigZag(base.until_ms, r.Number());
-    e.value = static_cast<std::uint32_t>(r.Number(0xffffffff));
+    e.subject.id = r.Fixed<std::uint64_t>();
+    e.subject.detail = std::uint64_t{r.Fixed<std::uint32_t>()} << 32;
+    e.subject.detail |= r.Varint(0xffffffff);
+    e.until_ms = Base::FromZigZag(base.until_ms, r.Varint());
+    e.value = static_cast<std::uint32_t>(r.Varint(0xffffffff));
     base = {e.seq, e.until_ms};
     if (table >= 1 && table <= kTableCount) i.entries.push_back(e);
   }
@@ -98,23 +98,23 @@
   w.Byte(kFormatVersion);
   w.Byte(static_cast<std::uint8_t>(m.kind));
   w.Byte(static_cast<std::uint8_t>((m.current ? 1 : 0) | (m.last ? 2 : 0)));
-  w.Number(m.number);
-  w.Number(m.intervals.size());
+  w.Varint(m.number);
+  w.Varint(m.intervals.size());
   for (const Interval& i : m.intervals) MergeResult(w, i);
-  w.Number(m.summaries.size());
+  w.Varint(m.summaries.size());
   for (const CopySummary& h : m.summaries) {
-    w.Whole(h.origin), w.Whole(h.owner);
-    w.Number(h.now_ms), w.Number(h.upto), w.Number(h.as_of_ms);
-    w.Whole(h.digest);
+    w.Fixed(h.origin), w.Fixed(h.owner);
+    w.Varint(h.now_ms), w.Varint(h.upto), w.Varint(h.as_of_ms);
+    w.Fixed(h.digest);
   }
-  w.Number(m.pulls.size());
-  for (const Pull& pull : m.pulls) w.Whole(pull.origin), w.Number(pull.after);
-  w.Number(m.range_digests.size());
+  w.Varint(m.pulls.size());
+  for (const Pull& pull : m.pulls) w.Fixed(pull.origin), w.Varint(pull.after);
+  w.Varint(m.range_digests.size());
   for (const RangeDigests& range_digests : m.range_digests) {
-    w.Whole(range_digests.origin);
-    w.Number(range_digests.as_of_ms), w.Number(range_digests.after),
-        w.Number(range_digests.upto - range_digests.after);
-    for (const std::uint32_t digest : range_digests.digests) w.Whole(digest);
+    w.Fixed(range_digests.origin);
+    w.Varint(range_digests.as_of_ms), w.Varint(range_digests.after),
+        w.Varint(range_digests.upto - range_digests.after);
+    for (const std::uint32_t digest : range_digests.digests) w.Fixed(digest);
   }
   return out;
 }
@@ -127,26 +127,26 @@
   if (kind < 1 || kind > static_cast<std::uint8_t>(Message::Kind::kRangeDigests)) return std::nullopt;
   m.kind = static_cast<Message::Kind>(kind);
   m.current = flags & 1, m.last = flags & 2;
-  m.number = r.Number();
-  for (auto n = r.Number(kMaxItems); n > 0 && r.ok(); --n) m.intervals.push_back(GetInterval(r));
-  for (auto n = r.Number(kMaxItems); n > 0 && r.ok(); --n) {
+  m.number = r.Varint();
+  for (auto n = r.Varint(kMaxItems); n > 0 && r.ok(); --n) m.intervals.push_back(GetInterval(r));
+  for (auto n = r.Varint(kMaxItems); n > 0 && r.ok(); --n) {
     CopySummary& h = m.summaries.emplace_back();
-    h.origin = r.Whole<std::uint64_t>(), h.owner = r.Whole<std::uint64_t>();
-    h.now_ms = r.Number(), h.upto = r.Number(), h.as_of_ms = r.Number();
-    h.digest = r.Whole<std::uint32_t>();
+    h.origin = r.Fixed<std::uint64_t>(), h.owner = r.Fixed<std::uint64_t>();
+    h.now_ms = r.Varint(), h.upto = r.Varint(), h.as_of_ms = r.Varint();
+    h.digest = r.Fixed<std::uint32_t>();
   }
-  for (auto n = r.Number(kMaxItems); n > 0 && r.ok(); --n) {
+  for (auto n = r.Varint(kMaxItems); n > 0 && r.ok(); --n) {
     Pull& pull = m.pulls.emplace_back();
-    pull.origin = r.Whole<std::uint64_t>(), pull.after = r.Number();
+    pull.origin = r.Fixed<std::uint64_t>(), pull.after = r.Varint();
   }
-  for (auto n = r.Number(kMaxItems); n > 0 && r.ok(); --n) {
+  for (auto n = r.Varint(kMaxItems); n > 0 && r.ok(); --n) {
     RangeDigests& range_digests = m.range_digests.emplace_back();
-    range_digests.origin = r.Whole<std::uint64_t>();
-    range_digests.as_of_ms = r.Number(), range_digests.after = r.Number();
-    const auto length = r.Number();
+    range_digests.origin = r.Fixed<std::uint64_t>();
+    range_digests.as_of_ms = r.Varint(), range_digests.after = r.Varint();
+    const auto length = r.Varint();
     if (length > ~0ull - range_digests.after) r.Fail();
     range_digests.upto = range_digests.after + length;
-    for (std::uint32_t& digest : range_digests.digests) digest = r.Whole<std::uint32_t>();
+    for (std::uint32_t& digest : range_digests.digests) digest = r.Fixed<std::uint32_t>();
   }
   if (!r.ok()) return std::nullopt;
   return m;
--- a/tests/quota/partition_test.cpp
+++ b/tests/quota/partition_test.cpp
@@ -14,7 +14,7 @@
 namespace kestrelline::quota {
 namespace {
 
-using peers::Reading;
+using peers::Connectivity;
 
 std::vector<ClassPartition> Read(const std::string& text, bool peers, std::string* errors) {
   operator_file::Diagnostics diagnostics("f.toml");
@@ -75,7 +75,7 @@
   for (int configured = 1; configured <= 9; ++configured) {
     for (int here = 1; here <= configured; ++here) {
       const auto state_of = [&](int present) {
-        return PartitionStateOf(present > 1 ? Reading::kPart : Reading::kAlone,
+        return PartitionStateOf(present > 1 ? Connectivity::kPart : Connectivity::kAlone,
                                 static_cast<std::size_t>(present), configured);
       };
       const int there = configured - here;
@@ -84,8 +84,8 @@
       EXPECT_EQ(state_of(here) == PartitionState::kMajority, here > 1 && 2 * here > configured);
     }
   }
-  EXPECT_EQ(PartitionStateOf(Reading::kWhole, 1, 5), PartitionState::kWhole);
-  EXPECT_EQ(PartitionStateOf(Reading::kAlone, 3, 5), PartitionState::kIsolated);
+  EXPECT_EQ(PartitionStateOf(Connectivity::kWhole, 1, 5), PartitionState::kWhole);
+  EXPECT_EQ(PartitionStateOf(Connectivity::kAlone, 3, 5), PartitionState::kIsolated);
 }
 
 // A balancer with two classes and one server that answers at once; requests arrive every 10 ms.
