--- a/src/management/commands.cpp
+++ b/src/management/commands.cpp
@@ -7,18 +7,19 @@
 using lifecycle::Done;
 using lifecycle::State;
 
-std::string Line(const char* word, std::string_view text) {
-  return std::string(word).append(" ").append(text).append("\n");
+std::string Line(const char* status, std::string_view text) {
+  return std::string(status).append(" ").append(text).append("\n");
 }
 std::string Ack(std::string_view text) { return Line("ACK", text); }
 std::string Nak(std::string_view text) { return Line("NAK", text); }
 
-std::string Told(Done done, std::string_view now, std::string_view already) {
-  switch (done) {
+// `changed`: the text if the operation changed the state; `unchanged`: if it was in effect already.
+std::string AnswerFor(Done result, std::string_view changed, std::string_view unchanged) {
+  switch (result) {
     case Done::kDone:
-      return Ack(now);
+      return Ack(changed);
     case Done::kAlready:
-      return Ack(already);
+      return Ack(unchanged);
     case Done::kStopping:
       break;
   }
@@ -27,7 +28,7 @@
 
 }  // namespace
 
-std::string AnswerTo(std::string_view line, Operations& operations) {
+std::string HandleCommand(std::string_view line, Operations& operations) {
   if (!line.empty() && line.back() == '\n') line.remove_suffix(1);
   if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
   if (line == "ready") {
@@ -43,13 +44,13 @@
     const std::string text = operations.ReplicaText();
     return text.empty() ? Nak("replica is off") : Ack(text);
   }
-  if (line == "drain") return Told(operations.Drain(), "draining", "draining already");
-  if (line == "resume") return Told(operations.Resume(), "no longer draining", "was not draining");
-  // What was said is not said again: it may be anything.
+  if (line == "drain") return AnswerFor(operations.Drain(), "draining", "draining already");
+  if (line == "resume") return AnswerFor(operations.Resume(), "no longer draining", "was not draining");
+  // The input is not echoed: it may hold arbitrary bytes.
   return Nak(line.empty() ? "empty line"
                           : "unknown call; there are ready, show-stat, drain, resume, peers, replica");
 }
 
-std::string AnswerToOverlong() { return Nak("line too long"); }
+std::string OverlongLineAnswer() { return Nak("line too long"); }
 
 }  // namespace kestrelline::management
--- a/src/management/commands.h
+++ b/src/management/commands.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The calls of the door: what each does and says. No I/O, no clock.
+// Commands of the management endpoint: parses a command line and forms its answer. No I/O, no clock.
 //
-// A call is one line, ended by LF or CRLF. Its answer is one line that begins with ACK or NAK; the figures
-// are the lines themselves and a line `--`.
+// A command is one line, terminated by LF or CRLF. Its answer is one line that begins with ACK or NAK, except
+// for `show-stat`: its answer is the metrics, followed by a line `--`.
 #ifndef KESTRELLINE_MANAGEMENT_COMMANDS_H_
 #define KESTRELLINE_MANAGEMENT_COMMANDS_H_
 
@@ -15,27 +15,29 @@
 
 namespace kestrelline::management {
 
-inline constexpr std::size_t kMostLine = 256;  // bytes of a call, its end included
+inline constexpr std::size_t kMaxLineBytes = 256;  // length limit of a command, line terminator included
 
-// What calls act on.
+// The operations and state of the process that the commands need.
 class Operations {
  public:
   virtual ~Operations() = default;
   virtual lifecycle::State state() const = 0;
   virtual lifecycle::Done Drain() = 0;
   virtual lifecycle::Done Resume() = 0;
+  // The metrics in Prometheus text format.
   virtual std::string FiguresText() const = 0;
-  // What is known of the other proxies, one JSON object; empty where that is off.
+  // This proxy's view of its peers as one JSON object; empty if peers are disabled.
   virtual std::string PeersText() const { return {}; }
-  // The same of what is shared with them.
+  // State of the replicated data as one JSON object; empty if replication is disabled.
   virtual std::string ReplicaText() const { return {}; }
 };
 
-// The whole answer to a line, which may still have its end. Never throws on what the line holds.
-std::string AnswerTo(std::string_view line, Operations& operations);
+// Runs the command in `line`, with or without its terminator, and returns the complete answer. Accepts
+// arbitrary bytes without throwing.
+std::string HandleCommand(std::string_view line, Operations& operations);
 
-// To a caller whose line has no end within kMostLine.
-std::string AnswerToOverlong();
+// The answer to a client that sent kMaxLineBytes without a line terminator.
+std::string OverlongLineAnswer();
 
 }  // namespace kestrelline::management
 
--- a/src/management/door.cpp
+++ b/src/management/door.cpp
@@ -16,43 +16,48 @@
 using Error = boost::system::error_code;
 using Steady = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds kAfterFailure{50};
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};  // after an error of the listener
 
 }  // namespace
 
-// One connection: a line, its answer, the end.
-class Door::Caller : public std::enable_shared_from_this<Caller> {
+// One connection: reads a command line, writes the answer and closes.
+class Door::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Caller(Door& owner, Tcp::socket socket)
-      : owner_(&owner), socket_(std::move(socket)), timer_(socket_.get_executor()), since_(Steady::now()) {}
+  Connection(Door& owner, Tcp::socket socket)
+      : owner_(&owner),
+        socket_(std::move(socket)),
+        timer_(socket_.get_executor()),
+        opened_at_(Steady::now()) {}
 
-  std::list<std::shared_ptr<Caller>>::iterator place;
+  std::list<std::shared_ptr<Connection>>::iterator position;  // in the list of its owner
 
   void Start() {
     Error ignored;
     socket_.non_blocking(true, ignored);
-    timer_.expires_after(owner_->patience_.whole);
+    timer_.expires_after(owner_->timeouts_.total);
     timer_.async_wait([self = shared_from_this()](const Error& cancelled) {
       if (!cancelled) self->Close();
     });
     Read();
   }
 
-  // Says nothing and has no answer coming; or has it, and stays.
-  bool Silent() const {
+  // True if there is no input to read and no answer to write, or if the answer is written and the client has
+  // not closed the connection yet.
+  bool Idle() const {
     Error error;
     return answered_ || (answer_.empty() && socket_.available(error) == 0);
   }
-  Steady::time_point since() const { return since_; }
+  Steady::time_point opened_at() const { return opened_at_; }
 
   void Close() {
     if (!owner_) return;
     Error ignored;
     socket_.close(ignored);
     timer_.cancel();
-    std::exchange(owner_, nullptr)->callers_.erase(place);
+    std::exchange(owner_, nullptr)->connections_.erase(position);
   }
-  void Orphan() {
+  // For the destructor of the owner: closes without touching the owner's list.
+  void Detach() {
     owner_ = nullptr;
     Error ignored;
     socket_.close(ignored);
@@ -62,19 +67,20 @@
  private:
   void Read() {
     socket_.async_read_some(asio::buffer(line_.data() + length_, line_.size() - length_),
-                            [self = shared_from_this()](const Error& failed, std::size_t n) {
+                            [self = shared_from_this()](const Error& failed, std::size_t bytes) {
                               if (!self->owner_) return;
-                              self->OnRead(failed, n);
+                              self->OnRead(failed, bytes);
                             });
   }
 
-  void OnRead(const Error& failed, std::size_t n) {
-    length_ += n;
+  void OnRead(const Error& failed, std::size_t bytes) {
+    length_ += bytes;
     const auto text = std::string_view(line_.data(), length_);
     const auto end = text.find('\n');
-    if (end != std::string_view::npos) return Answer(AnswerTo(text.substr(0, end + 1), owner_->operations_));
-    if (length_ == line_.size()) return Answer(AnswerToOverlong());
-    // A line without its end is half a call: what it would have been is not guessed.
+    if (end != std::string_view::npos)
+      return Answer(HandleCommand(text.substr(0, end + 1), owner_->operations_));
+    if (length_ == line_.size()) return Answer(OverlongLineAnswer());
+    // A line without its terminator may be truncated, so it is rejected instead of being run.
     if (failed) return length_ > 0 && failed == asio::error::eof ? Answer("NAK half a line\n") : Close();
     Read();
   }
@@ -86,41 +92,43 @@
                         if (!self->owner_) return;
                         if (failed) return self->Close();
                         self->answered_ = true;
-                        self->CloseGently();
+                        self->CloseGracefully();
                       });
   }
 
-  // Guards against a reset overtaking the answer where the caller has said more than one line.
-  void CloseGently() {
+  // Shuts down the sending side and discards input until the client closes: closing a socket with unread
+  // input sends a reset, which could destroy the answer before the client reads it.
+  void CloseGracefully() {
     Error ignored;
     socket_.shutdown(Tcp::socket::shutdown_send, ignored);
     length_ = 0;
-    Rest();
+    DiscardInput();
   }
-  void Rest() {
+  void DiscardInput() {
     socket_.async_read_some(asio::buffer(line_),
-                            [self = shared_from_this()](const Error& failed, std::size_t n) {
+                            [self = shared_from_this()](const Error& failed, std::size_t bytes) {
                               if (!self->owner_) return;
-                              self->length_ += n;
-                              if (failed || self->length_ > 16 * kMostLine) return self->Close();
-                              self->Rest();
+                              self->length_ += bytes;
+                              if (failed || self->length_ > 16 * kMaxLineBytes) return self->Close();
+                              self->DiscardInput();
                             });
   }
 
   Door* owner_;
   Tcp::socket socket_;
   asio::steady_timer timer_;
-  Steady::time_point since_;
-  std::array<char, kMostLine> line_;
+  Steady::time_point opened_at_;
+  std::array<char, kMaxLineBytes> line_;
   std::size_t length_ = 0;
   std::string answer_;
   bool answered_ = false;
 };
 
-Door::Door(asio::io_context& io, const Tcp::endpoint& address, Operations& operations, DoorPatience patience)
-    : operations_(operations), patience_(patience), acceptor_(io), pause_(io) {
+Door::Door(asio::io_context& io, const Tcp::endpoint& address, Operations& operations,
+           ManagementTimeouts timeouts)
+    : operations_(operations), timeouts_(timeouts), acceptor_(io), accept_timer_(io) {
   acceptor_.open(address.protocol());
-  acceptor_.set_option(Tcp::acceptor::reuse_address(true));  // restarts come on the same address
+  acceptor_.set_option(Tcp::acceptor::reuse_address(true));  // allows a restart on the same address
   acceptor_.bind(address);
   acceptor_.listen();
   acceptor_.non_blocking(true);
@@ -128,50 +136,50 @@
 }
 
 Door::~Door() {
-  const auto callers = std::move(callers_);
-  callers_.clear();
-  for (const auto& caller : callers) caller->Orphan();
+  const auto connections = std::move(connections_);
+  connections_.clear();
+  for (const auto& connection : connections) connection->Detach();
 }
 
 void Door::Accept() {
   acceptor_.async_wait(Tcp::acceptor::wait_read, [this](const Error& failed) {
     if (failed == asio::error::operation_aborted) return;
-    if (failed) return AcceptIn(kAfterFailure);
-    if (callers_.size() >= kCallers) {
-      const auto pause = MakeRoom();
-      if (pause.count() > 0) return AcceptIn(pause);
+    if (failed) return AcceptAfter(kAcceptRetryDelay);
+    if (connections_.size() >= kMaxConnections) {
+      const auto delay = EvictIdleConnection();
+      if (delay.count() > 0) return AcceptAfter(delay);
     }
     Error error;
     Tcp::socket socket(acceptor_.get_executor());
     acceptor_.accept(socket, error);
     if (error == asio::error::would_block || error == asio::error::try_again) return Accept();
-    if (error) return AcceptIn(kAfterFailure);
-    callers_.push_back(std::make_shared<Caller>(*this, std::move(socket)));
-    const auto caller = callers_.back();
-    caller->place = std::prev(callers_.end());
-    caller->Start();
+    if (error) return AcceptAfter(kAcceptRetryDelay);
+    connections_.push_back(std::make_shared<Connection>(*this, std::move(socket)));
+    const auto connection = connections_.back();
+    connection->position = std::prev(connections_.end());
+    connection->Start();
     Accept();
   });
 }
 
-void Door::AcceptIn(Steady::duration pause) {
-  pause_.expires_after(pause);
-  pause_.async_wait([this](const Error& cancelled) {
+void Door::AcceptAfter(Steady::duration delay) {
+  accept_timer_.expires_after(delay);
+  accept_timer_.async_wait([this](const Error& cancelled) {
     if (!cancelled) Accept();
   });
 }
 
-Steady::duration Door::MakeRoom() {
+Steady::duration Door::EvictIdleConnection() {
   const auto now = Steady::now();
-  for (const auto& caller : callers_) {
-    const auto had = now - caller->since();
-    // The oldest come first: those that follow have had less.
-    if (had < patience_.to_speak) return patience_.to_speak - had;
-    if (!caller->Silent()) continue;
-    caller->Close();
+  for (const auto& connection : connections_) {
+    const auto age = now - connection->opened_at();
+    // Ordered by age: all that follow are younger.
+    if (age < timeouts_.idle) return timeouts_.idle - age;
+    if (!connection->Idle()) continue;
+    connection->Close();
     return Steady::duration(0);
   }
-  return patience_.to_speak;
+  return timeouts_.idle;
 }
 
 }  // namespace kestrelline::management
--- a/src/management/door.h
+++ b/src/management/door.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The listener of the door: reads one line from each caller, writes its answer, closes.
+// The management endpoint: a TCP listener that reads one command from each connection, writes the answer and
+// closes the connection. Runs on the thread of its io_context.
 #ifndef KESTRELLINE_MANAGEMENT_DOOR_H_
 #define KESTRELLINE_MANAGEMENT_DOOR_H_
 
@@ -16,40 +17,41 @@
 
 namespace kestrelline::management {
 
-struct DoorPatience {
-  std::chrono::milliseconds to_speak{30};  // before a caller that says nothing makes way for a new one
-  std::chrono::milliseconds whole{5000};   // from a caller's first moment to its last
+struct ManagementTimeouts {
+  // When all connection slots are in use, an idle connection of this age may be closed for a new one.
+  std::chrono::milliseconds idle{30};
+  std::chrono::milliseconds total{5000};  // lifetime of a connection
 };
 
 class Door {
  public:
-  // Of the process's descriptors: its callers', and the listener's own.
-  static constexpr std::size_t kCallers = 16;
-  static constexpr int kDescriptors = kCallers + 2;
+  static constexpr std::size_t kMaxConnections = 16;
+  // Upper bound of the file descriptors that the endpoint uses: those of its connections and of the listener.
+  static constexpr int kDescriptors = kMaxConnections + 2;
 
-  // Listens at once; throws boost::system::system_error if it cannot.
+  // Binds and listens; throws boost::system::system_error on failure.
   Door(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Operations& operations,
-       DoorPatience patience = {});
+       ManagementTimeouts timeouts = {});
   ~Door();
   Door(const Door&) = delete;
   Door& operator=(const Door&) = delete;
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  std::size_t callers() const { return callers_.size(); }
+  std::size_t callers() const { return connections_.size(); }
 
  private:
-  class Caller;
+  class Connection;
 
   void Accept();
-  void AcceptIn(std::chrono::steady_clock::duration pause);
-  // For a new caller; how long until there may be room, where there is none.
-  std::chrono::steady_clock::duration MakeRoom();
+  void AcceptAfter(std::chrono::steady_clock::duration delay);
+  // Closes the oldest idle connection. Returns zero if it closed one, otherwise the delay until the next try.
+  std::chrono::steady_clock::duration EvictIdleConnection();
 
   Operations& operations_;
-  DoorPatience patience_;
+  ManagementTimeouts timeouts_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_;
-  std::list<std::shared_ptr<Caller>> callers_;  // the oldest first
+  boost::asio::steady_timer accept_timer_;
+  std::list<std::shared_ptr<Connection>> connections_;  // oldest first
 };
 
 }  // namespace kestrelline::management
--- a/src/management/figures.cpp
+++ b/src/management/figures.cpp
@@ -7,21 +7,21 @@
 namespace kestrelline::management {
 namespace {
 
-constexpr std::array kNames{"ok", "shed", "errors"};  // by Ending
+constexpr std::array kOutcomeNames{"ok", "shed", "errors"};  // indexed by Ending
 
 }  // namespace
 
 std::string Escaped(std::string_view text) {
-  std::string out;
+  std::string escaped;
   for (const char c : text) {
-    if (c == '\\' || c == '"') out += '\\';
+    if (c == '\\' || c == '"') escaped += '\\';
     if (c == '\n') {
-      out += "\\n";
+      escaped += "\\n";
     } else {
-      out += c;
+      escaped += c;
     }
   }
-  return out;
+  return escaped;
 }
 
 Figures::Figures(std::vector<std::string> classes) : counts_(classes.size()) {
@@ -39,9 +39,10 @@
   const auto line = [&](std::string_view name, auto value) {
     text.append("proxy_").append(name).append(" ").append(std::to_string(value)).append("\n");
   };
-  for (std::size_t ending = 0; ending < kNames.size(); ++ending) {
+  for (std::size_t ending = 0; ending < kOutcomeNames.size(); ++ending) {
     for (std::size_t c = 0; c < labels_.size(); ++c)
-      line(std::string(kNames[ending]) + "{kind=\"" + labels_[c] + "\"}", counts_[c].by_ending[ending]);
+      line(std::string(kOutcomeNames[ending]) + "{kind=\"" + labels_[c] + "\"}",
+           counts_[c].by_ending[ending]);
   }
   line("tries", tries_);
   line("active", active_);
--- a/src/management/figures.h
+++ b/src/management/figures.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the proxy counts of itself, and its text. No I/O.
+// The proxy's metrics and their text format. No I/O.
 //
-// Each count is raised where its fact happens: the one final answer of a request where it is given, an
-// attempt where its last byte is written. The rest is asked of whoever knows it when the text is made.
+// Each counter is incremented where the event occurs: for a request where its final response is given, for an
+// attempt when the last byte of its request is written. Values that other components own are passed in when
+// the text is formed.
 #ifndef KESTRELLINE_MANAGEMENT_FIGURES_H_
 #define KESTRELLINE_MANAGEMENT_FIGURES_H_
 
@@ -15,25 +16,25 @@
 
 namespace kestrelline::management {
 
-// How a request ended, as its client saw it.
+// Outcome of a request as seen by its client.
 enum class Ending { kServed, kRefused, kFailed };
 
 class Figures {
  public:
-  // Classes of the settings; nothing that a client sends can add to them.
+  // `classes`: the request classes of the settings. Clients cannot add label values to them.
   explicit Figures(std::vector<std::string> classes);
 
-  // `request_class` outside the settings' (a request that could not be understood): not counted.
+  // Not counted if `request_class` is out of range, as for a request that could not be parsed.
   void OnEnded(int request_class, Ending ending);
   void OnTry() { ++tries_; }
   void OnTaken() { ++active_; }
   void OnOver() { --active_; }
 
-  // Of others' knowledge.
+  // State of the backend pool.
   struct Pool {
     std::size_t size = 0, ejected = 0;
   };
-  // In the text form of Prometheus, without a last line.
+  // In the Prometheus text format, without an end marker.
   std::string Text(const Pool& pool) const;
 
   std::uint64_t tries() const { return tries_; }
@@ -46,13 +47,13 @@
   struct Counts {
     std::uint64_t by_ending[3] = {};
   };
-  std::vector<std::string> labels_;  // escaped
+  std::vector<std::string> labels_;  // class names, escaped
   std::vector<Counts> counts_;
   std::uint64_t tries_ = 0;
   std::int64_t active_ = 0;
 };
 
-// As a label's value has to be written.
+// Escapes a label value for the Prometheus text format.
 std::string Escaped(std::string_view text);
 
 }  // namespace kestrelline::management
--- a/tests/management/commands_test.cpp
+++ b/tests/management/commands_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The calls of the door, their words, and the text of the figures.
+// Commands of the management endpoint, their answers, and the text format of the metrics.
 #include "management/commands.h"
 
 #include <gtest/gtest.h>
@@ -22,24 +22,25 @@
   std::string FiguresText() const override { return figures.Text({15, 2}); }
 };
 
-TEST(Commands, EachHasADefinedAnswerInEachState) {
-  Process p;
-  EXPECT_EQ(AnswerTo("ready\n", p), "NAK starting\n");
-  p.life.Listed();
-  EXPECT_EQ(AnswerTo("ready\r\n", p), "ACK ready\n");
-  EXPECT_EQ(AnswerTo("resume\n", p), "ACK was not draining\n");
-  EXPECT_EQ(AnswerTo("drain\n", p), "ACK draining\n");
-  EXPECT_EQ(AnswerTo("drain\n", p), "ACK draining already\n");
-  EXPECT_EQ(AnswerTo("ready\n", p), "NAK draining\n");
-  EXPECT_EQ(AnswerTo("resume\n", p), "ACK no longer draining\n");
-  EXPECT_EQ(AnswerTo("ready", p), "ACK ready\n");
-  p.life.Stop({});
-  for (const char* call : {"ready\n", "drain\n", "resume\n"}) EXPECT_EQ(AnswerTo(call, p), "NAK stopping\n");
-  EXPECT_NE(AnswerTo("show-stat\n", p).find("\n--\n"), std::string::npos);
+TEST(Commands, EachCommandHasADefinedAnswerInEachState) {
+  Process process;
+  EXPECT_EQ(HandleCommand("ready\n", process), "NAK starting\n");
+  process.life.Listed();
+  EXPECT_EQ(HandleCommand("ready\r\n", process), "ACK ready\n");
+  EXPECT_EQ(HandleCommand("resume\n", process), "ACK was not draining\n");
+  EXPECT_EQ(HandleCommand("drain\n", process), "ACK draining\n");
+  EXPECT_EQ(HandleCommand("drain\n", process), "ACK draining already\n");
+  EXPECT_EQ(HandleCommand("ready\n", process), "NAK draining\n");
+  EXPECT_EQ(HandleCommand("resume\n", process), "ACK no longer draining\n");
+  EXPECT_EQ(HandleCommand("ready", process), "ACK ready\n");
+  process.life.Stop({});
+  for (const char* command : {"ready\n", "drain\n", "resume\n"})
+    EXPECT_EQ(HandleCommand(command, process), "NAK stopping\n");
+  EXPECT_NE(HandleCommand("show-stat\n", process).find("\n--\n"), std::string::npos);
 }
 
-TEST(Commands, WhatIsNoCallGetsOneLineThatRepeatsNothingOfIt) {
-  Process p;
+TEST(Commands, InvalidInputGetsAOneLineNakThatDoesNotEchoIt) {
+  Process process;
   std::mt19937 random(20261201);
   std::vector<std::string> lines{"",
                                  "\n",
@@ -53,40 +54,40 @@
                                  "show-stat;drain\n"};
   lines.emplace_back("drain\0resume\n", 13);
   for (int i = 0; i < 1000; ++i) {
-    std::string line(random() % kMostLine, ' ');
+    std::string line(random() % kMaxLineBytes, ' ');
     for (char& c : line) c = static_cast<char>(random());
     lines.push_back(line);
   }
   for (const std::string& line : lines) {
-    if (line == "ready\r") continue;  // an end of its own, half of one
-    const std::string answer = AnswerTo(line, p);
+    if (line == "ready\r") continue;  // a valid command: CR is stripped also without LF
+    const std::string answer = HandleCommand(line, process);
     EXPECT_EQ(answer.substr(0, 4), "NAK ") << line;
     EXPECT_EQ(std::count(answer.begin(), answer.end(), '\n'), 1) << line;
     EXPECT_LT(answer.size(), 80u);
   }
-  EXPECT_EQ(p.life.state(), lifecycle::State::kStarting);  // none of them did anything
-  EXPECT_EQ(AnswerToOverlong().substr(0, 4), "NAK ");
+  EXPECT_EQ(process.life.state(), lifecycle::State::kStarting);  // no line ran a command
+  EXPECT_EQ(OverlongLineAnswer().substr(0, 4), "NAK ");
 }
 
-TEST(Figures, AreOneLineEachWithLabelsThatCannotBreakOut) {
-  Process p;
-  for (int i = 0; i < 3; ++i) p.figures.OnEnded(0, Ending::kServed);
-  p.figures.OnEnded(1, Ending::kRefused);
-  p.figures.OnEnded(0, Ending::kFailed);
-  p.figures.OnTry(), p.figures.OnTry();
-  p.figures.OnTaken(), p.figures.OnTaken(), p.figures.OnOver();
-  EXPECT_EQ(p.FiguresText(),
+TEST(Figures, OneLineEachWithEscapedLabels) {
+  Process process;
+  for (int i = 0; i < 3; ++i) process.figures.OnEnded(0, Ending::kServed);
+  process.figures.OnEnded(1, Ending::kRefused);
+  process.figures.OnEnded(0, Ending::kFailed);
+  process.figures.OnTry(), process.figures.OnTry();
+  process.figures.OnTaken(), process.figures.OnTaken(), process.figures.OnOver();
+  EXPECT_EQ(process.FiguresText(),
             "proxy_ok{kind=\"preview\"} 3\nproxy_ok{kind=\"a\\\"b\\\\c\\nd\"} 0\n"
             "proxy_shed{kind=\"preview\"} 0\nproxy_shed{kind=\"a\\\"b\\\\c\\nd\"} 1\n"
             "proxy_errors{kind=\"preview\"} 1\nproxy_errors{kind=\"a\\\"b\\\\c\\nd\"} 0\n"
             "proxy_tries 2\nproxy_active 1\nproxy_pool_size 15\nproxy_pool_ejected 2\n");
 }
 
-TEST(Figures, AClassThatTheSettingsDoNotHaveAddsNothing) {
-  Process p;
-  const std::string before = p.FiguresText();
-  for (const int c : {-1, 2, 1 << 30}) p.figures.OnEnded(c, Ending::kServed);
-  EXPECT_EQ(p.FiguresText(), before);
+TEST(Figures, UnknownRequestClassIsNotCounted) {
+  Process process;
+  const std::string before = process.FiguresText();
+  for (const int request_class : {-1, 2, 1 << 30}) process.figures.OnEnded(request_class, Ending::kServed);
+  EXPECT_EQ(process.FiguresText(), before);
 }
 
 }  // namespace
--- a/tests/support/door_call.h
+++ b/tests/support/door_call.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A call at the door: one line, and all that comes back until its end.
+// A client of the management endpoint: sends a command and reads until the endpoint closes the connection.
 #ifndef KESTRELLINE_TESTS_SUPPORT_DOOR_CALL_H_
 #define KESTRELLINE_TESTS_SUPPORT_DOOR_CALL_H_
 
@@ -13,26 +13,28 @@
 
 namespace kestrelline::testing {
 
-// What is said before its end; "" if nobody listens.
-inline std::string Call(const Tcp::endpoint& door, const std::string& bytes, bool end = false) {
+// Sends `bytes` and returns everything received until the connection is closed; "" if the connection is
+// refused. `end`: shuts down the sending side after `bytes`.
+inline std::string Call(const Tcp::endpoint& endpoint, const std::string& bytes, bool end = false) {
   asio::io_context io;
   Tcp::socket socket(io);
   error_code failed;
-  socket.connect(door, failed);
+  socket.connect(endpoint, failed);
   if (failed) return "";
   SendRaw(socket, bytes);
   if (end) socket.shutdown(Tcp::socket::shutdown_send, failed);
-  std::string said;
-  asio::read(socket, asio::dynamic_buffer(said), failed);
-  return said;
+  std::string received;
+  asio::read(socket, asio::dynamic_buffer(received), failed);
+  return received;
 }
 
-inline std::map<std::string, double> FiguresOf(const Tcp::endpoint& door) {
-  std::istringstream text(Call(door, "show-stat\n"));
-  std::map<std::string, double> figures;
+// The metrics of `show-stat` by name with labels.
+inline std::map<std::string, double> FiguresOf(const Tcp::endpoint& endpoint) {
+  std::istringstream text(Call(endpoint, "show-stat\n"));
+  std::map<std::string, double> values;
   std::string name;
-  for (double value = 0; text >> name && name != "--" && text >> value;) figures[name] = value;
-  return figures;
+  for (double value = 0; text >> name && name != "--" && text >> value;) values[name] = value;
+  return values;
 }
 
 }  // namespace kestrelline::testing
