--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -27,8 +27,9 @@
   for (const std::string& line : diagnostics.Lines()) err << line << '\n';
 }
 
-// The platform's configuration by its path alone: the environment is that of a shell, not of a proxy.
-std::optional<kestrelline::proxy::Config> Platform(const std::string& path, std::ostream& err) {
+// Loads the platform configuration from `path`. Ignores environment variables: those of the operator's shell
+// are not those of a proxy.
+std::optional<kestrelline::proxy::Config> LoadPlatformConfig(const std::string& path, std::ostream& err) {
   try {
     return kestrelline::proxy::LoadConfig([&](const char* name) -> const char* {
       return std::string_view(name) == "ROUTER_CONFIG" ? path.c_str() : nullptr;
@@ -39,23 +40,23 @@
   }
 }
 
-std::string Joined(const std::vector<int>& numbers, const std::vector<std::string>& names) {
+std::string JoinNames(const std::vector<int>& indices, const std::vector<std::string>& names) {
   std::string text;
-  for (const int n : numbers) text += (text.empty() ? "" : ",") + names[static_cast<std::size_t>(n)];
+  for (const int index : indices) text += (text.empty() ? "" : ",") + names[static_cast<std::size_t>(index)];
   return text;
 }
 
 std::string MatchText(const Route& route, const OperatorConfig& config) {
   std::string text;
   const auto add = [&](const std::string& part) { text += (text.empty() ? "" : " ") + part; };
-  if (!route.any_class) add("class=" + Joined(route.classes, config.site.classes));
-  if (!route.any_tenant) add("tenant=" + Joined(route.tenants, config.site.tenants));
+  if (!route.any_class) add("class=" + JoinNames(route.classes, config.site.classes));
+  if (!route.any_tenant) add("tenant=" + JoinNames(route.tenants, config.site.tenants));
   if (route.depth > 0) add("path=" + route.prefix);
-  for (const Route::Header& h : route.headers) {
-    const std::string& name = config.routes->header_names()[h.name];
-    add((name == routing::kTagName ? "tag" : name) + '=' + h.value);
+  for (const Route::Header& header : route.headers) {
+    const std::string& name = config.routes->header_names()[header.name];
+    add((name == routing::kTagName ? "tag" : name) + '=' + header.value);
   }
-  if (!route.zones.empty()) add("zone=" + Joined(route.zones, config.site.zones));
+  if (!route.zones.empty()) add("zone=" + JoinNames(route.zones, config.site.zones));
   return text.empty() ? "any" : text;
 }
 
@@ -82,42 +83,44 @@
   return text.empty() ? "the platform's" : text;
 }
 
+// The request that the arguments of explain describe.
 class Request : public routing::RequestView {
  public:
   int request_class() const override { return class_; }
   int tenant() const override { return tenant_; }
   std::string_view target() const override { return path_; }
   std::string_view Header(std::string_view name) const override {
-    const auto found = headers_.find(std::string(name));
-    return found == headers_.end() ? std::string_view() : found->second;
+    const auto header = headers_.find(std::string(name));
+    return header == headers_.end() ? std::string_view() : header->second;
   }
 
-  // False, and why in `err`, if there can be no such request.
+  // False, with the reason written to `err`, if such a request cannot exist.
   bool Read(const Command& command, const routing::Site& site, std::ostream& err) {
-    const auto of = [](const std::vector<std::string>& names, const std::string& name) {
-      const auto found = std::find(names.begin(), names.end(), name);
-      return found == names.end() ? -1 : static_cast<int>(found - names.begin());
+    const auto index_of = [](const std::vector<std::string>& names, const std::string& name) {
+      const auto position = std::find(names.begin(), names.end(), name);
+      return position == names.end() ? -1 : static_cast<int>(position - names.begin());
     };
-    class_ = of(site.classes, command.request_class);
+    class_ = index_of(site.classes, command.request_class);
     if (class_ < 0) {
       err << "--class: the platform has no class '" << command.request_class << "'\n";
       return false;
     }
-    if (!command.tenant.empty() && (tenant_ = of(site.tenants, command.tenant)) < 0) {
+    if (!command.tenant.empty() && (tenant_ = index_of(site.tenants, command.tenant)) < 0) {
       err << "--tenant: the platform has no tenant '" << command.tenant << "'\n";
       return false;
     }
     path_ = command.path.empty() ? "/" + command.request_class : command.path;
-    const std::string first = "/" + command.request_class;
-    if (!path_.starts_with(first) ||
-        (path_.size() > first.size() && path_[first.size()] != '/' && path_[first.size()] != '?')) {
-      err << "--path: paths of class " << command.request_class << " begin with " << first << '\n';
+    const std::string class_path = "/" + command.request_class;
+    if (!path_.starts_with(class_path) ||
+        (path_.size() > class_path.size() && path_[class_path.size()] != '/' &&
+         path_[class_path.size()] != '?')) {
+      err << "--path: paths of class " << command.request_class << " begin with " << class_path << '\n';
       return false;
     }
     for (const std::string& header : command.headers) {
       const std::size_t equals = header.find('=');
       if (equals == std::string::npos || equals == 0) {
-        err << "--header: '" << header << "' is no NAME=VALUE\n";
+        err << "--header: '" << header << "' is not of the form NAME=VALUE\n";
         return false;
       }
       std::string name = header.substr(0, equals);
@@ -134,7 +137,8 @@
   std::map<std::string, std::string> headers_;
 };
 
-std::string From(Origin origin, operator_file::Position at, const Command& command) {
+// Where a limit comes from: the platform, or a line of the operator's file.
+std::string OriginText(Origin origin, operator_file::Position at, const Command& command) {
   if (origin == Origin::kPlatform) return "the platform";
   const std::string place = command.operator_file + ':' + std::to_string(at.line);
   return place + (origin == Origin::kRoute   ? " (route)"
@@ -142,10 +146,10 @@
                                              : " (defaults)");
 }
 
-std::string Words(const Chosen<routing::Names>& chosen, const std::string& otherwise) {
-  if (!chosen.value) return otherwise;
+std::string NamesText(const Chosen<routing::Names>& chosen, const std::string& fallback) {
+  if (!chosen.value) return fallback;
   std::string text;
-  for (const auto& word : *chosen.value) text += (text.empty() ? "" : ", ") + word.value;
+  for (const auto& name : *chosen.value) text += (text.empty() ? "" : ", ") + name.value;
   return text.empty() ? "none" : text;
 }
 
@@ -153,55 +157,62 @@
 
 Command ParseArguments(int argc, char** argv) {
   Command command;
-  CLI::App app{"A load-balancing proxy. Without a subcommand it serves, as ROUTER_CONFIG says."};
-  app.add_option("--operator", command.operator_file, "The operator's file: routes and their limits");
-  app.add_option("--plugin-worker", command.plugin_worker,
-                 "The program that plug-ins run in; kestrelline-plugin-worker beside this one without it");
+  CLI::App app{
+      "A load-balancing proxy. Without a subcommand it runs the proxy with the configuration in "
+      "ROUTER_CONFIG."};
+  app.add_option("--operator", command.operator_file, "Operator file with routes and their limits");
+  app.add_option(
+      "--plugin-worker", command.plugin_worker,
+      "Plug-in worker executable; default: kestrelline-plugin-worker in the directory of this program");
   app.require_subcommand(0, 1);
 
-  auto* check = app.add_subcommand("check", "Checks an operator's file and prints its routes");
+  auto* check = app.add_subcommand("check", "Validates an operator file and prints its routes");
   auto* explain =
-      app.add_subcommand("explain", "Tells which route a request takes and where its limits come from");
+      app.add_subcommand("explain", "Prints the route that a request takes and the origin of its limits");
   for (auto* sub : {check, explain}) {
-    sub->add_option("FILE", command.operator_file, "The operator's file")->required();
-    sub->add_option("--config", command.config_file, "The platform's configuration, as in ROUTER_CONFIG")
+    sub->add_option("FILE", command.operator_file, "Operator file")->required();
+    sub->add_option("--config", command.config_file, "Platform configuration file, as in ROUTER_CONFIG")
         ->required();
   }
-  explain->add_option("--class", command.request_class, "The request's class")->required();
-  explain->add_option("--tenant", command.tenant, "Its tenant");
-  explain->add_option("--path", command.path, "Its path; /CLASS without it");
-  explain->add_option("--header", command.headers, "A header of it, NAME=VALUE; may be repeated")
+  explain->add_option("--class", command.request_class, "Class of the request")->required();
+  explain->add_option("--tenant", command.tenant, "Tenant of the request");
+  explain->add_option("--path", command.path, "Path of the request; default: /CLASS");
+  explain->add_option("--header", command.headers, "Header of the request as NAME=VALUE; may be repeated")
       ->expected(1)
       ->multi_option_policy(CLI::MultiOptionPolicy::TakeAll);
-  auto* peers = app.add_subcommand("peers", "Tells what a proxy that runs knows of the others");
-  peers->add_option("ADDRESS", command.door, "Its address for operators (mgmt), as 127.0.0.1:9000")
+  auto* peers = app.add_subcommand("peers", "Prints a running proxy's view of its peers");
+  peers
+      ->add_option("ADDRESS", command.address,
+                   "Management address (mgmt) of the proxy, such as 127.0.0.1:9000")
       ->required();
-  auto* json = peers->add_flag("--json", command.json, "One JSON object");
-  auto* replica = app.add_subcommand("replica", "Tells what a proxy that runs shares with the others");
-  replica->add_option("ADDRESS", command.door, "Its address for operators (mgmt), as 127.0.0.1:9000")
+  auto* json = peers->add_flag("--json", command.json, "Print one JSON object");
+  auto* replica = app.add_subcommand("replica", "Prints or compares the replicated state of running proxies");
+  replica
+      ->add_option("ADDRESS", command.address,
+                   "Management address (mgmt) of the proxy, such as 127.0.0.1:9000")
       ->required();
-  replica->add_option("WHAT", command.replica, "show (without it), digest, or diff with another's ADDRESS")
+  replica->add_option("WHAT", command.replica, "show (default), digest, or diff with the proxy at OTHER")
       ->check(CLI::IsMember({"show", "digest", "diff"}));
-  replica->add_option("OTHER", command.other_door, "The other's address, for diff");
-  replica->add_flag("--json", command.json, "One JSON object");
-  peers->add_flag("--watch", command.watch, "Again with each change, until it is interrupted")
+  replica->add_option("OTHER", command.other_address, "Management address of the second proxy, for diff");
+  replica->add_flag("--json", command.json, "Print one JSON object");
+  peers->add_flag("--watch", command.watch, "Print again after each change, until interrupted")
       ->excludes(json);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    command.what = Command::What::kExit;
+    command.action = Command::Action::kExit;
     command.exit_code = app.exit(error, std::cout, std::cerr) == 0 ? 0 : 2;
     return command;
   }
   if (command.plugin_worker.empty()) command.plugin_worker = DefaultPluginWorker();
-  if (check->parsed()) command.what = Command::What::kCheck;
-  if (explain->parsed()) command.what = Command::What::kExplain;
-  if (peers->parsed()) command.what = Command::What::kPeers;
+  if (check->parsed()) command.action = Command::Action::kCheck;
+  if (explain->parsed()) command.action = Command::Action::kExplain;
+  if (peers->parsed()) command.action = Command::Action::kPeers;
   if (replica->parsed()) {
-    command.what = Command::What::kReplica;
-    if ((command.replica == "diff") == command.other_door.empty()) {
-      std::cerr << "diff takes a second ADDRESS, and nothing else does\n";
-      command.what = Command::What::kExit;
+    command.action = Command::Action::kReplica;
+    if ((command.replica == "diff") == command.other_address.empty()) {
+      std::cerr << "replica: OTHER is required for diff and not allowed otherwise\n";
+      command.action = Command::Action::kExit;
       command.exit_code = 2;
     }
   }
@@ -209,7 +220,7 @@
 }
 
 int Check(const Command& command, std::ostream& out, std::ostream& err) {
-  const auto platform = Platform(command.config_file, err);
+  const auto platform = LoadPlatformConfig(command.config_file, err);
   if (!platform) return 1;
   Diagnostics diagnostics(command.operator_file);
   const auto config = LoadOperatorFile(command.operator_file, *platform, Keep::kOutcome, &diagnostics);
@@ -224,13 +235,13 @@
   const auto& routes = config->routes->routes();
   std::vector<std::array<std::string, 4>> rows{{"line", "route", "matches", "limits"}};
   for (const Route& route : routes) {
-    for (std::size_t c = 0; c < route.classes.size(); ++c) {
-      const std::string limits = LimitsText(route.limits[c].get());
+    for (std::size_t i = 0; i < route.classes.size(); ++i) {
+      const std::string limits = LimitsText(route.limits[i].get());
       const bool differ = route.limits.size() > 1 && route.limits.front() != route.limits.back();
-      if (!differ && c > 0) break;
-      const std::string& name = config->site.classes[static_cast<std::size_t>(route.classes[c])];
-      rows.push_back({c == 0 ? std::to_string(route.at.line) : "", c == 0 ? route.name : "",
-                      c == 0 ? MatchText(route, *config) : "", (differ ? name + ": " : "") + limits});
+      if (!differ && i > 0) break;
+      const std::string& name = config->site.classes[static_cast<std::size_t>(route.classes[i])];
+      rows.push_back({i == 0 ? std::to_string(route.at.line) : "", i == 0 ? route.name : "",
+                      i == 0 ? MatchText(route, *config) : "", (differ ? name + ": " : "") + limits});
     }
   }
   std::array<std::size_t, 4> widths{};
@@ -244,17 +255,17 @@
   }
   out << routes.size() << (routes.size() == 1 ? " route" : " routes") << ", "
       << config->routes->combinations() << " look-ups at most for a request";
-  if (const auto n = config->plugins->plugins().size(); n > 0)
-    out << ", " << n << (n == 1 ? " plug-in" : " plug-ins");
+  if (const auto count = config->plugins->plugins().size(); count > 0)
+    out << ", " << count << (count == 1 ? " plug-in" : " plug-ins");
   out << ": accepted\n";
   return 0;
 }
 
 int Explain(const Command& command, std::ostream& out, std::ostream& err) {
-  const auto platform = Platform(command.config_file, err);
+  const auto platform = LoadPlatformConfig(command.config_file, err);
   if (!platform) return 1;
   Diagnostics diagnostics(command.operator_file);
-  const auto config = LoadOperatorFile(command.operator_file, *platform, Keep::kWording, &diagnostics);
+  const auto config = LoadOperatorFile(command.operator_file, *platform, Keep::kSpec, &diagnostics);
   if (!config) {
     Print(diagnostics, err);
     return 1;
@@ -262,43 +273,44 @@
   Request request;
   if (!request.Read(command, config->site, err)) return 1;
 
-  const auto found = config->routes->Find(request);
+  const auto match = config->routes->Find(request);
   const routing::RouteSpec* route = nullptr;
-  if (found.route != RouteTable::kNone) {
-    route = &config->spec.routes[found.route];
+  if (match.route != RouteTable::kNone) {
+    route = &config->spec.routes[match.route];
     out << "route      " << route->name.value << "  " << command.operator_file << ':' << route->name.at.line
         << '\n';
   } else {
     out << "route      none matches: the class's limits hold\n";
   }
-  const auto cls = static_cast<std::size_t>(request.request_class());
+  const auto class_index = static_cast<std::size_t>(request.request_class());
   const routing::LimitsBook book(config->spec, config->site, &diagnostics);
-  const Effective e = book.Of(route, cls);
+  const Effective limits = book.Of(route, class_index);
   const auto& settings = config->site.settings;
-  const Duration deadline = settings.classes[cls].deadline;
+  const Duration deadline = settings.classes[class_index].deadline;
   const auto line = [&](const char* name, const std::string& value, const auto& chosen) {
     out << std::left << std::setw(18) << name << "  " << std::setw(28) << value << "  "
-        << From(chosen.origin, chosen.at, command) << '\n';
+        << OriginText(chosen.origin, chosen.at, command) << '\n';
   };
-  const auto time = [](const Chosen<Duration>& chosen, const std::string& otherwise) {
-    return chosen.value ? Shown(*chosen.value) : otherwise;
+  const auto time = [](const Chosen<Duration>& chosen, const std::string& fallback) {
+    return chosen.value ? Shown(*chosen.value) : fallback;
   };
-  const auto whole = [](const Chosen<std::int64_t>& chosen, const std::string& otherwise) {
-    return chosen.value ? std::to_string(*chosen.value) : otherwise;
+  const auto integer = [](const Chosen<std::int64_t>& chosen, const std::string& fallback) {
+    return chosen.value ? std::to_string(*chosen.value) : fallback;
   };
-  line("attempt_timeout", time(e.attempt_timeout, "what is left"), e.attempt_timeout);
-  line("patience", time(e.patience, Shown(deadline)), e.patience);
-  line("max_attempts", whole(e.max_attempts, std::to_string(settings.max_attempts)), e.max_attempts);
-  line("pause", time(e.pause, "none"), e.pause);
-  line("second_copy_after", time(e.second_copy_after, "never"), e.second_copy_after);
-  line("retry_on", Words(e.retry_on, "all that the class allows"), e.retry_on);
-  line("retry_budgets", Words(e.retry_budgets, "none"), e.retry_budgets);
-  line("max_in_flight", whole(e.max_in_flight, "no limit"), e.max_in_flight);
-  line("affinity", e.affinity.value ? *e.affinity.value : "none", e.affinity);
+  line("attempt_timeout", time(limits.attempt_timeout, "what is left"), limits.attempt_timeout);
+  line("patience", time(limits.patience, Shown(deadline)), limits.patience);
+  line("max_attempts", integer(limits.max_attempts, std::to_string(settings.max_attempts)),
+       limits.max_attempts);
+  line("pause", time(limits.pause, "none"), limits.pause);
+  line("second_copy_after", time(limits.second_copy_after, "never"), limits.second_copy_after);
+  line("retry_on", NamesText(limits.retry_on, "all that the class allows"), limits.retry_on);
+  line("retry_budgets", NamesText(limits.retry_budgets, "none"), limits.retry_budgets);
+  line("max_in_flight", integer(limits.max_in_flight, "no limit"), limits.max_in_flight);
+  line("affinity", limits.affinity.value ? *limits.affinity.value : "none", limits.affinity);
   std::ostringstream bound;
-  bound << (e.load_bound.value ? *e.load_bound.value : routing::kLoadBound);
-  line("load_bound", bound.str(), e.load_bound);
-  line("claim", e.claim.value ? *e.claim.value : "as [replica] says", e.claim);
+  bound << (limits.load_bound.value ? *limits.load_bound.value : routing::kLoadBound);
+  line("load_bound", bound.str(), limits.load_bound);
+  line("claim", limits.claim.value ? *limits.claim.value : "as [replica] says", limits.claim);
   return 0;
 }
 
--- a/src/app/cli.h
+++ b/src/app/cli.h
@@ -2,13 +2,16 @@
 //
 // The command line.
 //
-//   kestrelline [--operator FILE]                          the proxy
-//   kestrelline check FILE --config CONFIG.json            exit 0 and a table of routes, or 1 and the
-//   messages
-//   kestrelline explain FILE --config CONFIG.json --class C [--tenant T] [--path P] [--header N=V
-//   ...]
-//   kestrelline peers ADDRESS [--watch | --json]           what a proxy that runs knows of the others
-//   kestrelline replica ADDRESS [show | digest | diff OTHER] [--json]   what it shares with them
+//   kestrelline [--operator FILE]
+//       runs the proxy
+//   kestrelline check FILE --config CONFIG.json
+//       validates an operator file: prints its routes and exits with 0, or prints the errors and exits with 1
+//   kestrelline explain FILE --config CONFIG.json --class C [--tenant T] [--path P] [--header N=V ...]
+//       prints the route that a request takes and the origin of each of its limits
+//   kestrelline peers ADDRESS [--watch | --json]
+//       prints a running proxy's view of its peers
+//   kestrelline replica ADDRESS [show | digest | diff OTHER] [--json]
+//       prints a running proxy's replicated state, or compares it with that of another proxy
 #ifndef KESTRELLINE_APP_CLI_H_
 #define KESTRELLINE_APP_CLI_H_
 
@@ -20,24 +23,26 @@
 
 namespace kestrelline::app {
 
+// The parsed arguments.
 struct Command {
-  enum class What { kServe, kCheck, kExplain, kPeers, kReplica, kExit };
-  What what = What::kServe;
-  int exit_code = 0;          // of kExit: help was asked for, or the arguments are wrong
+  enum class Action { kServe, kCheck, kExplain, kPeers, kReplica, kExit };
+  Action action = Action::kServe;
+  int exit_code = 0;          // for kExit: help was requested, or the arguments are invalid
   std::string operator_file;  // empty: none
-  std::string plugin_worker;  // the program that plug-ins run in; beside this one unless given
+  std::string plugin_worker;  // path of the plug-in worker executable; see DefaultPluginWorker
   std::string config_file;
   std::string request_class, tenant, path;
   std::vector<std::string> headers;  // "Name=value"
-  std::string door;                  // of the proxy that is asked for its peers
+  std::string address;               // management address of the proxy to query, for peers and replica
   bool json = false, watch = false;
-  std::string replica = "show", other_door;  // what is asked of what it shares
+  std::string replica = "show";  // operation of replica: show, digest or diff
+  std::string other_address;     // the second proxy, for diff
 };
 
-// What is said about the arguments goes to standard output or error.
+// Prints help to standard output and errors to standard error.
 Command ParseArguments(int argc, char** argv);
 
-// Exit codes: 0; 1 for a file that is refused, or a request that cannot be.
+// Return the exit code: 0, or 1 if a file is rejected or the request is invalid.
 int Check(const Command& command, std::ostream& out, std::ostream& err);
 int Explain(const Command& command, std::ostream& out, std::ostream& err);
 
--- a/src/app/door_call.cpp
+++ b/src/app/door_call.cpp
@@ -16,50 +16,50 @@
 namespace asio = boost::asio;
 using Error = boost::system::error_code;
 
-constexpr std::chrono::seconds kPatience{3};
-constexpr std::size_t kMostAnswer = 4 << 20;  // 4,096 members take a megabyte
+constexpr std::chrono::seconds kAnswerTimeout{3};  // connection, command and answer together
+constexpr std::size_t kMaxAnswerBytes = 4 << 20;   // a report of 4,096 members takes 1 MB
 
-// All that the door says to one call; nothing if nobody answers in time.
-std::optional<std::string> Ask(const asio::ip::tcp::endpoint& door, const std::string& call) {
+// The complete answer to one command; nothing if it does not arrive within kAnswerTimeout.
+std::optional<std::string> Ask(const asio::ip::tcp::endpoint& endpoint, const std::string& line) {
   asio::io_context io;
   asio::ip::tcp::socket socket(io);
   std::string answer;
-  bool over = false;
-  socket.async_connect(door, [&](const Error& failed) {
+  bool complete = false;
+  socket.async_connect(endpoint, [&](const Error& failed) {
     if (failed) return;
-    asio::async_write(socket, asio::buffer(call), [&](const Error& lost, std::size_t) {
+    asio::async_write(socket, asio::buffer(line), [&](const Error& lost, std::size_t) {
       if (lost) return;
-      asio::async_read(socket, asio::dynamic_buffer(answer, kMostAnswer),
-                       [&](const Error& end, std::size_t) { over = end == asio::error::eof; });
+      asio::async_read(socket, asio::dynamic_buffer(answer, kMaxAnswerBytes),
+                       [&](const Error& end, std::size_t) { complete = end == asio::error::eof; });
     });
   });
-  io.run_for(kPatience);
-  return over ? std::optional(std::move(answer)) : std::nullopt;
+  io.run_for(kAnswerTimeout);
+  return complete ? std::optional(std::move(answer)) : std::nullopt;
 }
 
 }  // namespace
 
-std::optional<nlohmann::json> AskForReport(const std::string& door, const std::string& what,
-                                           std::ostream& err, int* code) {
-  const auto at = kestrelline::proxy::ParseEndpoint(door);
-  if (!at) {
-    err << "'" << door << "' is no address: 127.0.0.1:9000 is accepted\n";
-    return *code = kNoAddress, std::nullopt;
+std::optional<nlohmann::json> FetchReport(const std::string& address, const std::string& command,
+                                          std::ostream& err, int* exit_code) {
+  const auto endpoint = kestrelline::proxy::ParseEndpoint(address);
+  if (!endpoint) {
+    err << "'" << address << "' is not an address such as 127.0.0.1:9000\n";
+    return *exit_code = kInvalidAddress, std::nullopt;
   }
-  const auto answer = Ask(*at, what + "\n");
-  *code = kNobodyAnswers;
+  const auto answer = Ask(*endpoint, command + "\n");
+  *exit_code = kUnreachable;
   if (!answer) {
-    err << door << ": nobody answers\n";
+    err << address << ": no answer\n";
     return std::nullopt;
   }
-  if (answer->starts_with("NAK " + what)) {
-    err << door << ": [" << what << "] is off: its operator's file has no such section\n";
-    return *code = kOff, std::nullopt;
+  if (answer->starts_with("NAK " + command)) {
+    err << address << ": [" << command << "] is disabled: the proxy's operator file has no such section\n";
+    return *exit_code = kDisabled, std::nullopt;
   }
   auto report = answer->starts_with("ACK ") ? nlohmann::json::parse(answer->substr(4), nullptr, false)
                                             : nlohmann::json();
   if (!report.is_object()) {
-    err << door << ": what answers there is no door of a proxy\n";
+    err << address << ": not the management address of a proxy\n";
     return std::nullopt;
   }
   return report;
--- a/src/app/door_call.h
+++ b/src/app/door_call.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One call at the door of a proxy that runs, for the commands that ask it something.
+// Client of a running proxy's management endpoint, for the subcommands that query it.
 #ifndef KESTRELLINE_APP_DOOR_CALL_H_
 #define KESTRELLINE_APP_DOOR_CALL_H_
 
@@ -11,13 +11,15 @@
 
 namespace kestrelline::app {
 
-// Exit codes of such commands.
-inline constexpr int kNobodyAnswers = 1, kNoAddress = 2, kOff = 3;
+// Exit codes of these subcommands.
+inline constexpr int kUnreachable = 1;  // no answer in time, or one that is not a proxy's
+inline constexpr int kInvalidAddress = 2;
+inline constexpr int kDisabled = 3;  // the proxy runs without the feature that is asked about
 
-// The whole of what a report says to one call; nothing, and why in `err`, with the exit code in `*code`.
-// `what` is what may be off there: "peers".
-std::optional<nlohmann::json> AskForReport(const std::string& door, const std::string& what,
-                                           std::ostream& err, int* code);
+// Sends the command `command`, such as "peers", to `address` and returns the JSON object in its answer. On
+// failure returns nothing, writes the reason to `err` and sets `*exit_code`.
+std::optional<nlohmann::json> FetchReport(const std::string& address, const std::string& command,
+                                          std::ostream& err, int* exit_code);
 
 }  // namespace kestrelline::app
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Starts the proxy, or does what the command line asks for instead.
+// The program: runs the proxy or one of the subcommands.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -27,7 +27,7 @@
 
 namespace {
 
-// A fault in one handler costs what that handler was about, not the proxy.
+// An exception in one handler must not end the proxy: it is logged and the loop goes on.
 void Run(boost::asio::io_context& io) {
   for (;;) {
     try {
@@ -44,55 +44,56 @@
 namespace app = kestrelline::app;
 namespace plugin = kestrelline::plugin;
 
-void Say(const kestrelline::operator_file::Diagnostics& diagnostics) {
+void Log(const kestrelline::operator_file::Diagnostics& diagnostics) {
   for (const std::string& line : diagnostics.Lines()) std::fprintf(stderr, "%s\n", line.c_str());
 }
 
-// What SIGHUP does: both files and all plug-ins are taken over, or none of them.
-class Reloads {
+// Reloads on SIGHUP: applies both configuration files and all plug-ins, or none of them.
+class ReloadHandler {
  public:
-  // `signals`: SIGHUP, caught for so long that none is missed. `peers`: null for none.
-  Reloads(boost::asio::signal_set& signals, kestrelline::proxy::Proxy& proxy, plugin::Host& host,
-          kestrelline::peers::Link* peers, std::string file)
+  // `signals`: SIGHUP, registered before the configuration is loaded so that no signal is missed.
+  // `peers`: null if peers are disabled. `file`: the operator's file; empty: none.
+  ReloadHandler(boost::asio::signal_set& signals, kestrelline::proxy::Proxy& proxy, plugin::Host& host,
+                kestrelline::peers::Link* peers, std::string file)
       : signals_(signals), proxy_(proxy), host_(host), peers_(peers), file_(std::move(file)) {
-    Await();
+    AwaitSignal();
   }
 
  private:
-  void Await() {
+  void AwaitSignal() {
     signals_.async_wait([this](const boost::system::error_code& failed, int) {
       if (failed) return;
-      Await();
+      AwaitSignal();
       try {
-        Begin(kestrelline::proxy::ReloadConfig(Environment));
+        Load(kestrelline::proxy::ReloadConfig(Environment));
       } catch (const kestrelline::proxy::BadConfig& error) {
-        OldOneStays(error.what());
+        LogRejected(error.what());
       }
     });
   }
 
-  void Begin(const kestrelline::proxy::Config& config) {
+  void Load(const kestrelline::proxy::Config& config) {
     if (file_.empty()) return proxy_.Reload(config);
     kestrelline::operator_file::Diagnostics diagnostics(file_);
     const auto loaded = app::LoadOperatorFile(file_, proxy_.config(), app::Keep::kOutcome, &diagnostics);
-    Say(diagnostics);
-    if (!loaded) return OldOneStays("the operator's file is refused");
-    // Meanwhile the old one serves. A reload that comes before this one is done takes its place, also one
-    // that has no plug-in to wait for.
+    Log(diagnostics);
+    if (!loaded) return LogRejected("the operator's file is rejected");
+    // The old configuration stays in use while the plug-ins load. A later reload supersedes this one if it is
+    // not complete, also if the later one has no plug-ins to load.
     host_.Load(loaded->plugins, [this, config, loaded = *loaded](auto tagger, const auto& problems) {
-      kestrelline::operator_file::Diagnostics found(file_);
-      app::Report(problems, &found);
-      Say(found);
-      if (!tagger) return OldOneStays("the operator's file is refused");
-      TakeOver(config, loaded, std::move(tagger));
+      kestrelline::operator_file::Diagnostics plugin_diagnostics(file_);
+      app::Report(problems, &plugin_diagnostics);
+      Log(plugin_diagnostics);
+      if (!tagger) return LogRejected("the operator's file is rejected");
+      Apply(config, loaded, std::move(tagger));
     });
   }
 
-  void TakeOver(const kestrelline::proxy::Config& config, const app::OperatorConfig& loaded,
-                std::shared_ptr<plugin::Tagger> tagger) {
+  void Apply(const kestrelline::proxy::Config& config, const app::OperatorConfig& loaded,
+             std::shared_ptr<plugin::Tagger> tagger) {
     proxy_.Reload(config);
     const std::size_t plugins = loaded.plugins->plugins().size();
-    // The keys are taken over; the rest of [peers] holds from the next start on.
+    // Of [peers], a reload applies only the keys; the rest takes effect at the next start.
     if (peers_ && loaded.peers) peers_->SetKeys(loaded.peers->keys);
     proxy_.SetRoutes(loaded.routes, plugins > 0 ? std::move(tagger) : nullptr);
     std::fprintf(stderr, "kestrelline: %s: %zu routes%s hold from now on\n", file_.c_str(),
@@ -100,7 +101,7 @@
                  plugins > 0 ? (" and " + std::to_string(plugins) + " plug-ins").c_str() : "");
   }
 
-  static void OldOneStays(const char* why) {
+  static void LogRejected(const char* why) {
     std::fprintf(stderr, "kestrelline: the old configuration stays: %s\n", why);
   }
 
@@ -111,79 +112,83 @@
   std::string file_;
 };
 
-// What it has of the other proxies.
-struct Fleet {
-  std::unique_ptr<kestrelline::peers::Link> peers;      // null: it knows of none
-  std::unique_ptr<kestrelline::replica::Link> replica;  // null: nothing is shared
+// The links to the other proxies.
+struct PeerLinks {
+  std::unique_ptr<kestrelline::peers::Link> peers;      // null: peers are disabled
+  std::unique_ptr<kestrelline::replica::Link> replica;  // null: replication is disabled
   std::unique_ptr<kestrelline::replica::Claims> claims;
-  std::unique_ptr<kestrelline::concert::Link> concert;  // null: what all have is divided as configured
-  std::unique_ptr<kestrelline::concert::PartitionLink> partition;  // null: classes are served as ever
+  std::unique_ptr<kestrelline::concert::Link> concert;  // null: shared limits are divided as configured
+  std::unique_ptr<kestrelline::concert::PartitionLink> partition;  // null: class limits are as configured
 };
 
-Fleet JoinPeers(boost::asio::io_context& io, kestrelline::proxy::Proxy& proxy,
-                const app::OperatorConfig& loaded) {
-  const auto& shared = loaded.replica;
-  const auto& divided = loaded.concert;
+PeerLinks JoinPeers(boost::asio::io_context& io, kestrelline::proxy::Proxy& proxy,
+                    const app::OperatorConfig& loaded) {
+  const auto& replica_settings = loaded.replica;
+  const auto& concert_settings = loaded.concert;
   using kestrelline::peers::Link;
   const auto& config = proxy.config();
   const auto zone = static_cast<std::size_t>(config.settings.zone);
   Link::Who who{config.name, zone < config.zones.size() ? config.zones[zone] : "", KESTRELLINE_VERSION,
                 config.seed,
                 /*may_wait=*/config.inherited_listener >= 0};
-  const auto say = [](const std::string& line) { std::fprintf(stderr, "kestrelline: %s\n", line.c_str()); };
-  Fleet fleet;
-  fleet.peers = std::make_unique<Link>(io, *loaded.peers, std::move(who), say);
-  Link* l = fleet.peers.get();
-  kestrelline::proxy::Proxy::Peers hooks{[l] { return l->Report(); },
-                                         [l] { return l->FiguresText(); },
+  const auto log = [](const std::string& line) { std::fprintf(stderr, "kestrelline: %s\n", line.c_str()); };
+  PeerLinks links;
+  links.peers = std::make_unique<Link>(io, *loaded.peers, std::move(who), log);
+  Link* link = links.peers.get();
+  kestrelline::proxy::Proxy::Peers hooks{[link] { return link->Report(); },
+                                         [link] { return link->FiguresText(); },
                                          {},
-                                         [l] { l->Leave(); },
-                                         [l] { l->Stay(); },
-                                         [l] { l->Gone(); },
-                                         [l] { l->HandOver(); },
+                                         [link] { link->Leave(); },
+                                         [link] { link->Stay(); },
+                                         [link] { link->Gone(); },
+                                         [link] { link->HandOver(); },
                                          [](const auto& done) { done(); }};
-  if (shared) {
-    fleet.replica = std::make_unique<kestrelline::replica::Link>(io, *l, *shared, say);
-    fleet.claims = std::make_unique<kestrelline::replica::Claims>(*fleet.replica, *shared, config.zones);
-    auto* r = fleet.replica.get();
-    auto* c = fleet.claims.get();
-    proxy.SetClaims(c);
-    hooks.replica = [r] { return r->Report(); };
-    hooks.figures = [l, r, c] { return l->FiguresText() + r->FiguresText(c->counts()); };
-    hooks.leave = [l, r] { r->Leave(), l->Leave(); };
-    hooks.hand_over = [l, r] { r->Leave(), l->HandOver(), r->HandOver(); };
-    hooks.when_held_elsewhere = [r](auto done) { r->WhenHeldElsewhere(std::move(done)); };
-    if (config.await_copies) r->WhenCurrent(shared->ready_within, [&proxy] { proxy.OnCopies(); });
+  if (replica_settings) {
+    links.replica = std::make_unique<kestrelline::replica::Link>(io, *link, *replica_settings, log);
+    links.claims =
+        std::make_unique<kestrelline::replica::Claims>(*links.replica, *replica_settings, config.zones);
+    auto* replica = links.replica.get();
+    auto* claims = links.claims.get();
+    proxy.SetClaims(claims);
+    hooks.replica = [replica] { return replica->Report(); };
+    hooks.figures = [link, replica, claims] {
+      return link->FiguresText() + replica->FiguresText(claims->counts());
+    };
+    hooks.leave = [link, replica] { replica->Leave(), link->Leave(); };
+    hooks.hand_over = [link, replica] { replica->Leave(), link->HandOver(), replica->HandOver(); };
+    hooks.when_held_elsewhere = [replica](auto done) { replica->WhenHeldElsewhere(std::move(done)); };
+    if (config.await_copies)
+      replica->WhenCurrent(replica_settings->ready_within, [&proxy] { proxy.OnCopies(); });
   }
-  if (divided) {
+  if (concert_settings) {
     const kestrelline::concert::Link::Who place{config.settings.me, config.settings.balancers, config.seed};
-    fleet.concert = std::make_unique<kestrelline::concert::Link>(
-        io, *l, *divided, place,
+    links.concert = std::make_unique<kestrelline::concert::Link>(
+        io, *link, *concert_settings, place,
         kestrelline::concert::Link::Hooks{
             [&proxy] { return proxy.requests(); },
-            [&proxy](const auto& s) { proxy.OnShare(s.share, s.until, s.after); }, say});
-    auto* c = fleet.concert.get();
-    hooks.figures = [before = hooks.figures, c] { return before() + c->FiguresText(); };
-    hooks.hand_over = [before = hooks.hand_over, c] { c->HandOver(), before(); };
+            [&proxy](const auto& share) { proxy.OnShare(share.share, share.until, share.after); }, log});
+    auto* concert = links.concert.get();
+    hooks.figures = [before = hooks.figures, concert] { return before() + concert->FiguresText(); };
+    hooks.hand_over = [before = hooks.hand_over, concert] { concert->HandOver(), before(); };
   }
   if (!loaded.partition.empty()) {
-    fleet.partition = std::make_unique<kestrelline::concert::PartitionLink>(
-        *l, config.settings.balancers, loaded.partition, config.classes,
+    links.partition = std::make_unique<kestrelline::concert::PartitionLink>(
+        *link, config.settings.balancers, loaded.partition, config.classes,
         kestrelline::concert::PartitionLink::Hooks{
-            [&proxy](int request_class, double per_s) { proxy.OnClassLimit(request_class, per_s); }, say});
-    auto* p = fleet.partition.get();
-    hooks.figures = [before = hooks.figures, p] { return before() + p->FiguresText(); };
+            [&proxy](int request_class, double per_s) { proxy.OnClassLimit(request_class, per_s); }, log});
+    auto* partition = links.partition.get();
+    hooks.figures = [before = hooks.figures, partition] { return before() + partition->FiguresText(); };
   }
   proxy.SetPeers(std::move(hooks));
-  return fleet;
+  return links;
 }
 
 int Serve(const app::Command& command) {
   try {
     boost::asio::io_context io(1);
-    // Caught from before the configuration is read: one that is ready must not die of a signal, and a reload
-    // that comes while it starts holds too.
-    boost::asio::signal_set ends(io, SIGTERM, SIGINT), reload(io, SIGHUP);
+    // Signals are handled from before the configuration is read: a proxy that is ready must not be killed by
+    // one, and a reload that is requested during startup must take effect.
+    boost::asio::signal_set stop_signals(io, SIGTERM, SIGINT), reload_signals(io, SIGHUP);
     auto config = kestrelline::proxy::LoadConfig(Environment);
     plugin::Host host(io, {command.plugin_worker, [](const std::string& line) {
                              std::fprintf(stderr, "kestrelline: %s\n", line.c_str());
@@ -198,20 +203,21 @@
         tagger = app::LoadAndWait(io, host, *loaded, &diagnostics);
         config.sockets -= static_cast<int>(loaded->plugins->plugins().size() * plugin::kDescriptorsEach);
       }
-      Say(diagnostics);
+      Log(diagnostics);
       if (!diagnostics.ok()) return 1;
       routes = loaded->routes;
-      // One that takes over from another process gets what that one holds, once it is ready.
+      // A process that takes over from another does not wait here: it receives its predecessor's data once it
+      // is ready.
       config.await_copies =
           loaded->replica && loaded->replica->ready_within.count() > 0 && config.inherited_listener < 0;
       if (loaded->peers) config.sockets -= kestrelline::peers::Link::kDescriptors;
     }
     kestrelline::proxy::Proxy proxy(io, std::move(config), std::move(routes), std::move(tagger));
-    const Fleet fleet = loaded && loaded->peers ? JoinPeers(io, proxy, *loaded) : Fleet();
-    ends.async_wait([&](const boost::system::error_code& failed, int) {
+    const PeerLinks links = loaded && loaded->peers ? JoinPeers(io, proxy, *loaded) : PeerLinks();
+    stop_signals.async_wait([&](const boost::system::error_code& failed, int) {
       if (!failed) proxy.Stop([&] { io.stop(); });
     });
-    const Reloads reloads(reload, proxy, host, fleet.peers.get(), command.operator_file);
+    const ReloadHandler reload_handler(reload_signals, proxy, host, links.peers.get(), command.operator_file);
     Run(io);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "kestrelline: %s\n", error.what());
@@ -226,18 +232,18 @@
   std::setvbuf(stderr, nullptr, _IOLBF, 0);
   using kestrelline::app::Command;
   const Command command = kestrelline::app::ParseArguments(argc, argv);
-  switch (command.what) {
-    case Command::What::kServe:
+  switch (command.action) {
+    case Command::Action::kServe:
       return Serve(command);
-    case Command::What::kCheck:
+    case Command::Action::kCheck:
       return kestrelline::app::Check(command, std::cout, std::cerr);
-    case Command::What::kExplain:
+    case Command::Action::kExplain:
       return kestrelline::app::Explain(command, std::cout, std::cerr);
-    case Command::What::kPeers:
+    case Command::Action::kPeers:
       return kestrelline::app::ShowPeers(command, std::cout, std::cerr);
-    case Command::What::kReplica:
+    case Command::Action::kReplica:
       return kestrelline::app::ShowReplica(command, std::cout, std::cerr);
-    case Command::What::kExit:
+    case Command::Action::kExit:
       break;
   }
   return command.exit_code;
--- a/src/app/operator_config.cpp
+++ b/src/app/operator_config.cpp
@@ -15,7 +15,7 @@
 
 using operator_file::Section;
 
-// The one table of sections.
+// All sections of the file. Each stores what it reads into the given spec.
 std::vector<Section> AllSections(routing::Spec* routes, plugin::Spec* plugins, peers::Spec* peers,
                                  replica::Spec* replica, concert::Spec* concert,
                                  concert::PartitionSpec* partition) {
@@ -29,17 +29,18 @@
   return all;
 }
 
-// The first place at which `claim` is said outside of [replica].
-std::optional<operator_file::Position> ClaimedAt(const routing::Spec& spec) {
+// The first position of the key `claim` outside [replica].
+std::optional<operator_file::Position> FirstClaimPosition(const routing::Spec& spec) {
   if (spec.defaults.claim) return spec.defaults.claim->at;
-  for (const auto& c : spec.classes)
-    if (c.limits.claim) return c.limits.claim->at;
-  for (const auto& r : spec.routes)
-    if (r.limits.claim) return r.limits.claim->at;
+  for (const auto& request_class : spec.classes)
+    if (request_class.limits.claim) return request_class.limits.claim->at;
+  for (const auto& route : spec.routes)
+    if (route.limits.claim) return route.limits.claim->at;
   return std::nullopt;
 }
 
-// A script, by a path that is taken from the folder of the operator's file.
+// Reads a plug-in script. A relative `file` is resolved against `folder`, that of the operator's file. On
+// failure sets `*why`.
 std::optional<std::string> ReadScript(const std::string& folder, const std::string& file, std::string* why) {
   operator_file::Diagnostics diagnostics(file);
   auto text = operator_file::ReadWhole((std::filesystem::path(folder) / file).string(),
@@ -67,18 +68,18 @@
   config.site = SiteOf(platform);
   operator_file::ReadDocument(
       text, AllSections(&config.spec, &plugins, &peers, &replica, &concert, &partition), diagnostics);
-  // What could be read is judged too, so that one run tells of everything; what could not is not guessed at.
+  // Sections that could be read are validated even if others could not, so that one run reports all errors.
   config.routes = routing::RouteTable::Build(config.spec, config.site, diagnostics);
   if (config.routes) {
-    const auto read = [&](const std::string& file, std::string* why) {
+    const auto read_script = [&](const std::string& file, std::string* why) {
       return ReadScript(folder, file, why);
     };
     config.plugins = plugin::PluginTable::Build(
-        plugins, {*config.routes, config.site, platform.memory_mb, read}, diagnostics);
+        plugins, {*config.routes, config.site, platform.memory_mb, read_script}, diagnostics);
   }
   config.peers = peers::Build(peers, {platform.peers_allowed, platform.name, folder}, diagnostics);
   config.replica = replica::Build(
-      replica, {config.peers.has_value(), ClaimedAt(config.spec), platform.memory_mb}, diagnostics);
+      replica, {config.peers.has_value(), FirstClaimPosition(config.spec), platform.memory_mb}, diagnostics);
   config.concert =
       concert::Build(concert, {config.peers.has_value(), platform.settings.balancers}, diagnostics);
   config.partition = concert::Build(
--- a/src/app/operator_config.h
+++ b/src/app/operator_config.h
@@ -1,8 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// All that an operator's file brings, checked against one configuration of the platform: whole or not at all.
+// The content of an operator's file, validated against the platform configuration. A file is accepted as a
+// whole or not at all.
 //
-// A package that adds a section adds it to the table in operator_config.cpp and its outcome here.
+// A module that adds a section to the file registers it in AllSections (operator_config.cpp) and adds its
+// settings to OperatorConfig.
 #ifndef KESTRELLINE_APP_OPERATOR_CONFIG_H_
 #define KESTRELLINE_APP_OPERATOR_CONFIG_H_
 
@@ -25,21 +27,23 @@
 
 struct OperatorConfig {
   std::shared_ptr<const routing::RouteTable> routes;
-  std::shared_ptr<const plugin::PluginTable> plugins;  // checked as far as can be told without running them
-  std::optional<peers::Settings> peers;                // nothing: off
-  std::optional<replica::Settings> replica;            // the same
-  std::optional<concert::Settings> concert;            // the same
-  std::vector<concert::ClassPartition> partition;      // empty: off
-  routing::Spec spec;  // as worded, for those who explain it; empty unless kept
+  std::shared_ptr<const plugin::PluginTable> plugins;  // validated, but not loaded
+  std::optional<peers::Settings> peers;                // nullopt: disabled
+  std::optional<replica::Settings> replica;            // nullopt: disabled
+  std::optional<concert::Settings> concert;            // nullopt: disabled
+  std::vector<concert::ClassPartition> partition;      // empty: disabled
+  routing::Spec spec;  // as written in the file, for explain; empty unless Keep::kSpec
   routing::Site site;
 };
 
-enum class Keep { kOutcome, kWording };
+// Whether OperatorConfig keeps the parsed routes (`spec`) beside the compiled ones.
+enum class Keep { kOutcome, kSpec };
 
+// The part of the platform configuration that routes are validated against.
 routing::Site SiteOf(const kestrelline::proxy::Config& platform);
 
-// Nothing, and every reason in `diagnostics`, unless all of it is right.
-// `folder`: where the files that it names are looked for.
+// Returns nothing and adds every error to `diagnostics` if any part of the file is invalid.
+// `folder`: base of the relative paths in the file.
 std::optional<OperatorConfig> ParseOperatorFile(std::string_view text,
                                                 const kestrelline::proxy::Config& platform, Keep keep,
                                                 operator_file::Diagnostics* diagnostics,
--- a/src/app/peers_command.cpp
+++ b/src/app/peers_command.cpp
@@ -17,13 +17,13 @@
 
 using nlohmann::json;
 
-constexpr std::chrono::milliseconds kLookEvery{500};
+constexpr std::chrono::milliseconds kWatchInterval{500};  // of --watch
 
 void Print(const json& view, std::ostream& out) {
   std::vector<std::array<std::string, 6>> rows{{"name", "state", "address", "zone", "incarnation", "boot"}};
-  for (const json& m : view.at("members"))
-    rows.push_back({m.at("name"), m.at("state"), m.at("address"), m.at("zone"),
-                    std::to_string(m.at("incarnation").get<std::uint64_t>()), m.at("boot")});
+  for (const json& member : view.at("members"))
+    rows.push_back({member.at("name"), member.at("state"), member.at("address"), member.at("zone"),
+                    std::to_string(member.at("incarnation").get<std::uint64_t>()), member.at("boot")});
   std::array<std::size_t, 6> widths{};
   for (const auto& row : rows)
     for (std::size_t i = 0; i < row.size(); ++i) widths[i] = std::max(widths[i], row[i].size());
@@ -44,9 +44,9 @@
 int ShowPeers(const Command& command, std::ostream& out, std::ostream& err) {
   json last;
   for (;;) {
-    int code = 0;
-    const auto view = AskForReport(command.door, "peers", err, &code);
-    if (!view) return code;
+    int exit_code = 0;
+    const auto view = FetchReport(command.address, "peers", err, &exit_code);
+    if (!view) return exit_code;
     try {
       if (command.json) {
         if (view->at("members").is_array()) out << view->dump() << '\n';
@@ -54,12 +54,12 @@
       }
       if (*view != last) Print(*view, out);
     } catch (const json::exception&) {
-      err << command.door << ": what answers there is no door of a proxy\n";
-      return kNobodyAnswers;
+      err << command.address << ": not the management address of a proxy\n";
+      return kUnreachable;
     }
     if (!command.watch) return 0;
     last = *view;
-    std::this_thread::sleep_for(kLookEvery);
+    std::this_thread::sleep_for(kWatchInterval);
   }
 }
 
--- a/src/app/peers_command.h
+++ b/src/app/peers_command.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// kestrelline peers: asks a proxy that runs, at its door, what it knows of the others.
+// kestrelline peers: shows a running proxy's view of its peers, read from its management endpoint.
 #ifndef KESTRELLINE_APP_PEERS_COMMAND_H_
 #define KESTRELLINE_APP_PEERS_COMMAND_H_
 
@@ -10,8 +10,7 @@
 
 namespace kestrelline::app {
 
-// Exit codes: 0; 1 if nobody answers or what answers is no proxy; 2 for an address that is none; 3 if that
-// proxy's peers are off.
+// Returns the exit code: 0, or one of those in door_call.h.
 int ShowPeers(const Command& command, std::ostream& out, std::ostream& err);
 
 }  // namespace kestrelline::app
--- a/src/app/plugins.cpp
+++ b/src/app/plugins.cpp
@@ -8,8 +8,8 @@
 
 std::string DefaultPluginWorker() {
   std::error_code failed;
-  const auto self = std::filesystem::read_symlink("/proc/self/exe", failed);
-  return (failed ? std::filesystem::path() : self.parent_path() / "kestrelline-plugin-worker").string();
+  const auto executable = std::filesystem::read_symlink("/proc/self/exe", failed);
+  return (failed ? std::filesystem::path() : executable.parent_path() / "kestrelline-plugin-worker").string();
 }
 
 void Report(const std::vector<plugin::Host::Problem>& problems, operator_file::Diagnostics* diagnostics) {
@@ -20,13 +20,13 @@
                                             const OperatorConfig& config,
                                             operator_file::Diagnostics* diagnostics) {
   std::shared_ptr<plugin::Tagger> tagger;
-  bool over = false;
+  bool finished = false;
   host.Load(config.plugins, [&](std::shared_ptr<plugin::Tagger> loaded, const auto& problems) {
     tagger = std::move(loaded);
     Report(problems, diagnostics);
-    over = true;
+    finished = true;
   });
-  while (!over) io.run_one();
+  while (!finished) io.run_one();
   io.restart();
   return tagger;
 }
--- a/src/app/plugins.h
+++ b/src/app/plugins.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Plug-ins of an operator's file, brought up: a file counts as accepted only once all of them have loaded.
+// Loads the plug-ins of an operator's file. The file is accepted only if all of them load.
 #ifndef KESTRELLINE_APP_PLUGINS_H_
 #define KESTRELLINE_APP_PLUGINS_H_
 
@@ -16,17 +16,18 @@
 
 namespace kestrelline::app {
 
-// Beside the program that runs.
+// Path of kestrelline-plugin-worker in the directory of the running program.
 std::string DefaultPluginWorker();
 
-// Adds what did not load to `diagnostics`.
+// Adds each plug-in that failed to load to `diagnostics`.
 void Report(const std::vector<plugin::Host::Problem>& problems, operator_file::Diagnostics* diagnostics);
 
-// Loads the plug-ins of a file and ends them again. True if all load.
+// Loads the plug-ins of a file in workers that end with this call. True if all of them load.
 bool TryPlugins(const OperatorConfig& config, const std::string& worker,
                 operator_file::Diagnostics* diagnostics);
 
-// Runs `io` until they are loaded, before there is anything to serve. Null, and why, if one is not.
+// Runs `io` until the plug-ins are loaded; for use at startup, before anything is served on `io`. Returns
+// null and adds the errors to `diagnostics` if one of them fails to load.
 std::shared_ptr<plugin::Tagger> LoadAndWait(boost::asio::io_context& io, plugin::Host& host,
                                             const OperatorConfig& config,
                                             operator_file::Diagnostics* diagnostics);
--- a/src/app/replica_command.cpp
+++ b/src/app/replica_command.cpp
@@ -13,80 +13,84 @@
 
 using nlohmann::json;
 
-constexpr int kDiffer = 4, kNotNow = 5;
+constexpr int kReplicasDiffer = 4, kNotComparable = 5;  // exit codes of `diff`
 
 void Show(const json& report, std::ostream& out) {
-  out << report.at("name").get<std::string>() << ": " << (report.at("current") ? "current" : "catches up")
+  out << report.at("name").get<std::string>() << ": " << (report.at("current") ? "current" : "catching up")
       << ", " << report.at("entries") << " entries\n";
-  for (const json& o : report.at("origins"))
-    out << "  by " << (o.at("owner") == "" ? "one that is gone" : o.at("owner").get<std::string>()) << " ("
-        << o.at("origin").get<std::string>() << "): " << o.at("entries") << " entries, known up to number "
-        << o.at("upto") << '\n';
-  for (const json& p : report.at("peers"))
-    out << "  " << p.at("name").get<std::string>() << ": "
-        << (!p.at("present").get<bool>()  ? "is away"
-            : p.at("current").get<bool>() ? "current"
-                                          : "catches up")
-        << ", lacked " << p.at("behind") << " entries of this one when it last said\n";
+  for (const json& origin : report.at("origins"))
+    out << "  by "
+        << (origin.at("owner") == "" ? "a proxy that has left" : origin.at("owner").get<std::string>())
+        << " (" << origin.at("origin").get<std::string>() << "): " << origin.at("entries")
+        << " entries, complete up to number " << origin.at("upto") << '\n';
+  for (const json& peer : report.at("peers"))
+    out << "  " << peer.at("name").get<std::string>() << ": "
+        << (!peer.at("present").get<bool>()  ? "unreachable"
+            : peer.at("current").get<bool>() ? "current"
+                                             : "catching up")
+        << ", was missing " << peer.at("behind") << " entries of this proxy at its last report\n";
 }
 
-// The same at any two that look within seconds of each other, where copies agree.
+// One line per origin that has entries. Two proxies queried within seconds of each other print the same if
+// their replicas agree.
 std::string Digest(const json& report) {
   std::map<std::string, std::string> digests;
-  for (const json& o : report.at("origins"))
-    if (o.at("digest") != "0000000000000000")
-      digests[o.at("origin")] = o.at("as_of_ms").dump() + "/" + o.at("digest").get<std::string>();
-  std::string all;
-  for (const auto& [origin, digest] : digests) all += origin + " " + digest + "\n";
-  return all;
+  for (const json& origin : report.at("origins"))
+    if (origin.at("digest") != "0000000000000000")
+      digests[origin.at("origin")] =
+          origin.at("as_of_ms").dump() + "/" + origin.at("digest").get<std::string>();
+  std::string text;
+  for (const auto& [origin, digest] : digests) text += origin + " " + digest + "\n";
+  return text;
 }
 
-int Diff(const json& a, const json& b, std::ostream& out) {
+int Diff(const json& first, const json& second, std::ostream& out) {
   std::map<std::string, std::pair<const json*, const json*>> origins;
-  for (const json& o : a.at("origins")) origins[o.at("origin")].first = &o;
-  for (const json& o : b.at("origins")) origins[o.at("origin")].second = &o;
-  const std::string one = a.at("name"), other = b.at("name");
-  int code = 0;
+  for (const json& origin : first.at("origins")) origins[origin.at("origin")].first = &origin;
+  for (const json& origin : second.at("origins")) origins[origin.at("origin")].second = &origin;
+  const std::string first_name = first.at("name"), second_name = second.at("name");
+  int exit_code = 0;
   for (const auto& [origin, sides] : origins) {
-    const auto& [x, y] = sides;
-    if (!x || !y) {
-      const json& has = x ? *x : *y;
-      if (has.at("entries") == 0) continue;
-      out << origin << ": " << has.at("entries") << " entries at " << (x ? one : other) << " alone\n";
-      code = kDiffer;
-    } else if (x->at("as_of_ms") != y->at("as_of_ms")) {
-      if (code == 0) code = kNotNow;
-      out << origin << ": a moment's limit lies between the two looks: again\n";
-    } else if (x->at("digest") != y->at("digest")) {
-      out << origin << ": differs; known up to number " << x->at("upto") << " at " << one << ", "
-          << y->at("upto") << " at " << other << '\n';
-      code = kDiffer;
+    const auto& [left, right] = sides;
+    if (!left || !right) {
+      const json& present = left ? *left : *right;
+      if (present.at("entries") == 0) continue;
+      out << origin << ": " << present.at("entries") << " entries, only at "
+          << (left ? first_name : second_name) << '\n';
+      exit_code = kReplicasDiffer;
+    } else if (left->at("as_of_ms") != right->at("as_of_ms")) {
+      if (exit_code == 0) exit_code = kNotComparable;
+      out << origin << ": the two reports are of different times; run the command again\n";
+    } else if (left->at("digest") != right->at("digest")) {
+      out << origin << ": differs; complete up to number " << left->at("upto") << " at " << first_name << ", "
+          << right->at("upto") << " at " << second_name << '\n';
+      exit_code = kReplicasDiffer;
     }
   }
-  if (code == 0) out << one << " and " << other << " agree\n";
-  return code;
+  if (exit_code == 0) out << first_name << " and " << second_name << " agree\n";
+  return exit_code;
 }
 
 }  // namespace
 
 int ShowReplica(const Command& command, std::ostream& out, std::ostream& err) {
-  int code = 0;
-  const auto report = AskForReport(command.door, "replica", err, &code);
-  if (!report) return code;
+  int exit_code = 0;
+  const auto report = FetchReport(command.address, "replica", err, &exit_code);
+  if (!report) return exit_code;
   try {
     if (command.json) {
       out << report->dump() << '\n';
     } else if (command.replica == "digest") {
       out << Digest(*report);
     } else if (command.replica == "diff") {
-      const auto other = AskForReport(command.other_door, "replica", err, &code);
-      return other ? Diff(*report, *other, out) : code;
+      const auto other = FetchReport(command.other_address, "replica", err, &exit_code);
+      return other ? Diff(*report, *other, out) : exit_code;
     } else {
       Show(*report, out);
     }
   } catch (const json::exception&) {
-    err << command.door << ": what answers there is no door of a proxy\n";
-    return kNobodyAnswers;
+    err << command.address << ": not the management address of a proxy\n";
+    return kUnreachable;
   }
   return 0;
 }
--- a/src/app/replica_command.h
+++ b/src/app/replica_command.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// kestrelline replica: what a proxy that runs shares with the others, and whether two copies agree.
+// kestrelline replica: shows the replicated state of a running proxy, or compares that of two proxies.
 #ifndef KESTRELLINE_APP_REPLICA_COMMAND_H_
 #define KESTRELLINE_APP_REPLICA_COMMAND_H_
 
@@ -10,7 +10,8 @@
 
 namespace kestrelline::app {
 
-// Exit codes: those of door_call.h; of `diff`, 4 if copies differ, 5 if they could not be compared now.
+// Returns the exit code: 0, or one of those in door_call.h; `diff` returns 4 if the replicas differ, and 5 if
+// they could not be compared and the command should be repeated.
 int ShowReplica(const Command& command, std::ostream& out, std::ostream& err);
 
 }  // namespace kestrelline::app
