--- a/src/app/cli.h
+++ b/src/app/cli.h
@@ -35,8 +35,9 @@
   std::vector<std::string> headers;  // "Name=value"
   std::string address;               // management address of the proxy to query, for peers and replica
   bool json = false, watch = false;
-  std::string replica = "show";  // operation of replica: show, digest or diff
-  std::string other_address;     // the second proxy, for diff
+  // For replica: the operation (show, digest or diff), and the management address of the second proxy for
+  // diff.
+  std::string replica = "show", other_address;
 };
 
 // Prints help to standard output and errors to standard error.
--- a/src/app/door_call.h
+++ b/src/app/door_call.h
@@ -11,10 +11,9 @@
 
 namespace kestrelline::app {
 
-// Exit codes of these subcommands.
-inline constexpr int kUnreachable = 1;  // no answer in time, or one that is not a proxy's
-inline constexpr int kInvalidAddress = 2;
-inline constexpr int kDisabled = 3;  // the proxy runs without the feature that is asked about
+// Exit codes of these subcommands: no answer in time or one that is not a proxy's; an invalid address; the
+// proxy runs without the feature that is queried.
+inline constexpr int kUnreachable = 1, kInvalidAddress = 2, kDisabled = 3;
 
 // Sends the command `command`, such as "peers", to `address` and returns the JSON object in its answer. On
 // failure returns nothing, writes the reason to `err` and sets `*exit_code`.
--- a/src/app/replica_command.cpp
+++ b/src/app/replica_command.cpp
@@ -16,18 +16,18 @@
 constexpr int kReplicasDiffer = 4, kNotComparable = 5;  // exit codes of `diff`
 
 void Show(const json& report, std::ostream& out) {
-  out << report.at("name").get<std::string>() << ": " << (report.at("current") ? "current" : "catching up")
+  out << report.at("name").get<std::string>() << ": " << (report.at("current") ? "current" : "catches up")
       << ", " << report.at("entries") << " entries\n";
   for (const json& origin : report.at("origins"))
     out << "  by "
         << (origin.at("owner") == "" ? "a proxy that has left" : origin.at("owner").get<std::string>())
         << " (" << origin.at("origin").get<std::string>() << "): " << origin.at("entries")
-        << " entries, complete up to number " << origin.at("upto") << '\n';
+        << " entries, known up to number " << origin.at("upto") << '\n';
   for (const json& peer : report.at("peers"))
     out << "  " << peer.at("name").get<std::string>() << ": "
-        << (!peer.at("present").get<bool>()  ? "unreachable"
+        << (!peer.at("present").get<bool>()  ? "is away"
             : peer.at("current").get<bool>() ? "current"
-                                             : "catching up")
+                                             : "catches up")
         << ", was missing " << peer.at("behind") << " entries of this proxy at its last report\n";
 }
 
@@ -55,14 +55,14 @@
     if (!left || !right) {
       const json& present = left ? *left : *right;
       if (present.at("entries") == 0) continue;
-      out << origin << ": " << present.at("entries") << " entries, only at "
-          << (left ? first_name : second_name) << '\n';
+      out << origin << ": " << present.at("entries") << " entries at " << (left ? first_name : second_name)
+          << " only\n";
       exit_code = kReplicasDiffer;
     } else if (left->at("as_of_ms") != right->at("as_of_ms")) {
       if (exit_code == 0) exit_code = kNotComparable;
       out << origin << ": the two reports are of different times; run the command again\n";
     } else if (left->at("digest") != right->at("digest")) {
-      out << origin << ": differs; complete up to number " << left->at("upto") << " at " << first_name << ", "
+      out << origin << ": differs; known up to number " << left->at("upto") << " at " << first_name << ", "
           << right->at("upto") << " at " << second_name << '\n';
       exit_code = kReplicasDiffer;
     }
--- a/tests/app/reload_test.cpp
+++ b/tests/app/reload_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The program with an operator's file: its command line, and SIGHUP.
+// The program with an operator's file: its command line, and reloads on SIGHUP.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -35,7 +35,7 @@
 }
 
 // ---- the command line ---------------------------------------------------------------------------------
-TEST(CommandLine, TheExampleForThisSiteIsAccepted) {
+TEST(CommandLine, CheckAcceptsTheExampleFile) {
   kestrelline::app::Command command;
   command.operator_file = kDeploy + "operator.example.toml";
   command.config_file = kDeploy + "site.example.json";
@@ -46,7 +46,7 @@
   EXPECT_NE(result.out.find("2 routes"), std::string::npos) << result.out;
 }
 
-TEST(CommandLine, ExplainTellsTheRouteAndWhereEachLimitComesFrom) {
+TEST(CommandLine, ExplainPrintsTheRouteAndTheOriginOfEachLimit) {
   const TemporaryFolder folder;
   folder.Write("f.toml",
                "version = 1\n[defaults]\nmax_in_flight = 70\n[class.certify]\nretry_on = "
@@ -60,26 +60,26 @@
   Result result = RunCommand(kestrelline::app::Explain, command);
   EXPECT_EQ(result.code, 0) << result.err;
   const auto line = [&](const std::string& key) {
-    const std::size_t at = result.out.find(key);
-    return at == std::string::npos ? "" : result.out.substr(at, result.out.find('\n', at) - at);
+    const std::size_t begin = result.out.find(key);
+    return begin == std::string::npos ? "" : result.out.substr(begin, result.out.find('\n', begin) - begin);
   };
-  const std::string f = command.operator_file;
-  EXPECT_NE(line("route").find("one  " + f + ":6"), std::string::npos) << result.out;
+  const std::string file = command.operator_file;
+  EXPECT_NE(line("route").find("one  " + file + ":6"), std::string::npos) << result.out;
   EXPECT_NE(line("max_attempts").find("2  "), std::string::npos);
-  EXPECT_NE(line("max_attempts").find(f + ":9 (route)"), std::string::npos) << result.out;
-  EXPECT_NE(line("retry_on").find(f + ":5 (class.certify)"), std::string::npos) << result.out;
-  EXPECT_NE(line("max_in_flight").find(f + ":3 (defaults)"), std::string::npos) << result.out;
+  EXPECT_NE(line("max_attempts").find(file + ":9 (route)"), std::string::npos) << result.out;
+  EXPECT_NE(line("retry_on").find(file + ":5 (class.certify)"), std::string::npos) << result.out;
+  EXPECT_NE(line("max_in_flight").find(file + ":3 (defaults)"), std::string::npos) << result.out;
   EXPECT_NE(line("patience").find("the platform"), std::string::npos) << result.out;
   command.path = "/certify/10";
   result = RunCommand(kestrelline::app::Explain, command);
   EXPECT_NE(line("route").find("none"), std::string::npos) << result.out;
-  for (const auto& [cls, path] : {std::pair{"copies", "/copies"}, {"certify", "/preview"}}) {
-    command.request_class = cls, command.path = path;
+  for (const auto& [request_class, path] : {std::pair{"copies", "/copies"}, {"certify", "/preview"}}) {
+    command.request_class = request_class, command.path = path;
     EXPECT_EQ(RunCommand(kestrelline::app::Explain, command).code, 1);
   }
 }
 
-TEST(CommandLine, CheckOfTheProgramExitsWithOneAndEveryMessage) {
+TEST(CommandLine, CheckExitsWithOneAndPrintsEveryError) {
   const TemporaryFolder folder;
   folder.Write("f.toml", "version = 1\n[class.certify]\nsecond_copy_after = \"100ms\"\nmax_attempts = 7\n");
   Child child({}, 0, {"check", folder / "f.toml", "--config", kDeploy + "site.example.json"});
@@ -92,14 +92,15 @@
   EXPECT_EQ(std::count(text.begin(), text.end(), '\n'), 2) << text;
 }
 
-TEST(CommandLine, WrongArgumentsAreTwoAndStartNothing) {
+TEST(CommandLine, InvalidArgumentsExitWithTwo) {
   Child child({}, 0, {"check"});
   EXPECT_FALSE(child.Stderr().empty());
   EXPECT_EQ(child.Wait(), 2);
 }
 
-// Each of them ends at once, with its place and rule; a start that read the FIFO would hang.
-TEST(CommandLine, TheProgramDoesNotStartWithAFileThatItRefuses) {
+// Each start fails at once and prints the position and the rule. Opening the FIFO in blocking mode would
+// hang.
+TEST(CommandLine, StartFailsWithAnInvalidOperatorFile) {
   const TemporaryFolder folder;
   ASSERT_EQ(mkfifo((folder / "fifo").c_str(), 0600), 0);
   folder.Write("empty", "");
@@ -108,23 +109,24 @@
   folder.Write("big", "");
   std::filesystem::resize_file(folder / "big", 50'000'000);
   const ConfigFile config(ConfigJson(Tcp::endpoint(kAnyPort.address(), 9), {}).dump());
-  for (const auto& [name, part] : {std::pair{"fifo", ":1:1: [read]"},
-                                   {".", ":1:1: [read]"},
-                                   {"absent", ":1:1: [read]"},
-                                   {"empty", ":1:1: [empty]"},
-                                   {"big", ":1:1: [size]"},
-                                   {"bad", ":3:9: [duration]"},
-                                   {"utf8", ":2:"}}) {
+  for (const auto& [name, expected] : {std::pair{"fifo", ":1:1: [read]"},
+                                       {".", ":1:1: [read]"},
+                                       {"absent", ":1:1: [read]"},
+                                       {"empty", ":1:1: [empty]"},
+                                       {"big", ":1:1: [size]"},
+                                       {"bad", ":3:9: [duration]"},
+                                       {"utf8", ":2:"}}) {
     Child child({{"ROUTER_CONFIG", config.path}}, 0, {"--operator", folder / name});
     const std::string text = child.Stderr();
     EXPECT_EQ(child.Wait(), 1) << name;
-    EXPECT_NE(text.find((folder / name) + part), std::string::npos) << text;
+    EXPECT_NE(text.find((folder / name) + expected), std::string::npos) << text;
   }
 }
 
 // ---- SIGHUP -------------------------------------------------------------------------------------------
-struct Served {
-  Served()
+// A platform configuration with two backends, for a proxy in a child process.
+struct ProxySite {
+  ProxySite()
       : config(ConfigJson(discovery.address(),
                           Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())))
                    .dump()) {}
@@ -132,7 +134,7 @@
     return {{"ROUTER_CONFIG", config.path}, {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())}};
   }
 
-  // What is booked twice is seen.
+  // The ids of all requests that the backends received, repeats included.
   Watched<std::multiset<std::string>> seen;
   Backend::Answer answer = [this](Tcp::socket& s, const HttpRequest& request) {
     seen.Do([&](auto& all) { all.emplace(request["Req-Id"]); });
@@ -147,7 +149,7 @@
   Tcp::endpoint address = FreePort();
 };
 
-// The next line about a reload; the module's own lines come between.
+// The next log line about a reload; skips those of the decision module.
 std::string ReloadLine(Child& child) {
   for (;;) {
     std::string line = child.StderrLine();
@@ -158,15 +160,15 @@
 
 std::string Attempts(int n) { return "version = 1\n[defaults]\nmax_attempts = " + std::to_string(n) + "\n"; }
 
-TEST(Reload, AFileIsTakenWholeOrNotAtAll) {
-  Served site;
+TEST(Reload, AppliesAFileAsAWholeOrNotAtAll) {
+  ProxySite site;
   site.folder.Write("f.toml", Attempts(1));
   Child child(site.env(), 0, {"--operator", site.folder / "f.toml"});
   ASSERT_TRUE(WaitUntilReady(site.address));
   Client client(site.address);
-  int asked = 0;
+  int requests = 0;
   const auto attempts = [&] {
-    const std::string id = "r" + std::to_string(++asked);
+    const std::string id = "r" + std::to_string(++requests);
     EXPECT_EQ(client.Ask(WithId(Look("X-Decline: 1\r\n"), id)).result_int(), 503u);
     return site.seen.Get().count(id);
   };
@@ -175,7 +177,7 @@
   child.Signal(SIGHUP);
   EXPECT_NE(ReloadLine(child).find("f.toml: 0 routes hold from now on"), std::string::npos);
   EXPECT_EQ(attempts(), 3u);
-  // The first key of it is right, and is not taken either.
+  // The valid first key of an invalid file is not applied either.
   site.folder.Replace("f.toml", Attempts(2) + "pause = 5\n");
   child.Signal(SIGHUP);
   EXPECT_NE(ReloadLine(child).find("f.toml:4:9: [duration]"), std::string::npos);
@@ -191,9 +193,9 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-// Where the platform's own file is bad, the operator's is not taken either.
-TEST(Reload, ABadConfigurationKeepsTheOldRoutesToo) {
-  Served site;
+// An invalid platform configuration also keeps a valid new operator file from being applied.
+TEST(Reload, InvalidPlatformConfigurationKeepsTheOldRoutes) {
+  ProxySite site;
   site.folder.Write("f.toml", Attempts(1));
   Child child(site.env(), 0, {"--operator", site.folder / "f.toml"});
   ASSERT_TRUE(WaitUntilReady(site.address));
@@ -208,22 +210,22 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-// Every third file is bad. All requests are served, each by an answer of its own, and nothing unsafe arrives
-// twice.
-TEST(Reload, AThousandUnderLoadLoseNothing) {
+// A thousand reloads under load, every third with an invalid file: each request gets its own response, and no
+// non-idempotent request reaches the backends twice.
+TEST(Reload, AThousandReloadsUnderLoadLoseNoRequest) {
   constexpr int kReloads = 1000, kClients = 4;
-  Served site;
+  ProxySite site;
   site.folder.Write("f.toml", Attempts(1));
   Child child(site.env(), 0, {"--operator", site.folder / "f.toml"});
   ASSERT_TRUE(WaitUntilReady(site.address));
-  std::atomic<bool> over{false};
+  std::atomic<bool> stop{false};
   std::atomic<int> served{0}, other{0};
   std::vector<std::thread> clients;
-  for (int c = 0; c < kClients; ++c) {
-    clients.emplace_back([&, c] {
+  for (int client_number = 0; client_number < kClients; ++client_number) {
+    clients.emplace_back([&, client_number] {
       Client client(site.address);
-      for (int i = 0; !over; ++i) {
-        const std::string id = std::to_string(c) + "-" + std::to_string(i);
+      for (int i = 0; !stop; ++i) {
+        const std::string id = std::to_string(client_number) + "-" + std::to_string(i);
         const HttpResponse answer = client.Ask(WithId(i % 3 == 0   ? Look()
                                                       : i % 3 == 1 ? Change()
                                                                    : Book(),
@@ -233,29 +235,30 @@
       }
     });
   }
-  int taken = 0, kept = 0;
+  int applied = 0, rejected = 0;
   for (int i = 0; i < kReloads; ++i) {
-    const bool bad = i % 3 == 2;
-    site.folder.Replace("f.toml", bad ? "version = 1\n[defaults]\nmax_attempts = 9\n" : Attempts(1 + i % 4));
+    const bool invalid = i % 3 == 2;
+    site.folder.Replace("f.toml",
+                        invalid ? "version = 1\n[defaults]\nmax_attempts = 9\n" : Attempts(1 + i % 4));
     child.Signal(SIGHUP);
-    // Each is over before the next is asked for.
+    // Waits until this reload is complete.
     std::string line = ReloadLine(child);
     if (line.find("[attempts]") != std::string::npos) line = ReloadLine(child);
-    taken += line.find("hold from now on") != std::string::npos;
-    kept += line.find("the old configuration stays") != std::string::npos;
+    applied += line.find("hold from now on") != std::string::npos;
+    rejected += line.find("the old configuration stays") != std::string::npos;
   }
-  over = true;
+  stop = true;
   for (auto& client : clients) client.join();
-  EXPECT_EQ(taken, kReloads - kReloads / 3);
-  EXPECT_EQ(kept, kReloads / 3);
+  EXPECT_EQ(applied, kReloads - kReloads / 3);
+  EXPECT_EQ(rejected, kReloads / 3);
   EXPECT_EQ(other, 0);
   EXPECT_GT(served, 0);
-  // All that was served was seen, and what must not run twice did not. The others may be repeated, where the
-  // machine stalls an attempt for longer than the module waits.
+  // Every served request reached a backend, and no non-idempotent one did so twice. The others may have been
+  // retried if a busy machine delayed an attempt beyond its timeout.
   const auto seen = site.seen.Get();
-  const std::set<std::string> different(seen.begin(), seen.end());
-  EXPECT_EQ(different.size(), static_cast<std::size_t>(served));
-  for (const std::string& id : different) {
+  const std::set<std::string> ids(seen.begin(), seen.end());
+  EXPECT_EQ(ids.size(), static_cast<std::size_t>(served));
+  for (const std::string& id : ids) {
     if (std::stoi(id.substr(id.find('-') + 1)) % 3 == 2) {
       EXPECT_EQ(seen.count(id), 1u) << id;
     }
--- a/tests/support/plugin_file.h
+++ b/tests/support/plugin_file.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// An operator's file with plug-ins, read and built for the platform of routing_site.h.
+// Parses and validates an operator's file with plug-ins for the platform of routing_site.h.
 #ifndef KESTRELLINE_TESTS_SUPPORT_PLUGIN_FILE_H_
 #define KESTRELLINE_TESTS_SUPPORT_PLUGIN_FILE_H_
 
@@ -15,11 +15,11 @@
 
 namespace kestrelline::testing {
 
-// `built` is null and `diagnostics` says why if it is refused.
+// If the file is rejected, `built` is null and `diagnostics` holds the errors.
 struct PluginFile {
   using ReadScript = std::function<std::optional<std::string>(const std::string& file, std::string* why)>;
 
-  // `text`: after the line `version = 1`.
+  // `text`: the file without its line `version = 1`.
   PluginFile(const std::string& text, const ReadScript& read, double memory_mb) : diagnostics("f.toml") {
     const auto site = RoutingSite();
     routing::Spec routes;
@@ -30,16 +30,16 @@
     const auto table = routing::RouteTable::Build(routes, site, &diagnostics);
     if (table) built = plugin::PluginTable::Build(plugins, {*table, site, memory_mb, read}, &diagnostics);
   }
-  // Scripts by the names of their files, all of which are there.
+  // `scripts`: the scripts by file name; holds every file that `text` names.
   PluginFile(const std::string& text, const std::map<std::string, std::string>& scripts)
       : PluginFile(
             text, [&](const std::string& file, std::string*) { return std::optional(scripts.at(file)); },
             2048) {}
 
   std::string Said() const {
-    std::string all;
-    for (const auto& line : diagnostics.Lines()) all += line + '\n';
-    return all;
+    std::string text;
+    for (const auto& line : diagnostics.Lines()) text += line + '\n';
+    return text;
   }
 
   operator_file::Diagnostics diagnostics;
