--- a/src/operator/diagnostics.h
+++ b/src/operator/diagnostics.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What is wrong with an operator's file, all of it, in the order of the file.
+// Collects the errors of an operator's file and prints them in the order of their positions.
 #ifndef KESTRELLINE_OPERATOR_DIAGNOSTICS_H_
 #define KESTRELLINE_OPERATOR_DIAGNOSTICS_H_
 
@@ -13,13 +13,13 @@
 
 namespace kestrelline::operator_file {
 
-// Lines and columns count from 1; line 0 is the file as a whole.
+// Lines and columns are numbered from 1; line 0 stands for the file as a whole.
 struct Position {
   std::uint32_t line = 0, column = 0;
   auto operator<=>(const Position&) const = default;
 };
 
-// A value and where it stands.
+// A value and its position in the file.
 template <typename T>
 struct At {
   T value{};
@@ -28,27 +28,28 @@
 
 struct Message {
   Position at;
-  std::string rule;  // a short word in the index of rules: docs/operating/operator-file.md
-  std::string text;  // what is wrong and what would be accepted
+  std::string rule;  // identifier of the violated rule, listed in docs/operating/operator-file.md
+  std::string text;  // the error, and what would be accepted
   auto operator<=>(const Message&) const = default;
 };
 
 class Diagnostics {
  public:
-  // More than this are counted, not kept: a file of nothing but errors must not fill the log.
+  // Further messages are only counted, so that a file with many errors does not fill the log.
   static constexpr std::size_t kMostKept = 100;
 
   explicit Diagnostics(std::string file) : file_(std::move(file)) {}
 
-  // The same message twice is one. What comes from the file is cut and cleaned of control characters.
+  // Ignores duplicates. Truncates `text` and replaces its control characters, as it may quote the file.
   void Add(Position at, std::string_view rule, std::string_view text);
 
   bool ok() const { return messages_.empty(); }
 
-  // NearestName, or nothing once no more messages are kept: a file of unknown names must not cost a
-  // comparison of each with all that are known.
+  // NearestName, or an empty text once kMostKept is reached: limits the cost of a file with many unknown
+  // names, each of which would be compared with all known ones.
   std::string Nearest(std::string_view name, const std::vector<std::string_view>& known) const;
-  // "did you mean 'x'?", or else "it has a, b and c": how a message about an unknown name ends.
+  // The end of a message about an unknown name: "did you mean 'x'?", or "it has a, b and c" if no name is
+  // similar.
   std::string Suggest(std::string_view name, const std::vector<std::string_view>& known) const;
 
   const std::set<Message>& messages() const { return messages_; }
@@ -63,11 +64,11 @@
   std::size_t dropped_ = 0;
 };
 
-// The one of `known`, of which the first thousand are looked at, that `name` was probably meant to be; empty
-// if none is near.
+// The most similar of `known` by edit distance, as a suggestion for the unknown `name`; empty if none is
+// similar. Compares with the first thousand only.
 std::string NearestName(std::string_view name, const std::vector<std::string_view>& known);
 
-// "a, b and c", of at most twelve.
+// "a, b and c", or "a, b, ... and 3 more" for more than twelve names.
 std::string Listed(const std::vector<std::string_view>& names);
 
 }  // namespace kestrelline::operator_file
--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -10,21 +10,21 @@
 namespace kestrelline::operator_file {
 namespace {
 
-constexpr std::size_t kMostKeys = 100000;  // of one table; more are refused
-constexpr std::size_t kMostDots = 64;      // of one key
+constexpr std::size_t kMaxKeys = 100000;  // at the top level of the file
+constexpr std::size_t kMaxDots = 64;      // in one key
 
 Position PositionOf(const toml::source_region& region) {
   return {static_cast<std::uint32_t>(region.begin.line), static_cast<std::uint32_t>(region.begin.column)};
 }
 
-// The tables of a file in its own order: the library sorts keys by name.
+// The entries of a table in the order of the file; the library sorts them by key.
 std::vector<std::pair<const toml::key*, const toml::node*>> InOrder(const toml::table& table) {
-  std::vector<std::pair<const toml::key*, const toml::node*>> all;
-  for (const auto& [key, node] : table) all.emplace_back(&key, &node);
-  std::stable_sort(all.begin(), all.end(), [](const auto& a, const auto& b) {
+  std::vector<std::pair<const toml::key*, const toml::node*>> entries;
+  for (const auto& [key, node] : table) entries.emplace_back(&key, &node);
+  std::stable_sort(entries.begin(), entries.end(), [](const auto& a, const auto& b) {
     return PositionOf(a.first->source()) < PositionOf(b.first->source());
   });
-  return all;
+  return entries;
 }
 
 std::string_view TypeOf(const toml::node& node) {
@@ -46,6 +46,7 @@
   }
 }
 
+// The array if all its elements are tables, otherwise null.
 const toml::array* TablesOf(const toml::node& node) {
   const auto* array = node.as_array();
   return array && std::all_of(array->begin(), array->end(), [](const auto& n) { return n.is_table(); })
@@ -53,22 +54,23 @@
              : nullptr;
 }
 
-// Each dot of a key is a table within a table, which the library takes apart by recursion: a key of a million
-// dots would end the process. Names in text that stand so close are refused too; there are none.
+// The position at which a key has more than kMaxDots dots. Each dot of a key is a nested table, which the
+// library handles by recursion: a key with a million dots would overflow the stack. The check does not parse
+// strings, so it also rejects strings of names with that many dots; no valid file has any.
 std::optional<Position> TooManyDots(std::string_view text) {
   Position at{1, 1};
   std::size_t dots = 0;
-  char before = '\n';
+  char previous = '\n';
   for (const char c : text) {
-    const bool of_key = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-                        c == '_' || c == '-' || c == '"' || c == '\'' || c == ' ' || c == '\t';
+    const bool part_of_key = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
+                             c == '_' || c == '-' || c == '"' || c == '\'' || c == ' ' || c == '\t';
     if (c == '.') {
-      dots = before == '.' ? 0 : dots + 1;
-      if (dots > kMostDots) return at;
-    } else if (!of_key) {
+      dots = previous == '.' ? 0 : dots + 1;
+      if (dots > kMaxDots) return at;
+    } else if (!part_of_key) {
       dots = 0;
     }
-    before = c;
+    previous = c;
     at = c == '\n' ? Position{at.line + 1, 1} : Position{at.line, at.column + 1};
   }
   return std::nullopt;
@@ -103,17 +105,17 @@
 TableReader::TableReader(const toml::table& table, std::string name, std::span<const Key> keys,
                          Diagnostics* diagnostics)
     : table_(table), name_(std::move(name)), keys_(keys), diagnostics_(diagnostics) {
-  std::size_t found = 0;
+  std::size_t known_keys = 0;
   for (const Key& key : keys_) {
     if (table_.contains(key.name)) {
-      ++found;
+      ++known_keys;
     } else if (key.required) {
       diagnostics_->Add(
           at(), "missing",
           name_ + " has no key '" + std::string(key.name) + "', which is needed: " + TypeName(key.kind));
     }
   }
-  if (found == table_.size()) return;
+  if (known_keys == table_.size()) return;
   std::vector<std::string_view> names;
   for (const Key& key : keys_) names.push_back(key.name);
   for (const auto& [key, node] : table_) {
@@ -135,8 +137,8 @@
 
 const toml::node* TableReader::Find(std::string_view key) const { return table_.get(key); }
 
-void TableReader::Complain(const toml::node& node, std::string_view key, const std::string& what) const {
-  diagnostics_->Add(PositionOf(node.source()), "type", name_ + '.' + std::string(key) + ' ' + what);
+void TableReader::ReportType(const toml::node& node, std::string_view key, const std::string& problem) const {
+  diagnostics_->Add(PositionOf(node.source()), "type", name_ + '.' + std::string(key) + ' ' + problem);
 }
 
 std::optional<At<std::string>> TableReader::Text(std::string_view key) const {
@@ -144,7 +146,7 @@
   if (!node) return std::nullopt;
   const auto* text = node->as_string();
   if (!text || text->get().empty()) {
-    Complain(*node, key, text ? "is empty" : "is " + std::string(TypeOf(*node)) + "; a text is accepted");
+    ReportType(*node, key, text ? "is empty" : "is " + std::string(TypeOf(*node)) + "; a text is accepted");
     return std::nullopt;
   }
   return At<std::string>{text->get(), PositionOf(node->source())};
@@ -153,31 +155,32 @@
 std::optional<At<std::vector<At<std::string>>>> TableReader::Texts(std::string_view key) const {
   const toml::node* node = Find(key);
   if (!node) return std::nullopt;
-  At<std::vector<At<std::string>>> all;
-  all.at = PositionOf(node->source());
+  At<std::vector<At<std::string>>> texts;
+  texts.at = PositionOf(node->source());
   if (node->is_string()) {
     auto text = Text(key);
     if (!text) return std::nullopt;
-    all.value.push_back(std::move(*text));
-    return all;
+    texts.value.push_back(std::move(*text));
+    return texts;
   }
   const auto* array = node->as_array();
   if (!array) {
-    Complain(*node, key, "is " + std::string(TypeOf(*node)) + "; a text or an array of texts is accepted");
+    ReportType(*node, key, "is " + std::string(TypeOf(*node)) + "; a text or an array of texts is accepted");
     return std::nullopt;
   }
-  bool good = true;
+  bool valid = true;
   for (const auto& item : *array) {
     const auto* text = item.as_string();
     if (!text || text->get().empty()) {
-      Complain(item, key,
-               text ? "holds an empty text" : "holds " + std::string(TypeOf(item)) + "; texts are accepted");
-      good = false;
+      ReportType(
+          item, key,
+          text ? "holds an empty text" : "holds " + std::string(TypeOf(item)) + "; texts are accepted");
+      valid = false;
       continue;
     }
-    all.value.push_back({text->get(), PositionOf(item.source())});
+    texts.value.push_back({text->get(), PositionOf(item.source())});
   }
-  return good ? std::optional(std::move(all)) : std::nullopt;
+  return valid ? std::optional(std::move(texts)) : std::nullopt;
 }
 
 std::optional<At<Milliseconds>> TableReader::Duration(std::string_view key) const {
@@ -185,9 +188,9 @@
   if (!node) return std::nullopt;
   std::string why;
   if (const auto* text = node->as_string()) {
-    const auto* described =
-        &*std::find_if(keys_.begin(), keys_.end(), [&](const Key& k) { return k.name == key; });
-    const auto value = ParseDuration(text->get(), described->kind == Kind::kPause, &why);
+    const auto* description = &*std::find_if(keys_.begin(), keys_.end(),
+                                             [&](const Key& candidate) { return candidate.name == key; });
+    const auto value = ParseDuration(text->get(), description->kind == Kind::kPause, &why);
     if (value) return At<Milliseconds>{*value, PositionOf(node->source())};
   } else if (node->is_number()) {
     why = "has no unit: a duration is a text such as \"250ms\" or \"1.5s\"";
@@ -210,35 +213,35 @@
   return std::nullopt;
 }
 
-std::optional<At<std::int64_t>> TableReader::Whole(std::string_view key, std::int64_t least,
-                                                   std::int64_t most) const {
+std::optional<At<std::int64_t>> TableReader::Whole(std::string_view key, std::int64_t min,
+                                                   std::int64_t max) const {
   const toml::node* node = Find(key);
   if (!node) return std::nullopt;
-  const auto* whole = node->as_integer();
-  if (!whole) {
-    Complain(*node, key, "is " + std::string(TypeOf(*node)) + "; a whole number is accepted");
+  const auto* integer = node->as_integer();
+  if (!integer) {
+    ReportType(*node, key, "is " + std::string(TypeOf(*node)) + "; a whole number is accepted");
     return std::nullopt;
   }
-  if (whole->get() < least || whole->get() > most) {
+  if (integer->get() < min || integer->get() > max) {
     diagnostics_->Add(PositionOf(node->source()), "range",
-                      name_ + '.' + std::string(key) + " is " + std::to_string(whole->get()) + "; " +
-                          std::to_string(least) + " to " + std::to_string(most) + " is accepted");
+                      name_ + '.' + std::string(key) + " is " + std::to_string(integer->get()) + "; " +
+                          std::to_string(min) + " to " + std::to_string(max) + " is accepted");
     return std::nullopt;
   }
-  return At<std::int64_t>{whole->get(), PositionOf(node->source())};
+  return At<std::int64_t>{integer->get(), PositionOf(node->source())};
 }
 
-std::optional<At<double>> TableReader::Number(std::string_view key, double least, double most) const {
+std::optional<At<double>> TableReader::Number(std::string_view key, double min, double max) const {
   const toml::node* node = Find(key);
   if (!node) return std::nullopt;
   if (!node->is_number()) {
-    Complain(*node, key, "is " + std::string(TypeOf(*node)) + "; a number is accepted");
+    ReportType(*node, key, "is " + std::string(TypeOf(*node)) + "; a number is accepted");
     return std::nullopt;
   }
-  const double value = node->value<double>().value_or(least - 1);
-  if (!(value >= least && value <= most)) {
+  const double value = node->value<double>().value_or(min - 1);
+  if (!(value >= min && value <= max)) {
     char range[96];
-    std::snprintf(range, sizeof range, " is %g; %g to %g is accepted", value, least, most);
+    std::snprintf(range, sizeof range, " is %g; %g to %g is accepted", value, min, max);
     diagnostics_->Add(PositionOf(node->source()), "range", name_ + '.' + std::string(key) + range);
     return std::nullopt;
   }
@@ -248,7 +251,7 @@
 const toml::table* TableReader::Table(std::string_view key) const {
   const toml::node* node = Find(key);
   if (!node) return nullptr;
-  if (!node->is_table()) Complain(*node, key, "is " + std::string(TypeOf(*node)) + "; a table is accepted");
+  if (!node->is_table()) ReportType(*node, key, "is " + std::string(TypeOf(*node)) + "; a table is accepted");
   return node->as_table();
 }
 
@@ -257,7 +260,7 @@
   const toml::node* node = Find(key);
   if (!node) return;
   const auto* tables = TablesOf(*node);
-  if (!tables) return Complain(*node, key, "must be an array of tables: [[" + std::string(key) + "]]");
+  if (!tables) return ReportType(*node, key, "must be an array of tables: [[" + std::string(key) + "]]");
   for (const auto& item : *tables) each(*item.as_table(), PositionOf(item.source()));
 }
 
@@ -270,8 +273,8 @@
     if (const auto* table = node->as_table()) {
       each({std::string(name->str()), PositionOf(name->source())}, *table);
     } else {
-      Complain(*node, std::string(key) + '.' + std::string(name->str()),
-               "is " + std::string(TypeOf(*node)) + "; a table is accepted");
+      ReportType(*node, std::string(key) + '.' + std::string(name->str()),
+                 "is " + std::string(TypeOf(*node)) + "; a table is accepted");
     }
   }
 }
@@ -285,8 +288,8 @@
     if (const auto* text = node->as_string()) {
       each({std::string(name->str()), PositionOf(name->source())}, {text->get(), PositionOf(node->source())});
     } else {
-      Complain(*node, std::string(key) + '.' + std::string(name->str()),
-               "is " + std::string(TypeOf(*node)) + "; a text is accepted");
+      ReportType(*node, std::string(key) + '.' + std::string(name->str()),
+                 "is " + std::string(TypeOf(*node)) + "; a text is accepted");
     }
   }
 }
@@ -298,7 +301,7 @@
   }
   if (const auto at = TooManyDots(text)) {
     diagnostics->Add(*at, "bound",
-                     "a key of more than " + std::to_string(kMostDots) + " dots; no key needs more than 3");
+                     "a key of more than " + std::to_string(kMaxDots) + " dots; no key needs more than 3");
     return false;
   }
   std::vector<Key> keys{{"version", Kind::kWhole, "The form of this file: 1.", true}};
@@ -310,12 +313,12 @@
     diagnostics->Add(PositionOf(error.source()), "syntax", "is no TOML: " + std::string(error.description()));
     return false;
   }
-  if (root.size() > kMostKeys) {
-    diagnostics->Add({}, "size", "holds more than " + std::to_string(kMostKeys) + " keys");
+  if (root.size() > kMaxKeys) {
+    diagnostics->Add({}, "size", "holds more than " + std::to_string(kMaxKeys) + " keys");
     return false;
   }
   const TableReader top(root, "the file", keys, diagnostics);
-  // What another version means is not known, so nothing else of it is judged.
+  // The meaning of another version is unknown, so the rest of such a file is not validated.
   const auto version = top.Whole("version", kVersion, kVersion);
   if (!version) return false;
   for (const Section& section : sections) section.read(top, diagnostics);
--- a/src/operator/read_file.h
+++ b/src/operator/read_file.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Reads an operator's file as it stood at one moment, or not at all.
+// Reads a file as a consistent snapshot, or not at all.
 #ifndef KESTRELLINE_OPERATOR_READ_FILE_H_
 #define KESTRELLINE_OPERATOR_READ_FILE_H_
 
@@ -14,18 +14,21 @@
 
 inline constexpr std::size_t kMostFileBytes = 8 * 1024 * 1024;
 
-// What a process with so much memory may read. While it is taken apart, TOML takes 20 to 40 times its length,
-// and 85 times at the worst that was found (docs/design/routes.md): half of the memory then, or two thirds.
+// Memory that parsing takes, as a multiple of the file size. TOML takes 20 to 40 times its size while it is
+// parsed, and 85 times in the worst known case (docs/design/routes.md).
 inline constexpr std::size_t kParsedSize = 64;
+// The largest file that a process with `memory_mb` may read: parsing takes up to half of the memory, and two
+// thirds in the worst known case.
 constexpr std::size_t MostFileBytes(double memory_mb) {
   const double bytes = memory_mb * 1024 * 1024 / 2 / kParsedSize;
   return bytes < static_cast<double>(kMostFileBytes) ? static_cast<std::size_t>(bytes) : kMostFileBytes;
 }
 
-// Never waits: what is no regular file (a directory, a FIFO, a device) is refused without being read. A file
-// that is written to while it is read is read again, `kTries` times in all, then refused; one that is
-// replaced by a rename is read whole, old or new. Rules: [read], [size], [changing].
-std::optional<std::string> ReadWhole(const std::string& path, std::size_t most_bytes,
+// Never blocks: rejects anything but a regular file (a directory, a FIFO, a device) without reading it. A
+// file that is modified while it is read is read again, up to `kAttempts` times in all, and then rejected. If
+// the file is replaced by a rename, the result is the complete old or new content. Reports the rules [read],
+// [size] and [changing].
+std::optional<std::string> ReadWhole(const std::string& path, std::size_t max_bytes,
                                      Diagnostics* diagnostics);
 
 }  // namespace kestrelline::operator_file
--- a/src/operator/values.h
+++ b/src/operator/values.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Values of the operator's file as people write them.
+// Parses and formats the durations and percentages of the operator's file.
 #ifndef KESTRELLINE_OPERATOR_VALUES_H_
 #define KESTRELLINE_OPERATOR_VALUES_H_
 
@@ -15,14 +15,15 @@
 
 inline constexpr Milliseconds kLongestDuration = std::chrono::hours(1);
 
-// "250ms", "1.5s", "2m", "1h": digits with at most one point, and a unit. Over 0 to 1 h unless `zero` allows
-// 0. Otherwise nothing, and in `why` what would be accepted.
-std::optional<Milliseconds> ParseDuration(std::string_view text, bool zero, std::string* why);
+// Parses "250ms", "1.5s", "2m" or "1h": decimal digits with at most one point, and a unit. The duration must
+// be over 0, or 0 if `allow_zero`, and at most 1 h. Otherwise returns nothing and sets `why` to the reason.
+std::optional<Milliseconds> ParseDuration(std::string_view text, bool allow_zero, std::string* why);
 
-// "20%": 0% to 100%, as 0 to 1.
+// Parses "0%" to "100%" and returns 0 to 1. Otherwise returns nothing and sets `why` to the reason.
 std::optional<double> ParseShare(std::string_view text, std::string* why);
 
-// "250ms", in the largest unit that needs no more than two decimals.
+// Formats a duration, as "250ms", in the largest unit in which it has a value of at least 1 and at most two
+// decimals.
 std::string Shown(Milliseconds duration);
 
 }  // namespace kestrelline::operator_file
--- a/tests/operator/read_file_test.cpp
+++ b/tests/operator/read_file_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Files that cannot be read as they stood at one moment, and values as people write them.
+// Reading a file as a consistent snapshot, parsing and formatting of values, and suggestions for unknown
+// names.
 #include "operator/read_file.h"
 
 #include <fcntl.h>
@@ -22,6 +23,7 @@
 
 using testing::TemporaryFolder;
 
+// The rule that the file violates; empty if it is read.
 std::string RuleOf(const std::string& path) {
   Diagnostics diagnostics(path);
   const auto text = ReadWhole(path, kMostFileBytes, &diagnostics);
@@ -40,57 +42,57 @@
   }
 }
 
-TEST(ReadWhole, RefusesWhatIsNoRegularFileWithoutWaiting) {
+TEST(ReadWhole, RejectsAnythingButARegularFileWithoutBlocking) {
   const TemporaryFolder folder;
   EXPECT_EQ(RuleOf(folder / "absent"), "read");
   EXPECT_EQ(RuleOf(folder / "."), "read");
   ASSERT_EQ(mkfifo((folder / "fifo").c_str(), 0600), 0);
-  EXPECT_EQ(RuleOf(folder / "fifo"), "read");  // an open that waits for a writer would hang here
+  EXPECT_EQ(RuleOf(folder / "fifo"), "read");  // a blocking open would wait for a writer
   EXPECT_EQ(RuleOf("/dev/zero"), "read");
   std::filesystem::create_symlink(folder / "loop", folder / "loop");
   EXPECT_EQ(RuleOf(folder / "loop"), "read");
 }
 
-TEST(ReadWhole, RefusesFiftyMegabytesUnread) {
+TEST(ReadWhole, RejectsFiftyMegabytes) {
   const TemporaryFolder folder;
   folder.Write("big", "");
   std::filesystem::resize_file(folder / "big", 50'000'000);
   EXPECT_EQ(RuleOf(folder / "big"), "size");
 }
 
-// A writer in place shows as a whole text or a refusal, never as a mixture.
+// A file that is overwritten in place is read as one content or rejected, never as a mixture of two.
 TEST(ReadWhole, NeverReturnsAMixtureOfTwoContents) {
   const TemporaryFolder folder;
   const std::string old_text(300'000, 'a'), new_text(200'000, 'b');
   folder.Write("f", old_text);
-  std::atomic<bool> over{false};
+  std::atomic<bool> stop{false};
   std::thread writer([&] {
-    for (int i = 0; !over; ++i) {
+    for (int i = 0; !stop; ++i) {
       if (i % 2) {
         folder.Write("next", old_text);
         std::filesystem::rename(folder / "next", folder / "f");
       } else {
-        folder.Write("f", new_text);  // truncates, then writes: the wrong way
+        folder.Write("f", new_text);  // not atomic: truncates, then writes
       }
     }
   });
-  int whole = 0, refused = 0;
+  int complete = 0, rejected = 0;
   for (int i = 0; i < 2000; ++i) {
     Diagnostics diagnostics("f");
     const auto text = ReadWhole(folder / "f", kMostFileBytes, &diagnostics);
     if (!text) {
-      ++refused;
+      ++rejected;
       EXPECT_EQ(diagnostics.messages().begin()->rule, "changing");
       continue;
     }
-    ++whole;
-    // A file cut to nothing, or half written, looks whole to any reader; it must be a beginning of one
+    ++complete;
+    // A truncated or partly written file can't be told from a complete one; it must be a prefix of one
     // content.
     EXPECT_EQ(text->find_first_not_of(text->empty() ? 'a' : text->front()), std::string::npos);
   }
-  over = true;
+  stop = true;
   writer.join();
-  EXPECT_GT(whole, 0);
+  EXPECT_GT(complete, 0);
 }
 
 TEST(Values, Durations) {
@@ -118,7 +120,7 @@
     EXPECT_FALSE(ParseShare(text, &why)) << text;
 }
 
-TEST(Values, ShownAsTheyAreWritten) {
+TEST(Values, DurationsAreFormattedAsWritten) {
   for (const char* text : {"250ms", "1.5s", "2m", "1h", "0.5ms", "1.25m", "999ms"}) {
     std::string why;
     EXPECT_EQ(Shown(*ParseDuration(text, false, &why)), text);
@@ -127,7 +129,7 @@
   EXPECT_EQ(Shown(Milliseconds(1234)), "1234ms");
 }
 
-TEST(Names, TheNearestIsOfferedAndNothingFar) {
+TEST(Names, SuggestsTheNearestNameAndNoDissimilarOne) {
   EXPECT_EQ(NearestName("patiense", {"pause", "patience"}), "patience");
   EXPECT_EQ(NearestName("puase", {"pause", "patience"}), "pause");
   EXPECT_EQ(NearestName("qqqqqqqq", {"pause", "patience"}), "");
