--- a/src/management/door.cpp
+++ b/src/management/door.cpp
@@ -21,9 +21,9 @@
 }  // namespace
 
 // One connection: reads a command line, writes the answer and closes.
-class Door::Connection : public std::enable_shared_from_this<Connection> {
+class ManagementEndpoint::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(Door& owner, Tcp::socket socket)
+  Connection(ManagementEndpoint& owner, Tcp::socket socket)
       : owner_(&owner),
         socket_(std::move(socket)),
         timer_(socket_.get_executor()),
@@ -114,7 +114,7 @@
                             });
   }
 
-  Door* owner_;
+  ManagementEndpoint* owner_;
   Tcp::socket socket_;
   asio::steady_timer timer_;
   Steady::time_point opened_at_;
@@ -124,8 +124,8 @@
   bool answered_ = false;
 };
 
-Door::Door(asio::io_context& io, const Tcp::endpoint& address, Operations& operations,
-           ManagementTimeouts timeouts)
+ManagementEndpoint::ManagementEndpoint(asio::io_context& io, const Tcp::endpoint& address,
+                                       Operations& operations, ManagementTimeouts timeouts)
     : operations_(operations), timeouts_(timeouts), acceptor_(io), accept_timer_(io) {
   acceptor_.open(address.protocol());
   acceptor_.set_option(Tcp::acceptor::reuse_address(true));  // allows a restart on the same address
@@ -135,13 +135,13 @@
   Accept();
 }
 
-Door::~Door() {
+ManagementEndpoint::~ManagementEndpoint() {
   const auto connections = std::move(connections_);
   connections_.clear();
   for (const auto& connection : connections) connection->Detach();
 }
 
-void Door::Accept() {
+void ManagementEndpoint::Accept() {
   acceptor_.async_wait(Tcp::acceptor::wait_read, [this](const Error& failed) {
     if (failed == asio::error::operation_aborted) return;
     if (failed) return AcceptAfter(kAcceptRetryDelay);
@@ -162,14 +162,14 @@
   });
 }
 
-void Door::AcceptAfter(Steady::duration delay) {
+void ManagementEndpoint::AcceptAfter(Steady::duration delay) {
   accept_timer_.expires_after(delay);
   accept_timer_.async_wait([this](const Error& cancelled) {
     if (!cancelled) Accept();
   });
 }
 
-Steady::duration Door::EvictIdleConnection() {
+Steady::duration ManagementEndpoint::EvictIdleConnection() {
   const auto now = Steady::now();
   for (const auto& connection : connections_) {
     const auto age = now - connection->opened_at();
--- a/src/management/door.h
+++ b/src/management/door.h
@@ -23,18 +23,18 @@
   std::chrono::milliseconds total{5000};  // lifetime of a connection
 };
 
-class Door {
+class ManagementEndpoint {
  public:
   static constexpr std::size_t kMaxConnections = 16;
   // Upper bound of the file descriptors that the endpoint uses: those of its connections and of the listener.
   static constexpr int kDescriptors = kMaxConnections + 2;
 
   // Binds and listens; throws boost::system::system_error on failure.
-  Door(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Operations& operations,
-       ManagementTimeouts timeouts = {});
-  ~Door();
-  Door(const Door&) = delete;
-  Door& operator=(const Door&) = delete;
+  ManagementEndpoint(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
+                     Operations& operations, ManagementTimeouts timeouts = {});
+  ~ManagementEndpoint();
+  ManagementEndpoint(const ManagementEndpoint&) = delete;
+  ManagementEndpoint& operator=(const ManagementEndpoint&) = delete;
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   std::size_t callers() const { return connections_.size(); }
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -24,7 +24,7 @@
 // `all`: those that this process may have open.
 DescriptorShares SharesOf(const Config& config, int all) {
   const int others =
-      kOtherDescriptors + (config.management ? kestrelline::management::Door::kDescriptors : 0);
+      kOtherDescriptors + (config.management ? kestrelline::management::ManagementEndpoint::kDescriptors : 0);
   const double shared = std::max(all - others, 0);
   return {static_cast<std::size_t>(shared * kClientShare),
           static_cast<std::size_t>(shared * (1 - kClientShare))};
@@ -86,7 +86,9 @@
       ShareLimits();
     }
   }
-  if (config_.management) door_.reset(new kestrelline::management::Door(io, *config_.management, *this));
+  if (config_.management)
+    management_endpoint_.reset(
+        new kestrelline::management::ManagementEndpoint(io, *config_.management, *this));
 }
 
 Proxy::~Proxy() = default;
@@ -143,7 +145,7 @@
 void Proxy::ShareLimits() {
   kestrelline::pair::Usage own;
   own.descriptors = static_cast<int>(clients_->connections() + backends_->connections()) + kOtherDescriptors +
-                    (door_ ? static_cast<int>(door_->callers()) : 0);
+                    (management_endpoint_ ? static_cast<int>(management_endpoint_->callers()) : 0);
   own.leaving = life_.Stopping();
   companions_->Publish(own);
   const auto allowance = kestrelline::pair::AllowanceOf(config_.sockets, own, companions_->Others());
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -97,7 +97,7 @@
   std::size_t held() const { return pending_.size(); }
   const kestrelline::management::Figures& figures() const { return figures_; }
   // The door's; where there is one.
-  boost::asio::ip::tcp::endpoint management_address() const { return door_->address(); }
+  boost::asio::ip::tcp::endpoint management_address() const { return management_endpoint_->address(); }
 
  private:
   // From its Submit until it has its answer and no attempt is out.
@@ -189,7 +189,7 @@
   std::unique_ptr<Backends> backends_;
   std::unique_ptr<Clients> clients_;
   std::unique_ptr<Discovery> discovery_;
-  std::unique_ptr<kestrelline::management::Door> door_;      // null: none
+  std::unique_ptr<kestrelline::management::ManagementEndpoint> management_endpoint_;  // null: none
   std::unique_ptr<kestrelline::pair::Registry> companions_;  // null: this process is the only one
   boost::asio::steady_timer list_wait_, sharing_;
 };
