--- a/src/management/door.h
+++ b/src/management/door.h
@@ -37,7 +37,7 @@
   ManagementEndpoint& operator=(const ManagementEndpoint&) = delete;
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  std::size_t callers() const { return connections_.size(); }
+  std::size_t connections() const { return connections_.size(); }
 
  private:
   class Connection;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -145,7 +145,7 @@
 void Proxy::ShareLimits() {
   kestrelline::pair::Usage own;
   own.descriptors = static_cast<int>(clients_->connections() + backends_->connections()) + kOtherDescriptors +
-                    (management_endpoint_ ? static_cast<int>(management_endpoint_->callers()) : 0);
+                    (management_endpoint_ ? static_cast<int>(management_endpoint_->connections()) : 0);
   own.leaving = life_.Stopping();
   companions_->Publish(own);
   const auto allowance = kestrelline::pair::AllowanceOf(config_.sockets, own, companions_->Others());
