--- a/src/management/figures.cpp
+++ b/src/management/figures.cpp
@@ -7,7 +7,7 @@
 namespace kestrelline::management {
 namespace {
 
-constexpr std::array kOutcomeNames{"ok", "shed", "errors"};  // indexed by Ending
+constexpr std::array kOutcomeNames{"ok", "shed", "errors"};  // indexed by RequestOutcome
 
 }  // namespace
 
@@ -28,7 +28,7 @@
   for (const std::string& name : classes) labels_.push_back(Escaped(name));
 }
 
-void Figures::OnEnded(int request_class, Ending ending) {
+void Figures::OnEnded(int request_class, RequestOutcome ending) {
   if (request_class < 0 || static_cast<std::size_t>(request_class) >= counts_.size()) return;
   ++counts_[static_cast<std::size_t>(request_class)].by_ending[static_cast<std::size_t>(ending)];
 }
--- a/src/management/figures.h
+++ b/src/management/figures.h
@@ -17,7 +17,7 @@
 namespace kestrelline::management {
 
 // Outcome of a request as seen by its client.
-enum class Ending { kServed, kRefused, kFailed };
+enum class RequestOutcome { kServed, kRefused, kFailed };
 
 class Figures {
  public:
@@ -25,7 +25,7 @@
   explicit Figures(std::vector<std::string> classes);
 
   // Not counted if `request_class` is out of range, as for a request that could not be parsed.
-  void OnEnded(int request_class, Ending ending);
+  void OnEnded(int request_class, RequestOutcome ending);
   void OnTry() { ++tries_; }
   void OnTaken() { ++active_; }
   void OnOver() { --active_; }
@@ -39,7 +39,7 @@
 
   std::uint64_t tries() const { return tries_; }
   std::int64_t active() const { return active_; }
-  std::uint64_t Of(int request_class, Ending ending) const {
+  std::uint64_t Of(int request_class, RequestOutcome ending) const {
     return counts_[static_cast<std::size_t>(request_class)].by_ending[static_cast<std::size_t>(ending)];
   }
 
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -46,12 +46,12 @@
          failed != http::error::end_of_stream && failed != http::error::partial_message;
 }
 
-kestrelline::management::Ending EndingOf(http::status status) {
-  using kestrelline::management::Ending;
-  if (status == http::status::ok) return Ending::kServed;
+kestrelline::management::RequestOutcome EndingOf(http::status status) {
+  using kestrelline::management::RequestOutcome;
+  if (status == http::status::ok) return RequestOutcome::kServed;
   const bool refused =
       status == http::status::too_many_requests || status == http::status::service_unavailable;
-  return refused ? Ending::kRefused : Ending::kFailed;
+  return refused ? RequestOutcome::kRefused : RequestOutcome::kFailed;
 }
 
 }  // namespace
@@ -520,7 +520,7 @@
         if (self->out_last_) {
           self->source_ = nullptr;
           self->out_ = {};
-          self->owner_->figures_.OnEnded(self->class_, kestrelline::management::Ending::kServed);
+          self->owner_->figures_.OnEnded(self->class_, kestrelline::management::RequestOutcome::kServed);
           return self->AfterAnswer(false);
         }
         self->until_ = Steady::time_point::max();  // its server has a time limit of its own
@@ -535,7 +535,7 @@
 
 // The client must not take what it has for whole: a reset, not an end.
 void Session::BreakOff() {
-  owner_->figures_.OnEnded(class_, kestrelline::management::Ending::kFailed);
+  owner_->figures_.OnEnded(class_, kestrelline::management::RequestOutcome::kFailed);
   Error ignored;
   socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   Close();
--- a/tests/proxy/bodies_test.cpp
+++ b/tests/proxy/bodies_test.cpp
@@ -284,8 +284,9 @@
       client.Send(look);
       boost::beast::flat_buffer buffer;
       EXPECT_FALSE(ReadLong<false>(client.socket, buffer).whole) << version << static_cast<int>(form);
-      const auto failed = site.proxy->Ask(
-          [](proxy::Proxy& p) { return p.figures().Of(0, kestrelline::management::Ending::kFailed); });
+      const auto failed = site.proxy->Ask([](proxy::Proxy& p) {
+        return p.figures().Of(0, kestrelline::management::RequestOutcome::kFailed);
+      });
       EXPECT_EQ(failed, 1u);
     }
   }
