--- a/src/management/figures.cpp
+++ b/src/management/figures.cpp
@@ -28,7 +28,7 @@
   for (const std::string& name : classes) labels_.push_back(Escaped(name));
 }
 
-void Figures::OnEnded(int request_class, RequestOutcome ending) {
+void Figures::OnRequestOutcome(int request_class, RequestOutcome ending) {
   if (request_class < 0 || static_cast<std::size_t>(request_class) >= counts_.size()) return;
   ++counts_[static_cast<std::size_t>(request_class)].by_ending[static_cast<std::size_t>(ending)];
 }
--- a/src/management/figures.h
+++ b/src/management/figures.h
@@ -25,7 +25,7 @@
   explicit Figures(std::vector<std::string> classes);
 
   // Not counted if `request_class` is out of range, as for a request that could not be parsed.
-  void OnEnded(int request_class, RequestOutcome ending);
+  void OnRequestOutcome(int request_class, RequestOutcome ending);
   void OnTry() { ++tries_; }
   void OnTaken() { ++active_; }
   void OnOver() { --active_; }
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -462,7 +462,7 @@
   // Of one that is turned away before it was understood, its path may tell.
   if (const auto target = head_.target(); class_ < 0 && !target.empty())
     class_ = ClassOf({target.data(), target.size()}, owner_->config_);
-  owner_->figures_.OnEnded(class_, EndingOf(response_.result()));
+  owner_->figures_.OnRequestOutcome(class_, EndingOf(response_.result()));
   BeginAnswer(patience().answer_taken);
   response_.keep_alive(!last_);
   response_.prepare_payload();
@@ -508,34 +508,35 @@
 // As fast as the client takes it: its time begins anew with each byte that it does.
 void Session::WritePassing() {
   until_ = Steady::now() + kMostStall;
-  socket_.async_write_some(
-      asio::buffer(out_.data() + written_, out_.size() - written_),
-      [self = shared_from_this()](const Error& failed, std::size_t n) {
-        if (self->state_ != State::kWriting) return;
-        if (failed) return self->BreakOff();
-        self->written_ += n;
-        if (self->written_ < self->out_.size()) return self->WritePassing();
-        self->out_.clear();
-        self->written_ = 0;
-        if (self->out_last_) {
-          self->source_ = nullptr;
-          self->out_ = {};
-          self->owner_->figures_.OnEnded(self->class_, kestrelline::management::RequestOutcome::kServed);
-          return self->AfterAnswer(false);
-        }
-        self->until_ = Steady::time_point::max();  // its server has a time limit of its own
-        self->source_->Next([self](BodySource::Piece piece) {
-          if (self->state_ != State::kWriting) return;
-          if (piece.broken) return self->BreakOff();
-          self->AddPiece(piece.bytes, piece.last);
-          self->WritePassing();
-        });
-      });
+  socket_.async_write_some(asio::buffer(out_.data() + written_, out_.size() - written_),
+                           [self = shared_from_this()](const Error& failed, std::size_t n) {
+                             if (self->state_ != State::kWriting) return;
+                             if (failed) return self->BreakOff();
+                             self->written_ += n;
+                             if (self->written_ < self->out_.size()) return self->WritePassing();
+                             self->out_.clear();
+                             self->written_ = 0;
+                             if (self->out_last_) {
+                               self->source_ = nullptr;
+                               self->out_ = {};
+                               self->owner_->figures_.OnRequestOutcome(
+                                   self->class_, kestrelline::management::RequestOutcome::kServed);
+                               return self->AfterAnswer(false);
+                             }
+                             self->until_ =
+                                 Steady::time_point::max();  // its server has a time limit of its own
+                             self->source_->Next([self](BodySource::Piece piece) {
+                               if (self->state_ != State::kWriting) return;
+                               if (piece.broken) return self->BreakOff();
+                               self->AddPiece(piece.bytes, piece.last);
+                               self->WritePassing();
+                             });
+                           });
 }
 
 // The client must not take what it has for whole: a reset, not an end.
 void Session::BreakOff() {
-  owner_->figures_.OnEnded(class_, kestrelline::management::RequestOutcome::kFailed);
+  owner_->figures_.OnRequestOutcome(class_, kestrelline::management::RequestOutcome::kFailed);
   Error ignored;
   socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   Close();
--- a/tests/management/commands_test.cpp
+++ b/tests/management/commands_test.cpp
@@ -71,9 +71,9 @@
 
 TEST(Figures, OneLineEachWithEscapedLabels) {
   Process process;
-  for (int i = 0; i < 3; ++i) process.figures.OnEnded(0, RequestOutcome::kServed);
-  process.figures.OnEnded(1, RequestOutcome::kRefused);
-  process.figures.OnEnded(0, RequestOutcome::kFailed);
+  for (int i = 0; i < 3; ++i) process.figures.OnRequestOutcome(0, RequestOutcome::kServed);
+  process.figures.OnRequestOutcome(1, RequestOutcome::kRefused);
+  process.figures.OnRequestOutcome(0, RequestOutcome::kFailed);
   process.figures.OnTry(), process.figures.OnTry();
   process.figures.OnTaken(), process.figures.OnTaken(), process.figures.OnOver();
   EXPECT_EQ(process.FiguresText(),
@@ -87,7 +87,7 @@
   Process process;
   const std::string before = process.FiguresText();
   for (const int request_class : {-1, 2, 1 << 30})
-    process.figures.OnEnded(request_class, RequestOutcome::kServed);
+    process.figures.OnRequestOutcome(request_class, RequestOutcome::kServed);
   EXPECT_EQ(process.FiguresText(), before);
 }
 
