--- a/src/management/figures.h
+++ b/src/management/figures.h
@@ -26,7 +26,7 @@
 
   // Not counted if `request_class` is out of range, as for a request that could not be parsed.
   void OnRequestOutcome(int request_class, RequestOutcome ending);
-  void OnTry() { ++tries_; }
+  void OnAttempt() { ++tries_; }
   void OnTaken() { ++active_; }
   void OnOver() { --active_; }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -58,7 +58,7 @@
   Backends::Limits limits{config_.connect_timeout, config_.conn_idle, {}, config_.patience};
   limits.bodies = &bodies_;
   limits.connections = [this] { return shares_.ForBackends(clients_ ? clients_->connections() : 0); };
-  limits.on_written = [this] { figures_.OnTry(); };
+  limits.on_written = [this] { figures_.OnAttempt(); };
   backends_ = std::make_unique<Backends>(io, std::move(limits));
   discovery_ = std::make_unique<Discovery>(
       io, DiscoveryOptions(config_),
--- a/tests/management/commands_test.cpp
+++ b/tests/management/commands_test.cpp
@@ -74,7 +74,7 @@
   for (int i = 0; i < 3; ++i) process.figures.OnRequestOutcome(0, RequestOutcome::kServed);
   process.figures.OnRequestOutcome(1, RequestOutcome::kRefused);
   process.figures.OnRequestOutcome(0, RequestOutcome::kFailed);
-  process.figures.OnTry(), process.figures.OnTry();
+  process.figures.OnAttempt(), process.figures.OnAttempt();
   process.figures.OnTaken(), process.figures.OnTaken(), process.figures.OnOver();
   EXPECT_EQ(process.FiguresText(),
             "proxy_ok{kind=\"preview\"} 3\nproxy_ok{kind=\"a\\\"b\\\\c\\nd\"} 0\n"
