--- a/src/management/figures.h
+++ b/src/management/figures.h
@@ -27,7 +27,7 @@
   // Not counted if `request_class` is out of range, as for a request that could not be parsed.
   void OnRequestOutcome(int request_class, RequestOutcome ending);
   void OnAttempt() { ++tries_; }
-  void OnTaken() { ++active_; }
+  void OnRequestStarted() { ++active_; }
   void OnOver() { --active_; }
 
   // State of the backend pool.
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -375,7 +375,7 @@
   Enter(State::kHeld, std::nullopt);
   taken_ = true;
   unwatched_ = true;
-  owner_->figures_.OnTaken();
+  owner_->figures_.OnRequestStarted();
   request_ = 0;
   const auto id = owner_->handler_.OnRequest(std::move(request), shared_from_this());
   if (state_ != State::kHeld) return;
