--- a/src/management/figures.h
+++ b/src/management/figures.h
@@ -28,7 +28,7 @@
   void OnRequestOutcome(int request_class, RequestOutcome ending);
   void OnAttempt() { ++tries_; }
   void OnRequestStarted() { ++active_; }
-  void OnOver() { --active_; }
+  void OnRequestClosed() { --active_; }
 
   // State of the backend pool.
   struct Pool {
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -89,7 +89,7 @@
 
 // The request has been answered, or nobody is left to answer.
 void Session::Over() {
-  if (std::exchange(taken_, false) && owner_) owner_->figures_.OnOver();
+  if (std::exchange(taken_, false) && owner_) owner_->figures_.OnRequestClosed();
   class_ = -1;
 }
 
--- a/tests/management/commands_test.cpp
+++ b/tests/management/commands_test.cpp
@@ -75,7 +75,7 @@
   process.figures.OnRequestOutcome(1, RequestOutcome::kRefused);
   process.figures.OnRequestOutcome(0, RequestOutcome::kFailed);
   process.figures.OnAttempt(), process.figures.OnAttempt();
-  process.figures.OnRequestStarted(), process.figures.OnRequestStarted(), process.figures.OnOver();
+  process.figures.OnRequestStarted(), process.figures.OnRequestStarted(), process.figures.OnRequestClosed();
   EXPECT_EQ(process.FiguresText(),
             "proxy_ok{kind=\"preview\"} 3\nproxy_ok{kind=\"a\\\"b\\\\c\\nd\"} 0\n"
             "proxy_shed{kind=\"preview\"} 0\nproxy_shed{kind=\"a\\\"b\\\\c\\nd\"} 1\n"
