--- a/src/concert/partition_link.cpp
+++ b/src/concert/partition_link.cpp
@@ -44,7 +44,7 @@
     char line[48];
     std::snprintf(line, sizeof line, "\"} %.6g\n", LimitOf(c, situation_));
     text += "proxy_partition_limit{class=\"" +
-            management::Escaped(names_[static_cast<std::size_t>(c.request_class)]) + line;
+            management::EscapeLabel(names_[static_cast<std::size_t>(c.request_class)]) + line;
   }
   return text;
 }
--- a/src/management/figures.cpp
+++ b/src/management/figures.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-std::string Escaped(std::string_view text) {
+std::string EscapeLabel(std::string_view text) {
   std::string escaped;
   for (const char c : text) {
     if (c == '\\' || c == '"') escaped += '\\';
@@ -25,7 +25,7 @@
 }
 
 Figures::Figures(std::vector<std::string> classes) : counts_(classes.size()) {
-  for (const std::string& name : classes) labels_.push_back(Escaped(name));
+  for (const std::string& name : classes) labels_.push_back(EscapeLabel(name));
 }
 
 void Figures::OnRequestOutcome(int request_class, RequestOutcome ending) {
--- a/src/management/figures.h
+++ b/src/management/figures.h
@@ -54,7 +54,7 @@
 };
 
 // Escapes a label value for the Prometheus text format.
-std::string Escaped(std::string_view text);
+std::string EscapeLabel(std::string_view text);
 
 }  // namespace kestrelline::management
 
