--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -136,7 +136,7 @@
   links.peers = std::make_unique<Link>(io, *loaded.peers, std::move(who), log);
   Link* link = links.peers.get();
   kestrelline::proxy::Proxy::Peers hooks{[link] { return link->Report(); },
-                                         [link] { return link->FiguresText(); },
+                                         [link] { return link->MetricsText(); },
                                          {},
                                          [link] { link->Leave(); },
                                          [link] { link->Stay(); },
@@ -152,7 +152,7 @@
     proxy.SetClaims(claims);
     hooks.replica = [replica] { return replica->Report(); };
     hooks.figures = [link, replica, claims] {
-      return link->FiguresText() + replica->FiguresText(claims->counts());
+      return link->MetricsText() + replica->MetricsText(claims->counts());
     };
     hooks.leave = [link, replica] { replica->Leave(), link->Leave(); };
     hooks.hand_over = [link, replica] { replica->Leave(), link->HandOver(), replica->HandOver(); };
@@ -168,7 +168,7 @@
             [&proxy] { return proxy.requests(); },
             [&proxy](const auto& share) { proxy.OnShare(share.share, share.until, share.after); }, log});
     auto* concert = links.concert.get();
-    hooks.figures = [before = hooks.figures, concert] { return before() + concert->FiguresText(); };
+    hooks.figures = [before = hooks.figures, concert] { return before() + concert->MetricsText(); };
     hooks.hand_over = [before = hooks.hand_over, concert] { concert->HandOver(), before(); };
   }
   if (!loaded.partition.empty()) {
@@ -177,7 +177,7 @@
         kestrelline::concert::PartitionLink::Hooks{
             [&proxy](int request_class, double per_s) { proxy.OnClassLimit(request_class, per_s); }, log});
     auto* partition = links.partition.get();
-    hooks.figures = [before = hooks.figures, partition] { return before() + partition->FiguresText(); };
+    hooks.figures = [before = hooks.figures, partition] { return before() + partition->MetricsText(); };
   }
   proxy.SetPeers(std::move(hooks));
   return links;
--- a/src/concert/link.cpp
+++ b/src/concert/link.cpp
@@ -109,7 +109,7 @@
   }
 }
 
-std::string Link::FiguresText() const {
+std::string Link::MetricsText() const {
   std::string text;
   char line[96];
   const auto put = [&](const std::string& name, double value) {
--- a/src/concert/link.h
+++ b/src/concert/link.h
@@ -41,7 +41,7 @@
   // To another process of this proxy.
   void HandOver();
 
-  std::string FiguresText() const;
+  std::string MetricsText() const;
 
  private:
   void Begin();
--- a/src/concert/partition_link.cpp
+++ b/src/concert/partition_link.cpp
@@ -38,7 +38,7 @@
   hooks_.log(line);
 }
 
-std::string PartitionLink::FiguresText() const {
+std::string PartitionLink::MetricsText() const {
   std::string text = "proxy_partition_situation " + std::to_string(static_cast<int>(situation_)) + "\n";
   for (const ClassPartition& c : classes_) {
     char line[48];
--- a/src/concert/partition_link.h
+++ b/src/concert/partition_link.h
@@ -27,7 +27,7 @@
   PartitionLink(const PartitionLink&) = delete;
   PartitionLink& operator=(const PartitionLink&) = delete;
 
-  std::string FiguresText() const;
+  std::string MetricsText() const;
 
  private:
   void Follow();
--- a/src/management/commands.cpp
+++ b/src/management/commands.cpp
@@ -35,7 +35,7 @@
     const State state = operations.state();
     return state == State::kReady ? Ack("ready") : Nak(lifecycle::NameOf(state));
   }
-  if (line == "show-stat") return operations.FiguresText() + "--\n";
+  if (line == "show-stat") return operations.MetricsText() + "--\n";
   if (line == "peers") {
     const std::string text = operations.PeersText();
     return text.empty() ? Nak("peers are off") : Ack(text);
--- a/src/management/commands.h
+++ b/src/management/commands.h
@@ -25,7 +25,7 @@
   virtual lifecycle::Done Drain() = 0;
   virtual lifecycle::Done Resume() = 0;
   // The metrics in Prometheus text format.
-  virtual std::string FiguresText() const = 0;
+  virtual std::string MetricsText() const = 0;
   // This proxy's view of its peers as one JSON object; empty if peers are disabled.
   virtual std::string PeersText() const { return {}; }
   // State of the replicated data as one JSON object; empty if replication is disabled.
--- a/src/peers/link.cpp
+++ b/src/peers/link.cpp
@@ -273,7 +273,7 @@
       .dump();
 }
 
-std::string Link::FiguresText() const {
+std::string Link::MetricsText() const {
   std::string text;
   const auto line = [&](const std::string& name, std::uint64_t value) {
     text += "proxy_peers" + name + " " + std::to_string(value) + "\n";
--- a/src/peers/link.h
+++ b/src/peers/link.h
@@ -75,7 +75,7 @@
   bool listens() const { return socket_.is_open() && !handed_over_; }  // not while it waits for the address
   // One JSON object, and the figures' lines in the text form of Prometheus.
   std::string Report() const;
-  std::string FiguresText() const;
+  std::string MetricsText() const;
 
  private:
   struct Counts {
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -136,7 +136,7 @@
   return done;
 }
 
-std::string Proxy::FiguresText() const {
+std::string Proxy::MetricsText() const {
   return figures_.Text({numbers_.all().size() - gone_since_.size(), balancer_.Ejected()}) +
          (peers_.figures ? peers_.figures() : std::string());
 }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -124,7 +124,7 @@
   kestrelline::lifecycle::State state() const override { return life_.state(); }
   kestrelline::lifecycle::Done Drain() override;
   kestrelline::lifecycle::Done Resume() override;
-  std::string FiguresText() const override;
+  std::string MetricsText() const override;
   std::string PeersText() const override { return peers_.report ? peers_.report() : std::string(); }
   std::string ReplicaText() const override { return peers_.replica ? peers_.replica() : std::string(); }
 
--- a/src/replica/link.cpp
+++ b/src/replica/link.cpp
@@ -196,7 +196,7 @@
       .dump();
 }
 
-std::string Link::FiguresText(const Claims::Counts& claims) const {
+std::string Link::MetricsText(const Claims::Counts& claims) const {
   std::string text;
   const auto line = [&](const std::string& name, std::uint64_t value) {
     text += "proxy_replica" + name + " " + std::to_string(value) + "\n";
--- a/src/replica/link.h
+++ b/src/replica/link.h
@@ -48,7 +48,7 @@
   // One JSON object; its digests are of entries that end after `as_of_ms` of their origin, so that two
   // proxies' can be compared.
   std::string Report() const;
-  std::string FiguresText(const Claims::Counts& claims) const;
+  std::string MetricsText(const Claims::Counts& claims) const;
 
  private:
   void Flush();
--- a/tests/management/commands_test.cpp
+++ b/tests/management/commands_test.cpp
@@ -19,7 +19,7 @@
   lifecycle::State state() const override { return life.state(); }
   lifecycle::Done Drain() override { return life.Drain({}); }
   lifecycle::Done Resume() override { return life.Resume(); }
-  std::string FiguresText() const override { return figures.Text({15, 2}); }
+  std::string MetricsText() const override { return figures.Text({15, 2}); }
 };
 
 TEST(Commands, EachCommandHasADefinedAnswerInEachState) {
@@ -76,7 +76,7 @@
   process.figures.OnRequestOutcome(0, RequestOutcome::kFailed);
   process.figures.OnAttempt(), process.figures.OnAttempt();
   process.figures.OnRequestStarted(), process.figures.OnRequestStarted(), process.figures.OnRequestClosed();
-  EXPECT_EQ(process.FiguresText(),
+  EXPECT_EQ(process.MetricsText(),
             "proxy_ok{kind=\"preview\"} 3\nproxy_ok{kind=\"a\\\"b\\\\c\\nd\"} 0\n"
             "proxy_shed{kind=\"preview\"} 0\nproxy_shed{kind=\"a\\\"b\\\\c\\nd\"} 1\n"
             "proxy_errors{kind=\"preview\"} 1\nproxy_errors{kind=\"a\\\"b\\\\c\\nd\"} 0\n"
@@ -85,10 +85,10 @@
 
 TEST(Figures, UnknownRequestClassIsNotCounted) {
   Process process;
-  const std::string before = process.FiguresText();
+  const std::string before = process.MetricsText();
   for (const int request_class : {-1, 2, 1 << 30})
     process.figures.OnRequestOutcome(request_class, RequestOutcome::kServed);
-  EXPECT_EQ(process.FiguresText(), before);
+  EXPECT_EQ(process.MetricsText(), before);
 }
 
 }  // namespace
