--- a/src/management/figures.cpp
+++ b/src/management/figures.cpp
@@ -24,16 +24,16 @@
   return escaped;
 }
 
-Figures::Figures(std::vector<std::string> classes) : counts_(classes.size()) {
+Metrics::Metrics(std::vector<std::string> classes) : counts_(classes.size()) {
   for (const std::string& name : classes) labels_.push_back(EscapeLabel(name));
 }
 
-void Figures::OnRequestOutcome(int request_class, RequestOutcome ending) {
+void Metrics::OnRequestOutcome(int request_class, RequestOutcome ending) {
   if (request_class < 0 || static_cast<std::size_t>(request_class) >= counts_.size()) return;
   ++counts_[static_cast<std::size_t>(request_class)].by_ending[static_cast<std::size_t>(ending)];
 }
 
-std::string Figures::Text(const Pool& pool) const {
+std::string Metrics::Text(const Pool& pool) const {
   std::string text;
   text.reserve(128 + labels_.size() * 128);
   const auto line = [&](std::string_view name, auto value) {
--- a/src/management/figures.h
+++ b/src/management/figures.h
@@ -19,10 +19,10 @@
 // Outcome of a request as seen by its client.
 enum class RequestOutcome { kServed, kRefused, kFailed };
 
-class Figures {
+class Metrics {
  public:
   // `classes`: the request classes of the settings. Clients cannot add label values to them.
-  explicit Figures(std::vector<std::string> classes);
+  explicit Metrics(std::vector<std::string> classes);
 
   // Not counted if `request_class` is out of range, as for a request that could not be parsed.
   void OnRequestOutcome(int request_class, RequestOutcome ending);
--- a/src/proxy/clients.cpp
+++ b/src/proxy/clients.cpp
@@ -33,7 +33,7 @@
 }  // namespace
 
 Clients::Clients(asio::io_context& io, const Config& config, Places places,
-                 const kestrelline::lifecycle::Life& life, kestrelline::management::Figures& figures,
+                 const kestrelline::lifecycle::Life& life, kestrelline::management::Metrics& figures,
                  kestrelline::bodies::Budget& bodies, RequestHandler& handler)
     : io_(io),
       config_(config),
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -64,7 +64,7 @@
   // Listens at once, or takes over the listener that the configuration names; throws BadConfig or
   // boost::system::system_error if it cannot. Accepts when `life` says so. `figures` are told of each end.
   Clients(boost::asio::io_context& io, const Config& config, Places places,
-          const kestrelline::lifecycle::Life& life, kestrelline::management::Figures& figures,
+          const kestrelline::lifecycle::Life& life, kestrelline::management::Metrics& figures,
           kestrelline::bodies::Budget& bodies, RequestHandler& handler);
   ~Clients();
   Clients(const Clients&) = delete;
@@ -98,7 +98,7 @@
   const Config& config_;
   Places places_;
   const kestrelline::lifecycle::Life& life_;
-  kestrelline::management::Figures& figures_;
+  kestrelline::management::Metrics& figures_;
   kestrelline::bodies::Budget& bodies_;
   std::size_t most_bytes_ = 0, reserved_ = 0;  // of bodies that are held whole
   RequestHandler& handler_;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -95,7 +95,7 @@
   std::uint64_t last_revision() const { return discovery_->revision(); }
   std::size_t backends_known() const { return backends_->known(); }
   std::size_t held() const { return pending_.size(); }
-  const kestrelline::management::Figures& figures() const { return figures_; }
+  const kestrelline::management::Metrics& figures() const { return figures_; }
   // The door's; where there is one.
   boost::asio::ip::tcp::endpoint management_address() const { return management_endpoint_->address(); }
 
@@ -166,7 +166,7 @@
 
   Config config_;
   kestrelline::lifecycle::Life life_;
-  kestrelline::management::Figures figures_;
+  kestrelline::management::Metrics figures_;
   Routes routes_;
   Tagger tagger_;
   Peers peers_;
--- a/tests/management/commands_test.cpp
+++ b/tests/management/commands_test.cpp
@@ -15,7 +15,7 @@
 
 struct Process : Operations {
   lifecycle::Life life;
-  Figures figures{{"preview", "a\"b\\c\nd"}};
+  Metrics figures{{"preview", "a\"b\\c\nd"}};
   lifecycle::State state() const override { return life.state(); }
   lifecycle::Done Drain() override { return life.Drain({}); }
   lifecycle::Done Resume() override { return life.Resume(); }
