--- a/tests/concert/processes_test.cpp
+++ b/tests/concert/processes_test.cpp
@@ -16,8 +16,10 @@
 class DividingFleet {
  public:
   explicit DividingFleet(int proxies) : peers(proxies, {"a", "b"}, std::nullopt, 2, "") {}
-  double Share(int i) { return FiguresOf(peers.Door(i))["proxy_concert_share"]; }
-  double Figure(int i, const std::string& name) { return FiguresOf(peers.Door(i))["proxy_concert" + name]; }
+  double Share(int i) { return FetchMetrics(peers.Door(i))["proxy_concert_share"]; }
+  double Figure(int i, const std::string& name) {
+    return FetchMetrics(peers.Door(i))["proxy_concert" + name];
+  }
   ::testing::AssertionResult AwaitShares(const Group& group, double part) {
     return peers.Await([&] {
       return std::all_of(group.begin(), group.end(), [&](int i) { return std::abs(Share(i) - part) < 0.01; });
@@ -60,7 +62,7 @@
   const auto await = [&](const Group& group, int situation) {
     return fleet.Await([&] {
       return std::all_of(group.begin(), group.end(), [&](int i) {
-        return FiguresOf(fleet.Door(i))["proxy_partition_situation"] == situation;
+        return FetchMetrics(fleet.Door(i))["proxy_partition_situation"] == situation;
       });
     });
   };
@@ -77,7 +79,7 @@
   EXPECT_TRUE(refused(3, "POST", "book"));
   EXPECT_EQ(ask(0, "POST", "book").result_int(), 200u);
   EXPECT_EQ(ask(1, "POST", "change").result_int(), 200u);
-  EXPECT_EQ(FiguresOf(fleet.Door(1))["proxy_partition_limit{class=\"look\"}"], kRate);
+  EXPECT_EQ(FetchMetrics(fleet.Door(1))["proxy_partition_limit{class=\"look\"}"], kRate);
   const auto looks = [&] {
     const auto events = fleet.fleet().events.Get();
     return std::count_if(events.begin(), events.end(), [](const load::Event& e) {
--- a/tests/proxy/door_test.cpp
+++ b/tests/proxy/door_test.cpp
@@ -123,15 +123,15 @@
         ASSERT_TRUE(one.seen.WaitFor([](const Backend::Seen& s) { return !s.requests.empty(); }));
         Client other(site.proxy->address);
         other.Send(WithId(Look("X-Do: hold\r\n"), "other"));
-        while (FiguresOf(site.endpoint)["proxy_active"] < 2) std::this_thread::yield();
-        EXPECT_EQ(FiguresOf(site.endpoint)["proxy_active"], 2);
+        while (FetchMetrics(site.endpoint)["proxy_active"] < 2) std::this_thread::yield();
+        EXPECT_EQ(FetchMetrics(site.endpoint)["proxy_active"], 2);
       }
     }
   }
   release.Do([](bool& go) { go = true; });
   ASSERT_TRUE(site.proxy->WaitUntilNothingIsHeld());
-  while (FiguresOf(site.endpoint)["proxy_active"] != 0) std::this_thread::yield();
-  const auto figures = FiguresOf(site.endpoint);
+  while (FetchMetrics(site.endpoint)["proxy_active"] != 0) std::this_thread::yield();
+  const auto figures = FetchMetrics(site.endpoint);
   for (const auto& [name, value] : counted) EXPECT_EQ(figures.at(name), value) << name;
   // Each backend reads on a thread of its own, which may lag behind the writes that the proxy counted.
   const auto seen = [&] { return one.seen.Get().requests.size() + two.seen.Get().requests.size(); };
@@ -152,9 +152,10 @@
   ASSERT_TRUE(site.discovery.WaitForWatches(1));
   const auto await_size = [&](double size) {
     const auto deadline = std::chrono::steady_clock::now() + kGiveUp;
-    while (FiguresOf(site.endpoint)["proxy_pool_size"] != size && std::chrono::steady_clock::now() < deadline)
+    while (FetchMetrics(site.endpoint)["proxy_pool_size"] != size &&
+           std::chrono::steady_clock::now() < deadline)
       std::this_thread::yield();
-    EXPECT_EQ(FiguresOf(site.endpoint)["proxy_pool_size"], size);
+    EXPECT_EQ(FetchMetrics(site.endpoint)["proxy_pool_size"], size);
   };
   await_size(2);
   site.discovery.Push(ListJson(42, false, Members(MemberJson("s-3", backend.address()))));
--- a/tests/support/door_call.h
+++ b/tests/support/door_call.h
@@ -29,7 +29,7 @@
 }
 
 // The metrics of `show-stat` by name with labels.
-inline std::map<std::string, double> FiguresOf(const Tcp::endpoint& endpoint) {
+inline std::map<std::string, double> FetchMetrics(const Tcp::endpoint& endpoint) {
   std::istringstream text(Call(endpoint, "show-stat\n"));
   std::map<std::string, double> values;
   std::string name;
--- a/tests/support/peer_fleet.h
+++ b/tests/support/peer_fleet.h
@@ -74,7 +74,7 @@
       if (m["name"] == name) return m["state"];
     return "";
   }
-  double Figure(int i, const std::string& name) { return FiguresOf(Door(i))["proxy_peers" + name]; }
+  double Figure(int i, const std::string& name) { return FetchMetrics(Door(i))["proxy_peers" + name]; }
   double Events(int i, const std::string& kind) { return Figure(i, "_events{kind=\"" + kind + "\"}"); }
   double EventsOfAll(const std::string& kind) {
     double all = 0;
