--- a/src/operator/diagnostics.cpp
+++ b/src/operator/diagnostics.cpp
@@ -45,7 +45,7 @@
 void Diagnostics::Add(Position at, std::string_view rule, std::string_view text) {
   Message message{at, std::string(rule), Sanitize(text)};
   if (messages_.contains(message)) return;
-  if (messages_.size() >= kMostKept) {
+  if (messages_.size() >= kMaxMessages) {
     ++dropped_;
     return;
   }
@@ -53,7 +53,7 @@
 }
 
 std::string Diagnostics::Nearest(std::string_view name, const std::vector<std::string_view>& known) const {
-  return messages_.size() < kMostKept ? NearestName(name, known) : "";
+  return messages_.size() < kMaxMessages ? NearestName(name, known) : "";
 }
 
 std::string Diagnostics::Suggest(std::string_view name, const std::vector<std::string_view>& known) const {
--- a/src/operator/diagnostics.h
+++ b/src/operator/diagnostics.h
@@ -36,7 +36,7 @@
 class Diagnostics {
  public:
   // Further messages are only counted, so that a file with many errors does not fill the log.
-  static constexpr std::size_t kMostKept = 100;
+  static constexpr std::size_t kMaxMessages = 100;
 
   explicit Diagnostics(std::string file) : file_(std::move(file)) {}
 
@@ -45,7 +45,7 @@
 
   bool ok() const { return messages_.empty(); }
 
-  // NearestName, or an empty text once kMostKept is reached: limits the cost of a file with many unknown
+  // NearestName, or an empty text once kMaxMessages is reached: limits the cost of a file with many unknown
   // names, each of which would be compared with all known ones.
   std::string Nearest(std::string_view name, const std::vector<std::string_view>& known) const;
   // The end of a message about an unknown name: "did you mean 'x'?", or "it has a, b and c" if no name is
--- a/tests/routing/refused_files_test.cpp
+++ b/tests/routing/refused_files_test.cpp
@@ -205,7 +205,7 @@
   std::string text = "version = 1\n";
   for (int i = 0; i < 5000; ++i) text += "key" + std::to_string(i) + " = " + std::to_string(i) + "\n";
   const Built built(text);
-  EXPECT_EQ(built.diagnostics.Lines().size(), operator_file::Diagnostics::kMostKept + 1);
+  EXPECT_EQ(built.diagnostics.Lines().size(), operator_file::Diagnostics::kMaxMessages + 1);
   EXPECT_EQ(built.diagnostics.Lines().back(), "f.toml: and 4900 more");
 }
 
@@ -231,7 +231,7 @@
   std::string text = "version = 1\n[[route]]\nname = \"r\"\nmatch.tenant = [";
   for (int i = 0; i < 20000; ++i) text += "\"notary-of-a-district-" + std::to_string(i) + "\",";
   const Built built(text + "]\n", site);
-  EXPECT_EQ(built.diagnostics.Lines().size(), operator_file::Diagnostics::kMostKept + 1);
+  EXPECT_EQ(built.diagnostics.Lines().size(), operator_file::Diagnostics::kMaxMessages + 1);
 }
 
 TEST(RefusedFilesTable, ControlCharactersOfAFileDoNotReachTheLog) {
