--- a/src/app/operator_config.cpp
+++ b/src/app/operator_config.cpp
@@ -93,7 +93,7 @@
                                                const kestrelline::proxy::Config& platform, Keep keep,
                                                operator_file::Diagnostics* diagnostics) {
   const auto text =
-      operator_file::ReadWhole(path, operator_file::MostFileBytes(platform.memory_mb), diagnostics);
+      operator_file::ReadWhole(path, operator_file::MaxFileBytes(platform.memory_mb), diagnostics);
   const auto folder = std::filesystem::path(path).parent_path();
   return text ? ParseOperatorFile(*text, platform, keep, diagnostics, folder.string()) : std::nullopt;
 }
--- a/tools/kestrelload/main.cpp
+++ b/tools/kestrelload/main.cpp
@@ -62,7 +62,7 @@
   const std::string& path = arguments.plan;
   kestrelline::operator_file::Diagnostics diagnostics(path);
   const auto text =
-      kestrelline::operator_file::ReadWhole(path, kestrelline::operator_file::kMostFileBytes, &diagnostics);
+      kestrelline::operator_file::ReadWhole(path, kestrelline::operator_file::kMaxFileBytes, &diagnostics);
   auto plan = text ? ReadPlan(*text, &diagnostics) : std::nullopt;
   if (plan) {
     if (!arguments.targets.empty()) plan->targets = arguments.targets;
@@ -104,7 +104,7 @@
   if (!arguments.faults.empty()) {
     kestrelline::operator_file::Diagnostics diagnostics(arguments.faults);
     const auto text = kestrelline::operator_file::ReadWhole(
-        arguments.faults, kestrelline::operator_file::kMostFileBytes, &diagnostics);
+        arguments.faults, kestrelline::operator_file::kMaxFileBytes, &diagnostics);
     const auto site = text ? kestrelline::standin::ReadSite(*text, &diagnostics) : std::nullopt;
     if (!site) throw Unusable(diagnostics.Lines().front());
     for (const auto& fault : site->faults) spans.push_back(kestrelline::standin::SpanOf(fault));
