--- a/src/operator/diagnostics.cpp
+++ b/src/operator/diagnostics.cpp
@@ -58,7 +58,7 @@
 
 std::string Diagnostics::Suggest(std::string_view name, const std::vector<std::string_view>& known) const {
   const std::string nearest = Nearest(name, known);
-  return nearest.empty() ? "it has " + Listed(known) : "did you mean '" + nearest + "'?";
+  return nearest.empty() ? "it has " + JoinNames(known) : "did you mean '" + nearest + "'?";
 }
 
 std::vector<std::string> Diagnostics::Lines() const {
@@ -84,7 +84,7 @@
   return std::string(nearest);
 }
 
-std::string Listed(const std::vector<std::string_view>& names) {
+std::string JoinNames(const std::vector<std::string_view>& names) {
   if (names.empty()) return "none";
   std::string text;
   const std::size_t listed = std::min(names.size(), kMaxListedNames);
--- a/src/operator/diagnostics.h
+++ b/src/operator/diagnostics.h
@@ -69,7 +69,7 @@
 std::string NearestName(std::string_view name, const std::vector<std::string_view>& known);
 
 // "a, b and c", or "a, b, ... and 3 more" for more than twelve names.
-std::string Listed(const std::vector<std::string_view>& names);
+std::string JoinNames(const std::vector<std::string_view>& names);
 
 }  // namespace kestrelline::operator_file
 
--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -124,7 +124,7 @@
     diagnostics_->Add(
         PositionOf(key.source()), "unknown-key",
         "no key '" + std::string(key.str().substr(0, 60)) + "' in " + name_ + "; " +
-            (nearest.empty() ? "accepted are " + Listed(names) : "did you mean '" + nearest + "'?"));
+            (nearest.empty() ? "accepted are " + JoinNames(names) : "did you mean '" + nearest + "'?"));
   }
 }
 
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -46,7 +46,7 @@
                                    limits.affinity->value) == std::end(kAffinityWords)) {
     diagnostics->Add(limits.affinity->at, "affinity",
                      "affinity is '" + limits.affinity->value + "'; accepted are " +
-                         operator_file::Listed({std::begin(kAffinityWords), std::end(kAffinityWords)}));
+                         operator_file::JoinNames({std::begin(kAffinityWords), std::end(kAffinityWords)}));
   }
   if (limits.claim && !ParseClaim(limits.claim->value)) {
     diagnostics->Add(limits.claim->at, "claim",
@@ -61,7 +61,7 @@
     const std::string nearest = diagnostics->Nearest(word.value, words);
     diagnostics->Add(word.at, "retry-on",
                      "'" + word.value + "' is nothing to repeat after; accepted are " +
-                         operator_file::Listed(words) +
+                         operator_file::JoinNames(words) +
                          (nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
   }
 }
@@ -104,7 +104,7 @@
     }
     diagnostics->Add(
         c.name.at, "unknown-class",
-        "the platform has no class '" + c.name.value + "'; it has " + operator_file::Listed(class_names));
+        "the platform has no class '" + c.name.value + "'; it has " + operator_file::JoinNames(class_names));
   }
 
   const auto check = [&](const LimitsSpec& limits) {
@@ -123,7 +123,7 @@
         const std::string nearest = diagnostics->Nearest(name.value, budget_names);
         diagnostics->Add(name.at, "unknown-budget",
                          "there is no [budget." + name.value + "]; " +
-                             (nearest.empty() ? "there are " + operator_file::Listed(budget_names)
+                             (nearest.empty() ? "there are " + operator_file::JoinNames(budget_names)
                                               : "did you mean '" + nearest + "'?"));
         continue;
       }
@@ -136,7 +136,7 @@
     }
     if (sum > 1 + 1e-9)
       diagnostics->Add(limits.retry_budgets->at, "budget-sum",
-                       "budgets " + operator_file::Listed(seen) + " together allow " +
+                       "budgets " + operator_file::JoinNames(seen) + " together allow " +
                            std::to_string(static_cast<int>(sum * 100 + 0.5)) +
                            " repeats for 100 first attempts; 100 at most are accepted");
     if (seen.size() > kMostBudgets)
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -326,7 +326,7 @@
       Bad(text.at, "never",
           "no request has a path under '/" + first +
               "': the first part of a path is its class, and there are " +
-              operator_file::Listed(class_names_));
+              operator_file::JoinNames(class_names_));
       return;
     }
     if (std::find(route->classes.begin(), route->classes.end(), of_path) == route->classes.end()) {
--- a/src/standin/faults.cpp
+++ b/src/standin/faults.cpp
@@ -67,7 +67,7 @@
   if (!kind) {
     std::vector<std::string_view> names;
     for (const FaultKind& k : FaultKinds()) names.push_back(k.name);
-    *why = "there is no fault '" + name.substr(0, 64) + "'; there are " + operator_file::Listed(names);
+    *why = "there is no fault '" + name.substr(0, 64) + "'; there are " + operator_file::JoinNames(names);
     return std::nullopt;
   }
   Fault fault;
--- a/src/standin/site.cpp
+++ b/src/standin/site.cpp
@@ -155,7 +155,7 @@
     std::vector<std::string_view> names;
     for (const FaultKind& k : FaultKinds()) names.push_back(k.name);
     diagnostics->Add(name->at, "fault",
-                     "there is no fault '" + name->value + "'; there are " + operator_file::Listed(names));
+                     "there is no fault '" + name->value + "'; there are " + operator_file::JoinNames(names));
     return;
   }
   Fault fault;
