--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -65,10 +65,10 @@
   std::string text;
   const auto add = [&](const std::string& part) { text += (text.empty() ? "" : " ") + part; };
   if (limits->max_attempts > 0) add(std::to_string(limits->max_attempts) + "x");
-  if (limits->attempt_timeout.count() > 0) add("timeout=" + Shown(limits->attempt_timeout));
-  if (limits->pause.count() > 0) add("pause=" + Shown(limits->pause));
-  if (limits->patience.count() > 0) add("patience=" + Shown(limits->patience));
-  if (limits->second_copy_after.count() > 0) add("copy=" + Shown(limits->second_copy_after));
+  if (limits->attempt_timeout.count() > 0) add("timeout=" + FormatDuration(limits->attempt_timeout));
+  if (limits->pause.count() > 0) add("pause=" + FormatDuration(limits->pause));
+  if (limits->patience.count() > 0) add("patience=" + FormatDuration(limits->patience));
+  if (limits->second_copy_after.count() > 0) add("copy=" + FormatDuration(limits->second_copy_after));
   if (limits->max_in_flight > 0) add("in_flight=" + std::to_string(limits->max_in_flight));
   if (limits->affinity_bound > 0) {
     std::ostringstream bound;
@@ -292,13 +292,13 @@
         << OriginText(chosen.origin, chosen.at, command) << '\n';
   };
   const auto time = [](const Chosen<Duration>& chosen, const std::string& fallback) {
-    return chosen.value ? Shown(*chosen.value) : fallback;
+    return chosen.value ? FormatDuration(*chosen.value) : fallback;
   };
   const auto integer = [](const Chosen<std::int64_t>& chosen, const std::string& fallback) {
     return chosen.value ? std::to_string(*chosen.value) : fallback;
   };
   line("attempt_timeout", time(limits.attempt_timeout, "what is left"), limits.attempt_timeout);
-  line("patience", time(limits.patience, Shown(deadline)), limits.patience);
+  line("patience", time(limits.patience, FormatDuration(deadline)), limits.patience);
   line("max_attempts", integer(limits.max_attempts, std::to_string(settings.max_attempts)),
        limits.max_attempts);
   line("pause", time(limits.pause, "none"), limits.pause);
--- a/src/operator/values.cpp
+++ b/src/operator/values.cpp
@@ -68,7 +68,7 @@
   return *number / 100;
 }
 
-std::string Shown(Milliseconds duration) {
+std::string FormatDuration(Milliseconds duration) {
   std::string_view unit = "ms";
   double value = duration.count();
   for (const auto& [name, ms] : kUnits) {
--- a/src/operator/values.h
+++ b/src/operator/values.h
@@ -24,7 +24,7 @@
 
 // Formats a duration, as "250ms", in the largest unit in which it has a value of at least 1 and at most two
 // decimals.
-std::string Shown(Milliseconds duration);
+std::string FormatDuration(Milliseconds duration);
 
 }  // namespace kestrelline::operator_file
 
--- a/src/peers/settings.cpp
+++ b/src/peers/settings.cpp
@@ -136,8 +136,9 @@
            : spec.probe_every ? spec.probe_every->at
                               : spec.at,
            "peers-times",
-           "with a probe every " + Shown(std::chrono::duration_cast<Milliseconds>(s.times.period)) +
-               " a crash is known within " + Shown(needed) + ", not within " + Shown(promised));
+           "with a probe every " + FormatDuration(std::chrono::duration_cast<Milliseconds>(s.times.period)) +
+               " a crash is known within " + FormatDuration(needed) + ", not within " +
+               FormatDuration(promised));
   }
   if (spec.forget_after && spec.forget_after->value < 2 * promised)
     d->Add(
--- a/src/plugin/section.cpp
+++ b/src/plugin/section.cpp
@@ -63,9 +63,9 @@
   if (const auto wall = reader.Duration("wall")) {
     b.wall = wall->value;
     if (b.wall > kMostWall || b.wall < Duration(0.5))
-      diagnostics->Add(
-          wall->at, "plugin-wall",
-          "a plug-in that holds requests for " + operator_file::Shown(b.wall) + "; 0.5ms to 5ms is accepted");
+      diagnostics->Add(wall->at, "plugin-wall",
+                       "a plug-in that holds requests for " + operator_file::FormatDuration(b.wall) +
+                           "; 0.5ms to 5ms is accepted");
   }
   if (const auto fuel = reader.Whole("fuel", 1000, 100'000'000))
     b.fuel = static_cast<std::uint64_t>(fuel->value);
@@ -81,8 +81,8 @@
   if (const auto most = reader.Duration("retry_most")) s.retry_most = most->value;
   if (s.retry_most < s.retry_first)
     diagnostics->Add(reader.at("retry_most"), "range",
-                     "retry_most, " + operator_file::Shown(s.retry_most) + ", is under retry_first, " +
-                         operator_file::Shown(s.retry_first));
+                     "retry_most, " + operator_file::FormatDuration(s.retry_most) +
+                         ", is under retry_first, " + operator_file::FormatDuration(s.retry_first));
   spec->plugins.push_back(std::move(plugin));
 }
 
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -207,19 +207,19 @@
   if (!(last > remembered)) return;
   diagnostics->Add(Blame({Place(limits.attempt_timeout), Place(limits.pause), Place(limits.max_attempts)}),
                    "window",
-                   "class " + name + ": attempt " + std::to_string(n) + " would begin " + Shown(last) +
-                       " after the first, but its group drops repeats for " + Shown(c.window) + "; up to " +
-                       Shown(remembered) + " is accepted");
+                   "class " + name + ": attempt " + std::to_string(n) + " would begin " +
+                       FormatDuration(last) + " after the first, but its group drops repeats for " +
+                       FormatDuration(c.window) + "; up to " + FormatDuration(remembered) + " is accepted");
 }
 
 void LimitsBook::CheckTimes(const Effective& limits, std::size_t class_index,
                             Diagnostics* diagnostics) const {
   const Duration deadline = site_.settings.classes[class_index].deadline;
   const std::string& name = site_.classes[class_index];
-  const auto waits = "class " + name + "'s clients wait " + Shown(deadline);
+  const auto waits = "class " + name + "'s clients wait " + FormatDuration(deadline);
   if (limits.patience.value && *limits.patience.value > deadline) {
     diagnostics->Add(limits.patience.at, "deadline",
-                     "patience is " + Shown(*limits.patience.value) + ", but " + waits +
+                     "patience is " + FormatDuration(*limits.patience.value) + ", but " + waits +
                          "; no more than that is accepted");
     return;
   }
@@ -235,15 +235,16 @@
                              Place(limits.patience)});
   std::string text = std::to_string(n) + (n == 1 ? " attempt" : " attempts") +
                      (limits.max_attempts.value ? "" : " (the platform's)");
-  if (timeout.count() > 0) text += " of " + Shown(timeout);
-  if (n > 1 && pause.count() > 0) text += " and pauses of " + Shown(pause);
-  text += " add up to " + Shown(sum) + ", but " +
-          (own ? "patience is " + Shown(most) + " (" + waits + ")" : waits);
+  if (timeout.count() > 0) text += " of " + FormatDuration(timeout);
+  if (n > 1 && pause.count() > 0) text += " and pauses of " + FormatDuration(pause);
+  text += " add up to " + FormatDuration(sum) + ", but " +
+          (own ? "patience is " + FormatDuration(most) + " (" + waits + ")" : waits);
   int fits = 0;
   while (fits < n && timeout * (fits + 1) + pause * fits <= most) ++fits;
-  diagnostics->Add(at, "deadline",
-                   text + (fits > 0 ? "; max_attempts = " + std::to_string(fits) + " is accepted"
-                                    : "; an attempt_timeout of " + Shown(most) + " or less is accepted"));
+  diagnostics->Add(
+      at, "deadline",
+      text + (fits > 0 ? "; max_attempts = " + std::to_string(fits) + " is accepted"
+                       : "; an attempt_timeout of " + FormatDuration(most) + " or less is accepted"));
 }
 
 void LimitsBook::CheckCopies(const Effective& limits, std::size_t class_index,
@@ -270,8 +271,9 @@
     const Duration timeout = limits.attempt_timeout.value ? *limits.attempt_timeout.value : c.deadline;
     if (*limits.second_copy_after.value < timeout) return;
     diagnostics->Add(at, "second-copy",
-                     "class " + name + ": a second copy after " + Shown(*limits.second_copy_after.value) +
-                         " never goes out, as an attempt ends after " + Shown(timeout) +
+                     "class " + name + ": a second copy after " +
+                         FormatDuration(*limits.second_copy_after.value) +
+                         " never goes out, as an attempt ends after " + FormatDuration(timeout) +
                          "; less than that is accepted");
   }
 }
--- a/src/routing/section.cpp
+++ b/src/routing/section.cpp
@@ -118,8 +118,8 @@
     budget.window = window->value;
     if (window->value < kShortestWindow)
       diagnostics->Add(window->at, "range",
-                       "a window of " + operator_file::Shown(window->value) + "; " +
-                           operator_file::Shown(kShortestWindow) + " or more is accepted");
+                       "a window of " + operator_file::FormatDuration(window->value) + "; " +
+                           operator_file::FormatDuration(kShortestWindow) + " or more is accepted");
   }
   if (const auto least = reader.Whole("at_least", 0, kMostAtLeast)) budget.at_least = least->value;
   spec->budgets.push_back(std::move(budget));
--- a/tests/operator/read_file_test.cpp
+++ b/tests/operator/read_file_test.cpp
@@ -123,10 +123,10 @@
 TEST(Values, DurationsAreFormattedAsWritten) {
   for (const char* text : {"250ms", "1.5s", "2m", "1h", "0.5ms", "1.25m", "999ms"}) {
     std::string why;
-    EXPECT_EQ(Shown(*ParseDuration(text, false, &why)), text);
+    EXPECT_EQ(FormatDuration(*ParseDuration(text, false, &why)), text);
   }
-  EXPECT_EQ(Shown(Milliseconds(2000)), "2s");
-  EXPECT_EQ(Shown(Milliseconds(1234)), "1234ms");
+  EXPECT_EQ(FormatDuration(Milliseconds(2000)), "2s");
+  EXPECT_EQ(FormatDuration(Milliseconds(1234)), "1234ms");
 }
 
 TEST(Names, SuggestsTheNearestNameAndNoDissimilarOne) {
