--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 using operator_file::Diagnostics;
-using operator_file::Shown;
+using operator_file::FormatDuration;
 using routing::Chosen;
 using routing::Effective;
 using routing::Origin;
--- a/src/peers/settings.cpp
+++ b/src/peers/settings.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 using operator_file::Diagnostics;
+using operator_file::FormatDuration;
 using operator_file::Key;
 using operator_file::Kind;
 using operator_file::Milliseconds;
 using operator_file::Position;
 using operator_file::Section;
-using operator_file::Shown;
 using operator_file::TableReader;
 
 constexpr std::array kKeys{
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using operator_file::Diagnostics;
-using operator_file::Shown;
+using operator_file::FormatDuration;
 
 constexpr std::size_t kMostBudgets = 4;  // that one route draws on
 
