--- a/src/app/operator_config.cpp
+++ b/src/app/operator_config.cpp
@@ -43,8 +43,8 @@
 // failure sets `*why`.
 std::optional<std::string> ReadScript(const std::string& folder, const std::string& file, std::string* why) {
   operator_file::Diagnostics diagnostics(file);
-  auto text = operator_file::ReadWhole((std::filesystem::path(folder) / file).string(),
-                                       plugin::wire::kMostSource, &diagnostics);
+  auto text = operator_file::ReadFileSnapshot((std::filesystem::path(folder) / file).string(),
+                                              plugin::wire::kMostSource, &diagnostics);
   if (!diagnostics.ok()) *why = diagnostics.messages().begin()->text;
   return text;
 }
@@ -93,7 +93,7 @@
                                                const kestrelline::proxy::Config& platform, Keep keep,
                                                operator_file::Diagnostics* diagnostics) {
   const auto text =
-      operator_file::ReadWhole(path, operator_file::MaxFileBytes(platform.memory_mb), diagnostics);
+      operator_file::ReadFileSnapshot(path, operator_file::MaxFileBytes(platform.memory_mb), diagnostics);
   const auto folder = std::filesystem::path(path).parent_path();
   return text ? ParseOperatorFile(*text, platform, keep, diagnostics, folder.string()) : std::nullopt;
 }
--- a/src/operator/read_file.cpp
+++ b/src/operator/read_file.cpp
@@ -57,8 +57,8 @@
 
 }  // namespace
 
-std::optional<std::string> ReadWhole(const std::string& path, std::size_t max_bytes,
-                                     Diagnostics* diagnostics) {
+std::optional<std::string> ReadFileSnapshot(const std::string& path, std::size_t max_bytes,
+                                            Diagnostics* diagnostics) {
   const auto reject = [&](std::string_view rule, const std::string& text) {
     diagnostics->Add({}, rule, text);
     return std::nullopt;
--- a/src/operator/read_file.h
+++ b/src/operator/read_file.h
@@ -28,8 +28,8 @@
 // file that is modified while it is read is read again, up to `kAttempts` times in all, and then rejected. If
 // the file is replaced by a rename, the result is the complete old or new content. Reports the rules [read],
 // [size] and [changing].
-std::optional<std::string> ReadWhole(const std::string& path, std::size_t max_bytes,
-                                     Diagnostics* diagnostics);
+std::optional<std::string> ReadFileSnapshot(const std::string& path, std::size_t max_bytes,
+                                            Diagnostics* diagnostics);
 
 }  // namespace kestrelline::operator_file
 
--- a/tests/operator/read_file_test.cpp
+++ b/tests/operator/read_file_test.cpp
@@ -26,7 +26,7 @@
 // The rule that the file violates; empty if it is read.
 std::string RuleOf(const std::string& path) {
   Diagnostics diagnostics(path);
-  const auto text = ReadWhole(path, kMaxFileBytes, &diagnostics);
+  const auto text = ReadFileSnapshot(path, kMaxFileBytes, &diagnostics);
   EXPECT_EQ(text.has_value(), diagnostics.ok());
   return diagnostics.ok() ? "" : diagnostics.messages().begin()->rule;
 }
@@ -36,7 +36,7 @@
   for (const std::size_t size : {std::size_t{0}, std::size_t{1}, std::size_t{4096}, kMaxFileBytes}) {
     folder.Write("f", std::string(size, 'x'));
     Diagnostics diagnostics("f");
-    const auto text = ReadWhole(folder / "f", kMaxFileBytes, &diagnostics);
+    const auto text = ReadFileSnapshot(folder / "f", kMaxFileBytes, &diagnostics);
     ASSERT_TRUE(text) << size;
     EXPECT_EQ(text->size(), size);
   }
@@ -79,7 +79,7 @@
   int complete = 0, rejected = 0;
   for (int i = 0; i < 2000; ++i) {
     Diagnostics diagnostics("f");
-    const auto text = ReadWhole(folder / "f", kMaxFileBytes, &diagnostics);
+    const auto text = ReadFileSnapshot(folder / "f", kMaxFileBytes, &diagnostics);
     if (!text) {
       ++rejected;
       EXPECT_EQ(diagnostics.messages().begin()->rule, "changing");
--- a/tools/kestrelfleet/main.cpp
+++ b/tools/kestrelfleet/main.cpp
@@ -52,7 +52,7 @@
 
 std::optional<standin::SiteSpec> LoadSite(const std::string& path) {
   operator_file::Diagnostics diagnostics(path);
-  const auto text = operator_file::ReadWhole(path, operator_file::kMaxFileBytes, &diagnostics);
+  const auto text = operator_file::ReadFileSnapshot(path, operator_file::kMaxFileBytes, &diagnostics);
   auto site = text ? standin::ReadSite(*text, &diagnostics) : std::nullopt;
   for (const auto& line : diagnostics.Lines()) std::fprintf(stderr, "%s\n", line.c_str());
   return site;
--- a/tools/kestrellab/main.cpp
+++ b/tools/kestrellab/main.cpp
@@ -49,7 +49,7 @@
 
 std::optional<std::string> Whole(const std::string& path) {
   operator_file::Diagnostics diagnostics(path);
-  auto text = operator_file::ReadWhole(path, operator_file::kMaxFileBytes, &diagnostics);
+  auto text = operator_file::ReadFileSnapshot(path, operator_file::kMaxFileBytes, &diagnostics);
   Say(diagnostics);
   return text;
 }
--- a/tools/kestrelload/main.cpp
+++ b/tools/kestrelload/main.cpp
@@ -61,8 +61,8 @@
 Plan LoadPlan(const Arguments& arguments) {
   const std::string& path = arguments.plan;
   kestrelline::operator_file::Diagnostics diagnostics(path);
-  const auto text =
-      kestrelline::operator_file::ReadWhole(path, kestrelline::operator_file::kMaxFileBytes, &diagnostics);
+  const auto text = kestrelline::operator_file::ReadFileSnapshot(
+      path, kestrelline::operator_file::kMaxFileBytes, &diagnostics);
   auto plan = text ? ReadPlan(*text, &diagnostics) : std::nullopt;
   if (plan) {
     if (!arguments.targets.empty()) plan->targets = arguments.targets;
@@ -103,7 +103,7 @@
   std::vector<kestrelline::charts::Span> spans;
   if (!arguments.faults.empty()) {
     kestrelline::operator_file::Diagnostics diagnostics(arguments.faults);
-    const auto text = kestrelline::operator_file::ReadWhole(
+    const auto text = kestrelline::operator_file::ReadFileSnapshot(
         arguments.faults, kestrelline::operator_file::kMaxFileBytes, &diagnostics);
     const auto site = text ? kestrelline::standin::ReadSite(*text, &diagnostics) : std::nullopt;
     if (!site) throw Unusable(diagnostics.Lines().front());
--- a/tools/kestrelplug/main.cpp
+++ b/tools/kestrelplug/main.cpp
@@ -69,7 +69,7 @@
 
 std::optional<std::string> ReadAll(const std::string& path, std::size_t most) {
   Diagnostics diagnostics(path);
-  auto text = kestrelline::operator_file::ReadWhole(path, most, &diagnostics);
+  auto text = kestrelline::operator_file::ReadFileSnapshot(path, most, &diagnostics);
   for (const auto& line : diagnostics.Lines()) std::cerr << line << '\n';
   return text;
 }
--- a/tools/kestrelsim/main.cpp
+++ b/tools/kestrelsim/main.cpp
@@ -56,7 +56,7 @@
 template <typename Read>
 auto Load(const std::string& path, Read read) -> decltype(read("", nullptr)) {
   operator_file::Diagnostics diagnostics(path);
-  const auto text = operator_file::ReadWhole(path, operator_file::kMaxFileBytes, &diagnostics);
+  const auto text = operator_file::ReadFileSnapshot(path, operator_file::kMaxFileBytes, &diagnostics);
   auto loaded = text ? read(*text, &diagnostics) : std::nullopt;
   for (const auto& line : diagnostics.Lines()) std::fprintf(stderr, "%s\n", line.c_str());
   return loaded;
