--- a/tests/operator/read_file_test.cpp
+++ b/tests/operator/read_file_test.cpp
@@ -31,7 +31,7 @@
   return diagnostics.ok() ? "" : diagnostics.messages().begin()->rule;
 }
 
-TEST(ReadWhole, ReadsARegularFile) {
+TEST(ReadFileSnapshot, ReadsARegularFile) {
   const TemporaryFolder folder;
   for (const std::size_t size : {std::size_t{0}, std::size_t{1}, std::size_t{4096}, kMaxFileBytes}) {
     folder.Write("f", std::string(size, 'x'));
@@ -42,7 +42,7 @@
   }
 }
 
-TEST(ReadWhole, RejectsAnythingButARegularFileWithoutBlocking) {
+TEST(ReadFileSnapshot, RejectsAnythingButARegularFileWithoutBlocking) {
   const TemporaryFolder folder;
   EXPECT_EQ(RuleOf(folder / "absent"), "read");
   EXPECT_EQ(RuleOf(folder / "."), "read");
@@ -53,7 +53,7 @@
   EXPECT_EQ(RuleOf(folder / "loop"), "read");
 }
 
-TEST(ReadWhole, RejectsFiftyMegabytes) {
+TEST(ReadFileSnapshot, RejectsFiftyMegabytes) {
   const TemporaryFolder folder;
   folder.Write("big", "");
   std::filesystem::resize_file(folder / "big", 50'000'000);
@@ -61,7 +61,7 @@
 }
 
 // A file that is overwritten in place is read as one content or rejected, never as a mixture of two.
-TEST(ReadWhole, NeverReturnsAMixtureOfTwoContents) {
+TEST(ReadFileSnapshot, NeverReturnsAMixtureOfTwoContents) {
   const TemporaryFolder folder;
   const std::string old_text(300'000, 'a'), new_text(200'000, 'b');
   folder.Write("f", old_text);
