--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -28,11 +28,11 @@
     Key{"plan", Kind::kText, "The load, as kestrelload takes it; beside this file.", true},
     Key{"design", Kind::kText, "full (without it): all combinations; one_at_a_time; or search."},
     Key{"response", Kind::kText, "What is compared; service without it."},
-    Key{"days", Kind::kWhole, "How many each variant is played on; 8 without it."},
-    Key{"held_out", Kind::kWhole, "Days after those that a search never sees; as many without it."},
-    Key{"first_day", Kind::kWhole, "The seed of the first; 1 without it."},
+    Key{"days", Kind::kInteger, "How many each variant is played on; 8 without it."},
+    Key{"held_out", Kind::kInteger, "Days after those that a search never sees; as many without it."},
+    Key{"first_day", Kind::kInteger, "The seed of the first; 1 without it."},
     Key{"confidence", Kind::kShare, "Of the intervals; 95% without it."},
-    Key{"first_days", Kind::kWhole, "Of a search's first round; 3 without it."},
+    Key{"first_days", Kind::kInteger, "Of a search's first round; 3 without it."},
     Key{"keep", Kind::kShare, "Of a search's candidates, after each round; 33% without it."},
 };
 constexpr std::array kFactorKeys{
--- a/src/load/plan.cpp
+++ b/src/load/plan.cpp
@@ -21,10 +21,10 @@
     Key{"target", Kind::kTexts,
         "Where requests go, ADDRESS:PORT on loopback; to several in turn. --target goes before it."},
     Key{"time", Kind::kDuration, "How long arrivals last.", true},
-    Key{"seed", Kind::kWhole, "Of the arrivals; 1 without it."},
+    Key{"seed", Kind::kInteger, "Of the arrivals; 1 without it."},
     Key{"spacing", Kind::kText, "poisson (without it) or even."},
-    Key{"connections", Kind::kWhole, "The most at once, over all targets; 200 without it."},
-    Key{"retries", Kind::kWhole, "How often a client tries again after a refusal; 0 without it."},
+    Key{"connections", Kind::kInteger, "The most at once, over all targets; 200 without it."},
+    Key{"retries", Kind::kInteger, "How often a client tries again after a refusal; 0 without it."},
     Key{"retry_pause", Kind::kDuration, "Before that, where the answer names no time; 50ms without it."},
 };
 constexpr std::array kShapeKeys{
@@ -42,15 +42,15 @@
     Key{"effect", Kind::kText, "safe, keyed or unsafe.", true},
     Key{"weight", Kind::kNumber, "Of the requests; 1 without it."},
     Key{"deadline", Kind::kDuration, "After which the client gives up; 1s without it."},
-    Key{"least_bytes", Kind::kWhole, "Of the body; 0 without it. Safe classes have none."},
-    Key{"most_bytes", Kind::kWhole, "Of the body; the least without it."},
+    Key{"least_bytes", Kind::kInteger, "Of the body; 0 without it. Safe classes have none."},
+    Key{"most_bytes", Kind::kInteger, "Of the body; the least without it."},
 };
 constexpr std::array kTenantKeys{
     Key{"name", Kind::kText, "The tenant.", true},
     Key{"weight", Kind::kNumber, "Of the requests; 1 without it."},
 };
 constexpr std::array kObjectKeys{
-    Key{"count", Kind::kWhole, "How many different objects requests are about.", true},
+    Key{"count", Kind::kInteger, "How many different objects requests are about.", true},
     Key{"zipf", Kind::kNumber, "The k-th is asked for by 1 / k^zipf; 1 without it."},
 };
 
--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -90,7 +90,7 @@
       return "duration or \"0ms\"";
     case Kind::kShare:
       return "share";
-    case Kind::kWhole:
+    case Kind::kInteger:
       return "whole number";
     case Kind::kNumber:
       return "number";
@@ -304,7 +304,7 @@
                      "a key of more than " + std::to_string(kMaxDots) + " dots; no key needs more than 3");
     return false;
   }
-  std::vector<Key> keys{{"version", Kind::kWhole, "The form of this file: 1.", true}};
+  std::vector<Key> keys{{"version", Kind::kInteger, "The form of this file: 1.", true}};
   for (const Section& section : sections) keys.push_back(section.key);
   toml::table root;
   try {
--- a/src/peers/settings.cpp
+++ b/src/peers/settings.cpp
@@ -30,7 +30,7 @@
                        "By when a crash is known to a fleet of 16; 3s without it."},
     operator_file::Key{"probe_every", Kind::kDuration, "From one probe to the next; 200ms without it."},
     operator_file::Key{"forget_after", Kind::kDuration, "How long one that failed is missed; 1h without it."},
-    operator_file::Key{"wire", Kind::kWhole, "The newest form of datagrams; 2 without it."},
+    operator_file::Key{"wire", Kind::kInteger, "The newest form of datagrams; 2 without it."},
 };
 
 constexpr Milliseconds kShortestProbe{50}, kLongestProbe{5000}, kShortestForget{10000};
--- a/src/replica/settings.cpp
+++ b/src/replica/settings.cpp
@@ -25,9 +25,9 @@
                        "What becomes of one that waited in vain: refuse, or send; refuse without it."},
     operator_file::Key{"ready_within", Kind::kDuration,
                        "For how long a start says no until it has what others know; not at all without it."},
-    operator_file::Key{"entries", Kind::kWhole,
+    operator_file::Key{"entries", Kind::kInteger,
                        "The most entries held; 100000 without it, and an eighth of the memory at most."},
-    operator_file::Key{"bytes_per_second", Kind::kWhole,
+    operator_file::Key{"bytes_per_second", Kind::kInteger,
                        "The most sent, claims that wait apart; 4194304 without it."},
 };
 
--- a/src/routing/section.cpp
+++ b/src/routing/section.cpp
@@ -20,7 +20,8 @@
 constexpr std::array kLimitKeys{
     Key{"attempt_timeout", Kind::kDuration, "How long one attempt may take."},
     Key{"patience", Kind::kDuration, "How long the request may take in all; its clients' own time at most."},
-    Key{"max_attempts", Kind::kWhole, "The most attempts, the first counted; the platform's number at most."},
+    Key{"max_attempts", Kind::kInteger,
+        "The most attempts, the first counted; the platform's number at most."},
     Key{"pause", Kind::kPause, "The pause before another attempt; chance takes off up to a quarter."},
     Key{"second_copy_after", Kind::kDuration,
         "After this long without an answer, a second copy goes to another server; for classes that are safe "
@@ -29,7 +30,8 @@
     Key{"retry_on", Kind::kTexts,
         "After what there may be another attempt: refused, connect, error, reset, timeout; [] for none."},
     Key{"retry_budgets", Kind::kTexts, "The budgets that pay for repeats; the first that can pays."},
-    Key{"max_in_flight", Kind::kWhole, "The most requests at once at this proxy; more are refused at once."},
+    Key{"max_in_flight", Kind::kInteger,
+        "The most requests at once at this proxy; more are refused at once."},
     Key{"affinity", Kind::kText, "key: requests of one key go to one server, the same at all proxies; none."},
     Key{"load_bound", Kind::kNumber,
         "With affinity, the most that a server holds, of its even share; 1.25 without it."},
@@ -59,7 +61,7 @@
 constexpr std::array kBudgetKeys{
     Key{"share", Kind::kShare, "Repeats for first attempts, over the window.", true},
     Key{"window", Kind::kDuration, "The window; 10s without it."},
-    Key{"at_least", Kind::kWhole, "Repeats over the window that need no first attempts; 0 without it."},
+    Key{"at_least", Kind::kInteger, "Repeats over the window that need no first attempts; 0 without it."},
 };
 constexpr std::array kTables{
     DescribedTable{"defaults", kLimitKeys},     DescribedTable{"class.NAME", kLimitKeys},
--- a/src/standin/site.cpp
+++ b/src/standin/site.cpp
@@ -24,8 +24,8 @@
 using operator_file::TableReader;
 
 constexpr std::array kSiteKeys{
-    Key{"seed", Kind::kWhole, "Of work and of faults; 1 without it."},
-    Key{"proxies", Kind::kWhole, "How many proxies there are; 1 without it."},
+    Key{"seed", Kind::kInteger, "Of work and of faults; 1 without it."},
+    Key{"proxies", Kind::kInteger, "How many proxies there are; 1 without it."},
     Key{"zones", Kind::kTexts, "Names; converters and proxies are dealt out to them.", true},
     Key{"cold_from", Kind::kShare, "What a converter that has just started can do; 16% without it."},
     Key{"warm_up", Kind::kDuration, "Until it can do all; 24s without it."},
@@ -47,16 +47,16 @@
     Key{"deadline", Kind::kDuration, "After which clients go; 1s without it."},
     Key{"window", Kind::kDuration, "Keyed: for how long repeats are dropped; 10s without it."},
     Key{"dropped_by", Kind::kText, "Keyed: cell (without it) or all."},
-    Key{"answer_bytes", Kind::kWhole, "Of its answers; 200 without it."},
+    Key{"answer_bytes", Kind::kInteger, "Of its answers; 200 without it."},
 };
 constexpr std::array kConverterKeys{
-    Key{"count", Kind::kWhole, "How many of these; 1 without it."},
+    Key{"count", Kind::kInteger, "How many of these; 1 without it."},
     Key{"kind", Kind::kText, "Their kind; type-a without it."},
-    Key{"cells", Kind::kWhole, "They are dealt out to so many cells; 1 without it."},
-    Key{"cores", Kind::kWhole, "2 without it."},
+    Key{"cells", Kind::kInteger, "They are dealt out to so many cells; 1 without it."},
+    Key{"cores", Kind::kInteger, "2 without it."},
     Key{"speed", Kind::kNumber, "Of a core; 1 without it."},
-    Key{"queue", Kind::kWhole, "What waits for a core; more is declined; 64 without it."},
-    Key{"connections", Kind::kWhole, "More are declined; 256 without it."},
+    Key{"queue", Kind::kInteger, "What waits for a core; more is declined; 64 without it."},
+    Key{"connections", Kind::kInteger, "More are declined; 256 without it."},
 };
 constexpr std::array kFaultKeys{
     Key{"at", Kind::kPause, "From the start of the schedule.", true},
