--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -155,7 +155,7 @@
   if (const auto response = OneOf(reader.Text("response"), names, "response", diagnostics))
     experiment->response = static_cast<Measure>(*response);
   const auto whole = [&](const char* key, std::int64_t least, std::int64_t most, auto* to) {
-    if (const auto value = reader.Whole(key, least, most))
+    if (const auto value = reader.Integer(key, least, most))
       *to = static_cast<std::remove_pointer_t<decltype(to)>>(value->value);
   };
   whole("days", 1, kMostBlocks, &experiment->blocks);
--- a/src/load/plan.cpp
+++ b/src/load/plan.cpp
@@ -72,10 +72,11 @@
     }
   }
   if (const auto time = run.Duration("time")) plan->mixture.seconds = Seconds(time->value);
-  if (const auto seed = run.Whole("seed", 0, INT64_MAX)) plan->seed = static_cast<std::uint64_t>(seed->value);
-  if (const auto n = run.Whole("connections", 1, 50000))
+  if (const auto seed = run.Integer("seed", 0, INT64_MAX))
+    plan->seed = static_cast<std::uint64_t>(seed->value);
+  if (const auto n = run.Integer("connections", 1, 50000))
     plan->connections = static_cast<std::size_t>(n->value);
-  if (const auto n = run.Whole("retries", 0, 10)) plan->retries = static_cast<int>(n->value);
+  if (const auto n = run.Integer("retries", 0, 10)) plan->retries = static_cast<int>(n->value);
   if (const auto pause = run.Duration("retry_pause")) plan->retry_pause = InMicroseconds(pause->value);
   if (const auto spacing = run.Text("spacing")) {
     plan->mixture.spacing = spacing->value == "even" ? Spacing::kEven : Spacing::kPoisson;
@@ -140,10 +141,10 @@
   c.effect = ReadEffect(reader, diagnostics);
   if (const auto weight = reader.Number("weight", 0, 1e6)) share.weight = weight->value;
   if (const auto deadline = reader.Duration("deadline")) c.deadline = InMicroseconds(deadline->value);
-  if (const auto n = reader.Whole("least_bytes", 0, 65536))
+  if (const auto n = reader.Integer("least_bytes", 0, 65536))
     share.least_bytes = static_cast<std::uint32_t>(n->value);
   share.most_bytes = share.least_bytes;
-  if (const auto n = reader.Whole("most_bytes", 0, 65536))
+  if (const auto n = reader.Integer("most_bytes", 0, 65536))
     share.most_bytes = static_cast<std::uint32_t>(n->value);
   if (c.effect == Effect::kSafe && share.most_bytes > 0)
     diagnostics->Add(reader.at("most_bytes"), "bytes", "requests of a safe class have no body");
@@ -205,7 +206,7 @@
          const toml::table* table = top.Table("objects");
          if (!table) return;
          const TableReader reader(*table, "objects", kObjectKeys, d);
-         if (const auto n = reader.Whole("count", 1, kMostKeys))
+         if (const auto n = reader.Integer("count", 1, kMostKeys))
            plan.mixture.keys = static_cast<std::uint32_t>(n->value);
          if (const auto zipf = reader.Number("zipf", 0, 10)) plan.mixture.zipf = zipf->value;
        }},
--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -213,8 +213,8 @@
   return std::nullopt;
 }
 
-std::optional<At<std::int64_t>> TableReader::Whole(std::string_view key, std::int64_t min,
-                                                   std::int64_t max) const {
+std::optional<At<std::int64_t>> TableReader::Integer(std::string_view key, std::int64_t min,
+                                                     std::int64_t max) const {
   const toml::node* node = Find(key);
   if (!node) return std::nullopt;
   const auto* integer = node->as_integer();
@@ -319,7 +319,7 @@
   }
   const TableReader top(root, "the file", keys, diagnostics);
   // The meaning of another version is unknown, so the rest of such a file is not validated.
-  const auto version = top.Whole("version", kVersion, kVersion);
+  const auto version = top.Integer("version", kVersion, kVersion);
   if (!version) return false;
   for (const Section& section : sections) section.read(top, diagnostics);
   return diagnostics->ok();
--- a/src/peers/settings.cpp
+++ b/src/peers/settings.cpp
@@ -71,7 +71,7 @@
             spec->detect_within = reader.Duration("detect_within");
             spec->probe_every = reader.Duration("probe_every");
             spec->forget_after = reader.Duration("forget_after");
-            spec->wire = reader.Whole("wire", wire::kOldest, wire::kNewest);
+            spec->wire = reader.Integer("wire", wire::kOldest, wire::kNewest);
           }};
 }
 
--- a/src/plugin/section.cpp
+++ b/src/plugin/section.cpp
@@ -67,15 +67,15 @@
                        "a plug-in that holds requests for " + operator_file::FormatDuration(b.wall) +
                            "; 0.5ms to 5ms is accepted");
   }
-  if (const auto fuel = reader.Whole("fuel", 1000, 100'000'000))
+  if (const auto fuel = reader.Integer("fuel", 1000, 100'000'000))
     b.fuel = static_cast<std::uint64_t>(fuel->value);
-  if (const auto memory = reader.Whole("memory_kb", 256, 65536))
+  if (const auto memory = reader.Integer("memory_kb", 256, 65536))
     b.memory = static_cast<std::size_t>(memory->value) * 1024;
-  if (const auto output = reader.Whole("output", 16, 4096))
+  if (const auto output = reader.Integer("output", 16, 4096))
     b.output = static_cast<std::size_t>(output->value);
   if (const auto load = reader.Duration("load")) b.load = load->value;
   Supervision& s = plugin.supervision;
-  if (const auto faults = reader.Whole("faults", 1, 100)) s.faults = static_cast<int>(faults->value);
+  if (const auto faults = reader.Integer("faults", 1, 100)) s.faults = static_cast<int>(faults->value);
   if (const auto within = reader.Duration("within")) s.within = within->value;
   if (const auto first = reader.Duration("retry_first")) s.retry_first = first->value;
   if (const auto most = reader.Duration("retry_most")) s.retry_most = most->value;
--- a/src/replica/settings.cpp
+++ b/src/replica/settings.cpp
@@ -59,8 +59,8 @@
             spec->within = reader.Duration("claim_within");
             spec->ready_within = reader.Duration("ready_within");
             spec->unmet = reader.Text("claim_unmet");
-            spec->entries = reader.Whole("entries", kLeastEntries, kMostEntries);
-            spec->bytes_per_s = reader.Whole("bytes_per_second", 10000, 1 << 30);
+            spec->entries = reader.Integer("entries", kLeastEntries, kMostEntries);
+            spec->bytes_per_s = reader.Integer("bytes_per_second", 10000, 1 << 30);
           }};
 }
 
--- a/src/routing/section.cpp
+++ b/src/routing/section.cpp
@@ -76,8 +76,8 @@
   limits.patience = table.Duration("patience");
   limits.pause = table.Duration("pause");
   limits.second_copy_after = table.Duration("second_copy_after");
-  limits.max_attempts = table.Whole("max_attempts", 1, 255);
-  limits.max_in_flight = table.Whole("max_in_flight", 1, kMostInFlight);
+  limits.max_attempts = table.Integer("max_attempts", 1, 255);
+  limits.max_in_flight = table.Integer("max_in_flight", 1, kMostInFlight);
   limits.affinity = table.Text("affinity");
   limits.load_bound = table.Number("load_bound", 1.1, 100);
   limits.claim = table.Text("claim");
@@ -123,7 +123,7 @@
                        "a window of " + operator_file::FormatDuration(window->value) + "; " +
                            operator_file::FormatDuration(kShortestWindow) + " or more is accepted");
   }
-  if (const auto least = reader.Whole("at_least", 0, kMostAtLeast)) budget.at_least = least->value;
+  if (const auto least = reader.Integer("at_least", 0, kMostAtLeast)) budget.at_least = least->value;
   spec->budgets.push_back(std::move(budget));
 }
 
--- a/src/standin/site.cpp
+++ b/src/standin/site.cpp
@@ -70,9 +70,9 @@
   const toml::table* table = top.Table("site");
   if (!table) return;
   const TableReader reader(*table, "site", kSiteKeys, diagnostics);
-  if (const auto seed = reader.Whole("seed", 0, INT64_MAX))
+  if (const auto seed = reader.Integer("seed", 0, INT64_MAX))
     site->seed = static_cast<std::uint64_t>(seed->value);
-  const auto proxies = reader.Whole("proxies", 1, bounds.proxies);
+  const auto proxies = reader.Integer("proxies", 1, bounds.proxies);
   site->proxies = proxies ? static_cast<int>(proxies->value) : 1;
   if (const auto zones = reader.Texts("zones"))
     for (const auto& zone : zones->value) site->zones.push_back(zone.value);
@@ -108,7 +108,7 @@
     if (by->value != "all" && by->value != "cell")
       diagnostics->Add(by->at, "class", "'" + by->value + "' is neither cell nor all");
   }
-  if (const auto n = reader.Whole("answer_bytes", 0, 60000))
+  if (const auto n = reader.Integer("answer_bytes", 0, 60000))
     c.answer_bytes = static_cast<std::uint32_t>(n->value);
   site->classes.push_back(std::move(c));
 }
