--- a/src/concert/settings.cpp
+++ b/src/concert/settings.cpp
@@ -13,7 +13,7 @@
 using operator_file::TableReader;
 
 constexpr std::array kKeys{
-    operator_file::Key{"reserve", Kind::kShare,
+    operator_file::Key{"reserve", Kind::kPercentage,
                        "The part of quotas and budgets that is divided for good; the rest goes to those that "
                        "live; 25% without it."},
     operator_file::Key{"lease", Kind::kDuration,
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -31,9 +31,9 @@
     Key{"days", Kind::kInteger, "How many each variant is played on; 8 without it."},
     Key{"held_out", Kind::kInteger, "Days after those that a search never sees; as many without it."},
     Key{"first_day", Kind::kInteger, "The seed of the first; 1 without it."},
-    Key{"confidence", Kind::kShare, "Of the intervals; 95% without it."},
+    Key{"confidence", Kind::kPercentage, "Of the intervals; 95% without it."},
     Key{"first_days", Kind::kInteger, "Of a search's first round; 3 without it."},
-    Key{"keep", Kind::kShare, "Of a search's candidates, after each round; 33% without it."},
+    Key{"keep", Kind::kPercentage, "Of a search's candidates, after each round; 33% without it."},
 };
 constexpr std::array kFactorKeys{
     Key{"name", Kind::kText, "In tables and charts.", true},
--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -88,7 +88,7 @@
       return "duration";
     case Kind::kPause:
       return "duration or \"0ms\"";
-    case Kind::kShare:
+    case Kind::kPercentage:
       return "share";
     case Kind::kInteger:
       return "whole number";
--- a/src/routing/section.cpp
+++ b/src/routing/section.cpp
@@ -59,7 +59,7 @@
     Key{"zone", Kind::kTexts, "The proxy stands in one of these zones."},
 };
 constexpr std::array kBudgetKeys{
-    Key{"share", Kind::kShare, "Repeats for first attempts, over the window.", true},
+    Key{"share", Kind::kPercentage, "Repeats for first attempts, over the window.", true},
     Key{"window", Kind::kDuration, "The window; 10s without it."},
     Key{"at_least", Kind::kInteger, "Repeats over the window that need no first attempts; 0 without it."},
 };
--- a/src/standin/site.cpp
+++ b/src/standin/site.cpp
@@ -27,7 +27,7 @@
     Key{"seed", Kind::kInteger, "Of work and of faults; 1 without it."},
     Key{"proxies", Kind::kInteger, "How many proxies there are; 1 without it."},
     Key{"zones", Kind::kTexts, "Names; converters and proxies are dealt out to them.", true},
-    Key{"cold_from", Kind::kShare, "What a converter that has just started can do; 16% without it."},
+    Key{"cold_from", Kind::kPercentage, "What a converter that has just started can do; 16% without it."},
     Key{"warm_up", Kind::kDuration, "Until it can do all; 24s without it."},
     Key{"fall_multiple", Kind::kNumber, "So many times its capacity pushes a cold one over; 2.5 without it."},
     Key{"overload_for", Kind::kDuration, "If it lasts so long; 3s without it."},
