--- a/src/concert/settings.cpp
+++ b/src/concert/settings.cpp
@@ -32,7 +32,7 @@
             const TableReader reader(*table, "concert", kKeys, diagnostics);
             spec->there = true;
             spec->at = reader.at();
-            spec->reserve = reader.Share("reserve");
+            spec->reserve = reader.Percentage("reserve");
             spec->lease = reader.Duration("lease");
           }};
 }
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -164,12 +164,12 @@
   whole("first_day", 1, INT64_MAX / 2, &experiment->first_seed);
   experiment->halving.most_blocks = experiment->blocks;
   whole("first_days", 1, kMostBlocks, &experiment->halving.first_blocks);
-  if (const auto keep = reader.Share("keep")) {
+  if (const auto keep = reader.Percentage("keep")) {
     experiment->halving.keep = keep->value;
     if (!(keep->value >= 0.05 && keep->value <= 0.9))
       diagnostics->Add(keep->at, "keep", "a search keeps 5% to 90% of its candidates after each round");
   }
-  if (const auto confidence = reader.Share("confidence")) {
+  if (const auto confidence = reader.Percentage("confidence")) {
     experiment->confidence = confidence->value;
     if (!(confidence->value >= kLeastConfidence && confidence->value <= kMostConfidence))
       diagnostics->Add(confidence->at, "confidence", "confidence is 50% to 99.9%");
--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -201,7 +201,7 @@
   return std::nullopt;
 }
 
-std::optional<At<double>> TableReader::Share(std::string_view key) const {
+std::optional<At<double>> TableReader::Percentage(std::string_view key) const {
   const toml::node* node = Find(key);
   if (!node) return std::nullopt;
   std::string why = "is " + std::string(TypeOf(*node)) + "; a share such as \"20%\" is accepted";
--- a/src/operator/document.h
+++ b/src/operator/document.h
@@ -53,7 +53,7 @@
   std::optional<At<std::string>> Text(std::string_view key) const;
   std::optional<At<std::vector<At<std::string>>>> Texts(std::string_view key) const;  // or a single text
   std::optional<At<Milliseconds>> Duration(std::string_view key) const;
-  std::optional<At<double>> Share(std::string_view key) const;
+  std::optional<At<double>> Percentage(std::string_view key) const;
   std::optional<At<std::int64_t>> Integer(std::string_view key, std::int64_t min, std::int64_t max) const;
   std::optional<At<double>> Number(std::string_view key, double min, double max) const;  // integers too
   // Calls `each` for every table of an array of tables.
--- a/src/routing/section.cpp
+++ b/src/routing/section.cpp
@@ -115,7 +115,7 @@
   const TableReader reader(table, "budget." + name.value, kBudgetKeys, diagnostics);
   BudgetSpec budget;
   budget.name = name;
-  if (const auto share = reader.Share("share")) budget.share = share->value;
+  if (const auto share = reader.Percentage("share")) budget.share = share->value;
   if (const auto window = reader.Duration("window")) {
     budget.window = window->value;
     if (window->value < kShortestWindow)
--- a/src/standin/site.cpp
+++ b/src/standin/site.cpp
@@ -76,7 +76,7 @@
   site->proxies = proxies ? static_cast<int>(proxies->value) : 1;
   if (const auto zones = reader.Texts("zones"))
     for (const auto& zone : zones->value) site->zones.push_back(zone.value);
-  if (const auto share = reader.Share("cold_from")) site->cold_from = share->value;
+  if (const auto share = reader.Percentage("cold_from")) site->cold_from = share->value;
   if (const auto time = reader.Duration("warm_up")) site->warm_up = load::InMicroseconds(time->value);
   if (const auto n = reader.Number("fall_multiple", 1, 1000)) site->fall_multiple = n->value;
   if (const auto time = reader.Duration("overload_for"))
