--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -206,7 +206,7 @@
   if (!node) return std::nullopt;
   std::string why = "is " + std::string(TypeOf(*node)) + "; a share such as \"20%\" is accepted";
   if (const auto* text = node->as_string()) {
-    if (const auto value = ParseShare(text->get(), &why))
+    if (const auto value = ParsePercentage(text->get(), &why))
       return At<double>{*value, PositionOf(node->source())};
   }
   diagnostics_->Add(PositionOf(node->source()), "share", name_ + '.' + std::string(key) + ' ' + why);
--- a/src/operator/values.cpp
+++ b/src/operator/values.cpp
@@ -54,7 +54,7 @@
   return duration;
 }
 
-std::optional<double> ParseShare(std::string_view text, std::string* why) {
+std::optional<double> ParsePercentage(std::string_view text, std::string* why) {
   const bool percent = text.ends_with('%');
   const auto number = percent ? ParseDecimal(text.substr(0, text.size() - 1)) : std::nullopt;
   if (!number) {
--- a/src/operator/values.h
+++ b/src/operator/values.h
@@ -20,7 +20,7 @@
 std::optional<Milliseconds> ParseDuration(std::string_view text, bool allow_zero, std::string* why);
 
 // Parses "0%" to "100%" and returns 0 to 1. Otherwise returns nothing and sets `why` to the reason.
-std::optional<double> ParseShare(std::string_view text, std::string* why);
+std::optional<double> ParsePercentage(std::string_view text, std::string* why);
 
 // Formats a duration, as "250ms", in the largest unit in which it has a value of at least 1 and at most two
 // decimals.
--- a/src/standin/faults.cpp
+++ b/src/standin/faults.cpp
@@ -142,7 +142,7 @@
   if (fault.who.starts_with("zone:"))
     return those([&](const Candidate& c) { return c.zone == fault.who.substr(5); });
   std::string why;
-  const auto share = operator_file::ParseShare(fault.who, &why);
+  const auto share = operator_file::ParsePercentage(fault.who, &why);
   if (!share) return those([&](const Candidate& c) { return c.id == fault.who; });
   those([](const Candidate&) { return true; });
   // A shuffle of our own: the standard one differs between libraries.
--- a/tests/operator/read_file_test.cpp
+++ b/tests/operator/read_file_test.cpp
@@ -113,11 +113,11 @@
 
 TEST(Values, Shares) {
   std::string why;
-  EXPECT_EQ(ParseShare("20%", &why).value_or(-1), 0.2);
-  EXPECT_EQ(ParseShare("0%", &why).value_or(-1), 0.0);
-  EXPECT_EQ(ParseShare("100%", &why).value_or(-1), 1.0);
+  EXPECT_EQ(ParsePercentage("20%", &why).value_or(-1), 0.2);
+  EXPECT_EQ(ParsePercentage("0%", &why).value_or(-1), 0.0);
+  EXPECT_EQ(ParsePercentage("100%", &why).value_or(-1), 1.0);
   for (const char* text : {"", "%", "20", "-1%", "100.1%", "nan%", "1e1%", "20 %", "20%%"})
-    EXPECT_FALSE(ParseShare(text, &why)) << text;
+    EXPECT_FALSE(ParsePercentage(text, &why)) << text;
 }
 
 TEST(Values, DurationsAreFormattedAsWritten) {
