--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -86,7 +86,7 @@
       return "text or array of texts";
     case Kind::kDuration:
       return "duration";
-    case Kind::kPause:
+    case Kind::kDurationOrZero:
       return "duration or \"0ms\"";
     case Kind::kPercentage:
       return "share";
@@ -190,7 +190,7 @@
   if (const auto* text = node->as_string()) {
     const auto* description = &*std::find_if(keys_.begin(), keys_.end(),
                                              [&](const Key& candidate) { return candidate.name == key; });
-    const auto value = ParseDuration(text->get(), description->kind == Kind::kPause, &why);
+    const auto value = ParseDuration(text->get(), description->kind == Kind::kDurationOrZero, &why);
     if (value) return At<Milliseconds>{*value, PositionOf(node->source())};
   } else if (node->is_number()) {
     why = "has no unit: a duration is a text such as \"250ms\" or \"1.5s\"";
--- a/src/operator/document.h
+++ b/src/operator/document.h
@@ -32,7 +32,17 @@
 inline constexpr std::int64_t kVersion = 1;
 
 // Type of a value; see TypeName. kPause is a duration that may be 0.
-enum class Kind { kText, kTexts, kDuration, kPause, kPercentage, kInteger, kNumber, kTable, kTables };
+enum class Kind {
+  kText,
+  kTexts,
+  kDuration,
+  kDurationOrZero,
+  kPercentage,
+  kInteger,
+  kNumber,
+  kTable,
+  kTables
+};
 
 struct Key {
   std::string_view name;
--- a/src/routing/section.cpp
+++ b/src/routing/section.cpp
@@ -22,7 +22,8 @@
     Key{"patience", Kind::kDuration, "How long the request may take in all; its clients' own time at most."},
     Key{"max_attempts", Kind::kInteger,
         "The most attempts, the first counted; the platform's number at most."},
-    Key{"pause", Kind::kPause, "The pause before another attempt; chance takes off up to a quarter."},
+    Key{"pause", Kind::kDurationOrZero,
+        "The pause before another attempt; chance takes off up to a quarter."},
     Key{"second_copy_after", Kind::kDuration,
         "After this long without an answer, a second copy goes to another server; for classes that are safe "
         "to "
--- a/src/standin/site.cpp
+++ b/src/standin/site.cpp
@@ -59,7 +59,7 @@
     Key{"connections", Kind::kInteger, "More are declined; 256 without it."},
 };
 constexpr std::array kFaultKeys{
-    Key{"at", Kind::kPause, "From the start of the schedule.", true},
+    Key{"at", Kind::kDurationOrZero, "From the start of the schedule.", true},
     Key{"kind", Kind::kText, "Which fault.", true},
     Key{"who", Kind::kText, "An id, cell:N, zone:NAME, or a share such as 25%, drawn by the seed."},
     Key{"for", Kind::kDuration, "How long it lasts.", true},
