--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -264,7 +264,7 @@
   for (const auto& item : *tables) each(*item.as_table(), PositionOf(item.source()));
 }
 
-void TableReader::Named(
+void TableReader::ForEachTable(
     std::string_view key,
     const std::function<void(const At<std::string>& name, const toml::table&)>& each) const {
   const toml::table* tables = Table(key);
--- a/src/operator/document.h
+++ b/src/operator/document.h
@@ -70,8 +70,8 @@
   void Tables(std::string_view key, const std::function<void(const toml::table&, Position)>& each) const;
   // Call `each` for every key of a table whose values are tables (Named) or texts (Pairs), in the order of
   // the file.
-  void Named(std::string_view key,
-             const std::function<void(const At<std::string>& name, const toml::table&)>& each) const;
+  void ForEachTable(std::string_view key,
+                    const std::function<void(const At<std::string>& name, const toml::table&)>& each) const;
   void Pairs(std::string_view key,
              const std::function<void(const At<std::string>& name, const At<std::string>&)>& each) const;
   // Null if the key is absent or, which is reported, not a table.
--- a/src/routing/section.cpp
+++ b/src/routing/section.cpp
@@ -141,14 +141,14 @@
        }},
       {{"class", Kind::kTable, "Limits of a class: [class.NAME]."},
        [spec](const TableReader& top, Diagnostics* diagnostics) {
-         top.Named("class", [&](const At<std::string>& name, const toml::table& table) {
+         top.ForEachTable("class", [&](const At<std::string>& name, const toml::table& table) {
            const TableReader reader(table, "class." + name.value, kLimitKeys, diagnostics);
            spec->classes.push_back({name, ReadLimits(reader)});
          });
        }},
       {{"budget", Kind::kTable, "A retry budget: [budget.NAME]."},
        [spec](const TableReader& top, Diagnostics* diagnostics) {
-         top.Named("budget", [&](const At<std::string>& name, const toml::table& table) {
+         top.ForEachTable("budget", [&](const At<std::string>& name, const toml::table& table) {
            ReadBudget(name, table, spec, diagnostics);
          });
        }},
