--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -279,7 +279,7 @@
   }
 }
 
-void TableReader::Pairs(
+void TableReader::ForEachText(
     std::string_view key,
     const std::function<void(const At<std::string>&, const At<std::string>&)>& each) const {
   const toml::table* pairs = Table(key);
--- a/src/operator/document.h
+++ b/src/operator/document.h
@@ -72,8 +72,9 @@
   // the file.
   void ForEachTable(std::string_view key,
                     const std::function<void(const At<std::string>& name, const toml::table&)>& each) const;
-  void Pairs(std::string_view key,
-             const std::function<void(const At<std::string>& name, const At<std::string>&)>& each) const;
+  void ForEachText(
+      std::string_view key,
+      const std::function<void(const At<std::string>& name, const At<std::string>&)>& each) const;
   // Null if the key is absent or, which is reported, not a table.
   const toml::table* Table(std::string_view key) const;
 
--- a/src/plugin/section.cpp
+++ b/src/plugin/section.cpp
@@ -56,8 +56,9 @@
   plugin.classes = reader.Texts("classes");
   plugin.on_failure_at = reader.at("on_failure");
   if (const auto word = reader.Text("on_failure")) plugin.on_failure = word->value;
-  reader.Pairs("on_failure_of",
-               [&](const auto& name, const auto& value) { plugin.on_failure_of.emplace_back(name, value); });
+  reader.ForEachText("on_failure_of", [&](const auto& name, const auto& value) {
+    plugin.on_failure_of.emplace_back(name, value);
+  });
 
   Budgets& b = plugin.supervision.budgets;
   if (const auto wall = reader.Duration("wall")) {
--- a/src/routing/section.cpp
+++ b/src/routing/section.cpp
@@ -96,7 +96,7 @@
   match.zones = reader.Texts("zone");
   match.path_prefix = reader.Text("path_prefix");
   match.tag = reader.Text("tag");
-  reader.Pairs("header", [&](const At<std::string>& name, const At<std::string>& value) {
+  reader.ForEachText("header", [&](const At<std::string>& name, const At<std::string>& value) {
     match.headers.emplace_back(name, value);
   });
   return match;
--- a/tools/kestrelplug/cases.cpp
+++ b/tools/kestrelplug/cases.cpp
@@ -67,10 +67,11 @@
   c.request_class = c.target.substr(start, c.target.find_first_of("/?", start) - start);
   text("class", &c.request_class);
   if (const auto deadline = reader.Duration("deadline")) c.deadline_ms = deadline->value.count();
-  reader.Pairs("headers",
-               [&](const auto& name, const auto& value) { c.headers.emplace_back(name.value, value.value); });
-  reader.Pairs("tags",
-               [&](const auto& name, const auto& value) { ReadTag(name, value, &c.tags, diagnostics); });
+  reader.ForEachText("headers", [&](const auto& name, const auto& value) {
+    c.headers.emplace_back(name.value, value.value);
+  });
+  reader.ForEachText(
+      "tags", [&](const auto& name, const auto& value) { ReadTag(name, value, &c.tags, diagnostics); });
   return c;
 }
 
