--- a/src/concert/partition.cpp
+++ b/src/concert/partition.cpp
@@ -10,9 +10,9 @@
 namespace kestrelline::concert {
 namespace {
 
-using operator_file::At;
 using operator_file::Diagnostics;
 using operator_file::Kind;
+using operator_file::Located;
 using operator_file::Position;
 using operator_file::TableReader;
 
@@ -28,7 +28,7 @@
         "Of within: requests a second that all proxies may take together; each takes its part."},
 };
 
-Leave LeaveOf(const std::optional<At<std::string>>& text, Leave otherwise, Diagnostics* d) {
+Leave LeaveOf(const std::optional<Located<std::string>>& text, Leave otherwise, Diagnostics* d) {
   constexpr const char* kWords[] = {"serve", "within", "refuse"};
   if (!text) return otherwise;
   const auto word = std::find(std::begin(kWords), std::end(kWords), text->value);
@@ -86,7 +86,7 @@
                     [&](const auto& o) { return o.request_class == c.request_class; }))
       d->Add(row.name->at, "partition", "'" + row.name->value + "' has a [[partition]] already");
     Leave leave = Leave::kServe;
-    const std::optional<At<std::string>>* words[] = {&row.part, &row.minority, &row.alone};
+    const std::optional<Located<std::string>>* words[] = {&row.part, &row.minority, &row.alone};
     bool within = false;
     for (std::size_t i = 0; i < std::size(words); ++i) {
       leave = LeaveOf(*words[i], leave, d);
--- a/src/concert/partition.h
+++ b/src/concert/partition.h
@@ -45,8 +45,8 @@
 struct PartitionSpec {
   struct Row {
     operator_file::Position at;
-    std::optional<operator_file::At<std::string>> name, part, minority, alone;
-    std::optional<operator_file::At<double>> per_s;
+    std::optional<operator_file::Located<std::string>> name, part, minority, alone;
+    std::optional<operator_file::Located<double>> per_s;
   };
   std::vector<Row> rows;
 };
--- a/src/concert/settings.h
+++ b/src/concert/settings.h
@@ -20,8 +20,8 @@
 struct Spec {
   bool there = false;
   operator_file::Position at;
-  std::optional<operator_file::At<double>> reserve;
-  std::optional<operator_file::At<operator_file::Milliseconds>> lease;
+  std::optional<operator_file::Located<double>> reserve;
+  std::optional<operator_file::Located<operator_file::Milliseconds>> lease;
 };
 
 operator_file::Section ConcertSection(Spec* spec);
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -14,10 +14,10 @@
 namespace kestrelline::lab {
 namespace {
 
-using operator_file::At;
 using operator_file::Diagnostics;
 using operator_file::Key;
 using operator_file::Kind;
+using operator_file::Located;
 using operator_file::Position;
 using operator_file::Section;
 using operator_file::TableReader;
@@ -46,7 +46,7 @@
 constexpr std::array<std::string_view, 3> kDesigns{"full", "one_at_a_time", "search"};
 
 template <std::size_t N>
-std::optional<std::size_t> OneOf(const std::optional<At<std::string>>& text,
+std::optional<std::size_t> OneOf(const std::optional<Located<std::string>>& text,
                                  const std::array<std::string_view, N>& known, std::string_view rule,
                                  Diagnostics* diagnostics) {
   if (!text) return std::nullopt;
--- a/src/operator/diagnostics.h
+++ b/src/operator/diagnostics.h
@@ -21,7 +21,7 @@
 
 // A value and its position in the file.
 template <typename T>
-struct At {
+struct Located {
   T value{};
   Position at;
 };
--- a/src/operator/document.cpp
+++ b/src/operator/document.cpp
@@ -141,7 +141,7 @@
   diagnostics_->Add(PositionOf(node.source()), "type", name_ + '.' + std::string(key) + ' ' + problem);
 }
 
-std::optional<At<std::string>> TableReader::Text(std::string_view key) const {
+std::optional<Located<std::string>> TableReader::Text(std::string_view key) const {
   const toml::node* node = Find(key);
   if (!node) return std::nullopt;
   const auto* text = node->as_string();
@@ -149,13 +149,13 @@
     ReportType(*node, key, text ? "is empty" : "is " + std::string(TypeOf(*node)) + "; a text is accepted");
     return std::nullopt;
   }
-  return At<std::string>{text->get(), PositionOf(node->source())};
+  return Located<std::string>{text->get(), PositionOf(node->source())};
 }
 
-std::optional<At<std::vector<At<std::string>>>> TableReader::Texts(std::string_view key) const {
+std::optional<Located<std::vector<Located<std::string>>>> TableReader::Texts(std::string_view key) const {
   const toml::node* node = Find(key);
   if (!node) return std::nullopt;
-  At<std::vector<At<std::string>>> texts;
+  Located<std::vector<Located<std::string>>> texts;
   texts.at = PositionOf(node->source());
   if (node->is_string()) {
     auto text = Text(key);
@@ -183,7 +183,7 @@
   return valid ? std::optional(std::move(texts)) : std::nullopt;
 }
 
-std::optional<At<Milliseconds>> TableReader::Duration(std::string_view key) const {
+std::optional<Located<Milliseconds>> TableReader::Duration(std::string_view key) const {
   const toml::node* node = Find(key);
   if (!node) return std::nullopt;
   std::string why;
@@ -191,7 +191,7 @@
     const auto* description = &*std::find_if(keys_.begin(), keys_.end(),
                                              [&](const Key& candidate) { return candidate.name == key; });
     const auto value = ParseDuration(text->get(), description->kind == Kind::kDurationOrZero, &why);
-    if (value) return At<Milliseconds>{*value, PositionOf(node->source())};
+    if (value) return Located<Milliseconds>{*value, PositionOf(node->source())};
   } else if (node->is_number()) {
     why = "has no unit: a duration is a text such as \"250ms\" or \"1.5s\"";
   } else {
@@ -201,20 +201,20 @@
   return std::nullopt;
 }
 
-std::optional<At<double>> TableReader::Percentage(std::string_view key) const {
+std::optional<Located<double>> TableReader::Percentage(std::string_view key) const {
   const toml::node* node = Find(key);
   if (!node) return std::nullopt;
   std::string why = "is " + std::string(TypeOf(*node)) + "; a share such as \"20%\" is accepted";
   if (const auto* text = node->as_string()) {
     if (const auto value = ParsePercentage(text->get(), &why))
-      return At<double>{*value, PositionOf(node->source())};
+      return Located<double>{*value, PositionOf(node->source())};
   }
   diagnostics_->Add(PositionOf(node->source()), "share", name_ + '.' + std::string(key) + ' ' + why);
   return std::nullopt;
 }
 
-std::optional<At<std::int64_t>> TableReader::Integer(std::string_view key, std::int64_t min,
-                                                     std::int64_t max) const {
+std::optional<Located<std::int64_t>> TableReader::Integer(std::string_view key, std::int64_t min,
+                                                          std::int64_t max) const {
   const toml::node* node = Find(key);
   if (!node) return std::nullopt;
   const auto* integer = node->as_integer();
@@ -228,10 +228,10 @@
                           std::to_string(min) + " to " + std::to_string(max) + " is accepted");
     return std::nullopt;
   }
-  return At<std::int64_t>{integer->get(), PositionOf(node->source())};
+  return Located<std::int64_t>{integer->get(), PositionOf(node->source())};
 }
 
-std::optional<At<double>> TableReader::Number(std::string_view key, double min, double max) const {
+std::optional<Located<double>> TableReader::Number(std::string_view key, double min, double max) const {
   const toml::node* node = Find(key);
   if (!node) return std::nullopt;
   if (!node->is_number()) {
@@ -245,7 +245,7 @@
     diagnostics_->Add(PositionOf(node->source()), "range", name_ + '.' + std::string(key) + range);
     return std::nullopt;
   }
-  return At<double>{value, PositionOf(node->source())};
+  return Located<double>{value, PositionOf(node->source())};
 }
 
 const toml::table* TableReader::Table(std::string_view key) const {
@@ -266,7 +266,7 @@
 
 void TableReader::ForEachTable(
     std::string_view key,
-    const std::function<void(const At<std::string>& name, const toml::table&)>& each) const {
+    const std::function<void(const Located<std::string>& name, const toml::table&)>& each) const {
   const toml::table* tables = Table(key);
   if (!tables) return;
   for (const auto& [name, node] : InOrder(*tables)) {
@@ -281,7 +281,7 @@
 
 void TableReader::ForEachText(
     std::string_view key,
-    const std::function<void(const At<std::string>&, const At<std::string>&)>& each) const {
+    const std::function<void(const Located<std::string>&, const Located<std::string>&)>& each) const {
   const toml::table* pairs = Table(key);
   if (!pairs) return;
   for (const auto& [name, node] : InOrder(*pairs)) {
--- a/src/operator/document.h
+++ b/src/operator/document.h
@@ -60,21 +60,24 @@
 
   // These return nothing if the key is absent. A value of the wrong type or out of range is reported, and
   // nothing is returned.
-  std::optional<At<std::string>> Text(std::string_view key) const;
-  std::optional<At<std::vector<At<std::string>>>> Texts(std::string_view key) const;  // or a single text
-  std::optional<At<Milliseconds>> Duration(std::string_view key) const;
-  std::optional<At<double>> Percentage(std::string_view key) const;
-  std::optional<At<std::int64_t>> Integer(std::string_view key, std::int64_t min, std::int64_t max) const;
-  std::optional<At<double>> Number(std::string_view key, double min, double max) const;  // integers too
+  std::optional<Located<std::string>> Text(std::string_view key) const;
+  std::optional<Located<std::vector<Located<std::string>>>> Texts(
+      std::string_view key) const;  // or a single text
+  std::optional<Located<Milliseconds>> Duration(std::string_view key) const;
+  std::optional<Located<double>> Percentage(std::string_view key) const;
+  std::optional<Located<std::int64_t>> Integer(std::string_view key, std::int64_t min,
+                                               std::int64_t max) const;
+  std::optional<Located<double>> Number(std::string_view key, double min, double max) const;  // integers too
   // Calls `each` for every table of an array of tables.
   void Tables(std::string_view key, const std::function<void(const toml::table&, Position)>& each) const;
   // Call `each` for every key of a table whose values are tables (Named) or texts (Pairs), in the order of
   // the file.
-  void ForEachTable(std::string_view key,
-                    const std::function<void(const At<std::string>& name, const toml::table&)>& each) const;
+  void ForEachTable(
+      std::string_view key,
+      const std::function<void(const Located<std::string>& name, const toml::table&)>& each) const;
   void ForEachText(
       std::string_view key,
-      const std::function<void(const At<std::string>& name, const At<std::string>&)>& each) const;
+      const std::function<void(const Located<std::string>& name, const Located<std::string>&)>& each) const;
   // Null if the key is absent or, which is reported, not a table.
   const toml::table* Table(std::string_view key) const;
 
--- a/src/peers/settings.h
+++ b/src/peers/settings.h
@@ -29,13 +29,13 @@
 
 // As worded.
 struct Spec {
-  using Text = std::optional<operator_file::At<std::string>>;
-  using Duration = std::optional<operator_file::At<operator_file::Milliseconds>>;
+  using Text = std::optional<operator_file::Located<std::string>>;
+  using Duration = std::optional<operator_file::Located<operator_file::Milliseconds>>;
   bool there = false;
   operator_file::Position at;
   Text listen, advertise, key_file;
-  std::optional<operator_file::At<std::vector<operator_file::At<std::string>>>> seeds;
-  std::optional<operator_file::At<std::int64_t>> wire;
+  std::optional<operator_file::Located<std::vector<operator_file::Located<std::string>>>> seeds;
+  std::optional<operator_file::Located<std::int64_t>> wire;
   Duration detect_within, probe_every, forget_after;
 };
 
--- a/src/plugin/section.cpp
+++ b/src/plugin/section.cpp
@@ -136,7 +136,7 @@
   void Bad(Position at, std::string_view rule, const std::string& text) { diagnostics_->Add(at, rule, text); }
 
  private:
-  int ClassOf(const operator_file::At<std::string>& name) {
+  int ClassOf(const operator_file::Located<std::string>& name) {
     const auto& classes = around_.site.classes;
     const auto found = std::find(classes.begin(), classes.end(), name.value);
     if (found != classes.end()) return static_cast<int>(found - classes.begin());
--- a/src/plugin/section.h
+++ b/src/plugin/section.h
@@ -31,11 +31,12 @@
 
 // As worded.
 struct PluginSpec {
-  operator_file::At<std::string> name, file;
+  operator_file::Located<std::string> name, file;
   routing::Maybe<routing::Names> routes, sets, classes;
   std::string on_failure = "refuse";
   operator_file::Position on_failure_at;
-  std::vector<std::pair<operator_file::At<std::string>, operator_file::At<std::string>>> on_failure_of;
+  std::vector<std::pair<operator_file::Located<std::string>, operator_file::Located<std::string>>>
+      on_failure_of;
   Supervision supervision;
 };
 struct Spec {
--- a/src/replica/settings.cpp
+++ b/src/replica/settings.cpp
@@ -37,7 +37,7 @@
 constexpr double kMostOfMemory = 0.5, kOfMemory = 0.125;  // the latter where nothing is said
 
 // Of two words the second is meant by true.
-bool Chosen(const std::optional<operator_file::At<std::string>>& text, const char* no, const char* yes,
+bool Chosen(const std::optional<operator_file::Located<std::string>>& text, const char* no, const char* yes,
             bool otherwise, Diagnostics* d) {
   if (!text) return otherwise;
   if (text->value != no && text->value != yes)
--- a/src/replica/settings.h
+++ b/src/replica/settings.h
@@ -30,9 +30,9 @@
 struct Spec {
   bool there = false;
   operator_file::Position at;
-  std::optional<operator_file::At<std::string>> claim, unmet;
-  std::optional<operator_file::At<operator_file::Milliseconds>> within, ready_within;
-  std::optional<operator_file::At<std::int64_t>> entries, bytes_per_s;
+  std::optional<operator_file::Located<std::string>> claim, unmet;
+  std::optional<operator_file::Located<operator_file::Milliseconds>> within, ready_within;
+  std::optional<operator_file::Located<std::int64_t>> entries, bytes_per_s;
 };
 
 operator_file::Section ReplicaSection(Spec* spec);
--- a/src/routing/section.cpp
+++ b/src/routing/section.cpp
@@ -96,7 +96,7 @@
   match.zones = reader.Texts("zone");
   match.path_prefix = reader.Text("path_prefix");
   match.tag = reader.Text("tag");
-  reader.ForEachText("header", [&](const At<std::string>& name, const At<std::string>& value) {
+  reader.ForEachText("header", [&](const Located<std::string>& name, const Located<std::string>& value) {
     match.headers.emplace_back(name, value);
   });
   return match;
@@ -112,7 +112,8 @@
   spec->routes.push_back(std::move(route));
 }
 
-void ReadBudget(const At<std::string>& name, const toml::table& table, Spec* spec, Diagnostics* diagnostics) {
+void ReadBudget(const Located<std::string>& name, const toml::table& table, Spec* spec,
+                Diagnostics* diagnostics) {
   const TableReader reader(table, "budget." + name.value, kBudgetKeys, diagnostics);
   BudgetSpec budget;
   budget.name = name;
@@ -141,14 +142,14 @@
        }},
       {{"class", Kind::kTable, "Limits of a class: [class.NAME]."},
        [spec](const TableReader& top, Diagnostics* diagnostics) {
-         top.ForEachTable("class", [&](const At<std::string>& name, const toml::table& table) {
+         top.ForEachTable("class", [&](const Located<std::string>& name, const toml::table& table) {
            const TableReader reader(table, "class." + name.value, kLimitKeys, diagnostics);
            spec->classes.push_back({name, ReadLimits(reader)});
          });
        }},
       {{"budget", Kind::kTable, "A retry budget: [budget.NAME]."},
        [spec](const TableReader& top, Diagnostics* diagnostics) {
-         top.ForEachTable("budget", [&](const At<std::string>& name, const toml::table& table) {
+         top.ForEachTable("budget", [&](const Located<std::string>& name, const toml::table& table) {
            ReadBudget(name, table, spec, diagnostics);
          });
        }},
--- a/src/routing/spec.h
+++ b/src/routing/spec.h
@@ -15,12 +15,12 @@
 
 namespace kestrelline::routing {
 
-using operator_file::At;
+using operator_file::Located;
 using operator_file::Position;
-using Names = std::vector<At<std::string>>;
+using Names = std::vector<Located<std::string>>;
 
 template <typename T>
-using Maybe = std::optional<At<T>>;
+using Maybe = std::optional<Located<T>>;
 
 // What is absent is inherited: a route's from its class, a class's from the defaults, these from the
 // platform.
@@ -36,23 +36,23 @@
 struct MatchSpec {
   Maybe<Names> classes, tenants, methods, zones;
   Maybe<std::string> path_prefix;
-  Maybe<std::string> tag;                                            // set by a plug-in
-  std::vector<std::pair<At<std::string>, At<std::string>>> headers;  // name, value
+  Maybe<std::string> tag;                                                      // set by a plug-in
+  std::vector<std::pair<Located<std::string>, Located<std::string>>> headers;  // name, value
 };
 
 struct RouteSpec {
-  At<std::string> name;  // at: the route
+  Located<std::string> name;  // at: the route
   MatchSpec match;
   LimitsSpec limits;
 };
 
 struct ClassSpec {
-  At<std::string> name;
+  Located<std::string> name;
   LimitsSpec limits;
 };
 
 struct BudgetSpec {
-  At<std::string> name;
+  Located<std::string> name;
   double share = 0;
   Duration window{10000};
   std::int64_t at_least = 0;
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -269,7 +269,7 @@
     return route;
   }
 
-  void ResolveTenants(const At<Names>& names, Route* route) {
+  void ResolveTenants(const Located<Names>& names, Route* route) {
     route->any_tenant = false;
     for (const auto& name : names.value) {
       const auto found = tenant_numbers_.find(name.value);
@@ -283,7 +283,7 @@
     }
   }
 
-  void ResolveZones(const At<Names>& names, Route* route) {
+  void ResolveZones(const Located<Names>& names, Route* route) {
     for (const auto& name : names.value) {
       const auto found = std::find(zone_names_.begin(), zone_names_.end(), name.value);
       if (found != zone_names_.end()) {
@@ -296,7 +296,7 @@
   }
 
   // The first segment of a path is its class: a prefix names the class too.
-  void ResolvePrefix(const At<std::string>& text, Route* route) {
+  void ResolvePrefix(const Located<std::string>& text, Route* route) {
     std::string prefix = text.value;
     const bool plain = std::all_of(prefix.begin(), prefix.end(), [](unsigned char c) {
       return c > 0x20 && c < 0x7f && c != '?' && c != '#';
@@ -340,7 +340,7 @@
   }
 
   // A class's method follows from what its requests do.
-  void ResolveMethods(const At<Names>& names, Route* route) {
+  void ResolveMethods(const Located<Names>& names, Route* route) {
     std::vector<bool> allowed(site_.classes.size());
     bool known = true;
     for (const auto& name : names.value) {
--- a/tools/kestrelplug/cases.cpp
+++ b/tools/kestrelplug/cases.cpp
@@ -10,10 +10,10 @@
 namespace kestrelline::plugin {
 namespace {
 
-using operator_file::At;
 using operator_file::Diagnostics;
 using operator_file::Key;
 using operator_file::Kind;
+using operator_file::Located;
 using operator_file::Section;
 using operator_file::TableReader;
 
@@ -31,7 +31,7 @@
     Key{"failure", Kind::kText, "The failure that is expected instead: error, fuel, memory, output."},
 };
 
-void ReadTag(const At<std::string>& name, const At<std::string>& value, Tags* tags,
+void ReadTag(const Located<std::string>& name, const Located<std::string>& value, Tags* tags,
              Diagnostics* diagnostics) {
   if (name.value == "class") {
     tags->request_class = value.value;
