--- a/src/management/figures.cpp
+++ b/src/management/figures.cpp
@@ -28,9 +28,9 @@
   for (const std::string& name : classes) labels_.push_back(EscapeLabel(name));
 }
 
-void Metrics::OnRequestOutcome(int request_class, RequestOutcome ending) {
+void Metrics::OnRequestOutcome(int request_class, RequestOutcome outcome) {
   if (request_class < 0 || static_cast<std::size_t>(request_class) >= counts_.size()) return;
-  ++counts_[static_cast<std::size_t>(request_class)].by_ending[static_cast<std::size_t>(ending)];
+  ++counts_[static_cast<std::size_t>(request_class)].by_outcome[static_cast<std::size_t>(outcome)];
 }
 
 std::string Metrics::Text(const Pool& pool) const {
@@ -39,10 +39,10 @@
   const auto line = [&](std::string_view name, auto value) {
     text.append("proxy_").append(name).append(" ").append(std::to_string(value)).append("\n");
   };
-  for (std::size_t ending = 0; ending < kOutcomeNames.size(); ++ending) {
+  for (std::size_t outcome = 0; outcome < kOutcomeNames.size(); ++outcome) {
     for (std::size_t c = 0; c < labels_.size(); ++c)
-      line(std::string(kOutcomeNames[ending]) + "{kind=\"" + labels_[c] + "\"}",
-           counts_[c].by_ending[ending]);
+      line(std::string(kOutcomeNames[outcome]) + "{kind=\"" + labels_[c] + "\"}",
+           counts_[c].by_outcome[outcome]);
   }
   line("tries", tries_);
   line("active", active_);
--- a/src/management/figures.h
+++ b/src/management/figures.h
@@ -25,7 +25,7 @@
   explicit Metrics(std::vector<std::string> classes);
 
   // Not counted if `request_class` is out of range, as for a request that could not be parsed.
-  void OnRequestOutcome(int request_class, RequestOutcome ending);
+  void OnRequestOutcome(int request_class, RequestOutcome outcome);
   void OnAttempt() { ++tries_; }
   void OnRequestStarted() { ++active_; }
   void OnRequestClosed() { --active_; }
@@ -39,13 +39,13 @@
 
   std::uint64_t tries() const { return tries_; }
   std::int64_t active() const { return active_; }
-  std::uint64_t Of(int request_class, RequestOutcome ending) const {
-    return counts_[static_cast<std::size_t>(request_class)].by_ending[static_cast<std::size_t>(ending)];
+  std::uint64_t Of(int request_class, RequestOutcome outcome) const {
+    return counts_[static_cast<std::size_t>(request_class)].by_outcome[static_cast<std::size_t>(outcome)];
   }
 
  private:
   struct Counts {
-    std::uint64_t by_ending[3] = {};
+    std::uint64_t by_outcome[3] = {};
   };
   std::vector<std::string> labels_;  // class names, escaped
   std::vector<Counts> counts_;
--- a/tests/management/commands_test.cpp
+++ b/tests/management/commands_test.cpp
@@ -15,11 +15,11 @@
 
 struct Process : Operations {
   lifecycle::Life life;
-  Metrics figures{{"preview", "a\"b\\c\nd"}};
+  Metrics metrics{{"preview", "a\"b\\c\nd"}};
   lifecycle::State state() const override { return life.state(); }
   lifecycle::Done Drain() override { return life.Drain({}); }
   lifecycle::Done Resume() override { return life.Resume(); }
-  std::string MetricsText() const override { return figures.Text({15, 2}); }
+  std::string MetricsText() const override { return metrics.Text({15, 2}); }
 };
 
 TEST(Commands, EachCommandHasADefinedAnswerInEachState) {
@@ -69,13 +69,13 @@
   EXPECT_EQ(OverlongLineAnswer().substr(0, 4), "NAK ");
 }
 
-TEST(Figures, OneLineEachWithEscapedLabels) {
+TEST(Metrics, OneLineEachWithEscapedLabels) {
   Process process;
-  for (int i = 0; i < 3; ++i) process.figures.OnRequestOutcome(0, RequestOutcome::kServed);
-  process.figures.OnRequestOutcome(1, RequestOutcome::kRefused);
-  process.figures.OnRequestOutcome(0, RequestOutcome::kFailed);
-  process.figures.OnAttempt(), process.figures.OnAttempt();
-  process.figures.OnRequestStarted(), process.figures.OnRequestStarted(), process.figures.OnRequestClosed();
+  for (int i = 0; i < 3; ++i) process.metrics.OnRequestOutcome(0, RequestOutcome::kServed);
+  process.metrics.OnRequestOutcome(1, RequestOutcome::kRefused);
+  process.metrics.OnRequestOutcome(0, RequestOutcome::kFailed);
+  process.metrics.OnAttempt(), process.metrics.OnAttempt();
+  process.metrics.OnRequestStarted(), process.metrics.OnRequestStarted(), process.metrics.OnRequestClosed();
   EXPECT_EQ(process.MetricsText(),
             "proxy_ok{kind=\"preview\"} 3\nproxy_ok{kind=\"a\\\"b\\\\c\\nd\"} 0\n"
             "proxy_shed{kind=\"preview\"} 0\nproxy_shed{kind=\"a\\\"b\\\\c\\nd\"} 1\n"
@@ -83,11 +83,11 @@
             "proxy_tries 2\nproxy_active 1\nproxy_pool_size 15\nproxy_pool_ejected 2\n");
 }
 
-TEST(Figures, UnknownRequestClassIsNotCounted) {
+TEST(Metrics, UnknownRequestClassIsNotCounted) {
   Process process;
   const std::string before = process.MetricsText();
   for (const int request_class : {-1, 2, 1 << 30})
-    process.figures.OnRequestOutcome(request_class, RequestOutcome::kServed);
+    process.metrics.OnRequestOutcome(request_class, RequestOutcome::kServed);
   EXPECT_EQ(process.MetricsText(), before);
 }
 
--- a/tests/proxy/door_test.cpp
+++ b/tests/proxy/door_test.cpp
@@ -85,7 +85,7 @@
 
 // Requests that are served, declined by all backends, failed or retried, and clients that disconnect: the
 // metrics equal the counts of the clients and the backends.
-TEST(Figures, EqualWhatClientsAndBackendsCounted) {
+TEST(Metrics, EqualWhatClientsAndBackendsCounted) {
   Watched<bool> release;
   const auto answer = [&](Tcp::socket& s, const HttpRequest& r) {
     if (r["X-Do"] == "hold") release.WaitFor([](bool go) { return go; });
@@ -131,21 +131,21 @@
   release.Do([](bool& go) { go = true; });
   ASSERT_TRUE(site.proxy->WaitUntilNothingIsHeld());
   while (FetchMetrics(site.endpoint)["proxy_active"] != 0) std::this_thread::yield();
-  const auto figures = FetchMetrics(site.endpoint);
-  for (const auto& [name, value] : counted) EXPECT_EQ(figures.at(name), value) << name;
+  const auto metrics = FetchMetrics(site.endpoint);
+  for (const auto& [name, value] : counted) EXPECT_EQ(metrics.at(name), value) << name;
   // Each backend reads on a thread of its own, which may lag behind the writes that the proxy counted.
   const auto seen = [&] { return one.seen.Get().requests.size() + two.seen.Get().requests.size(); };
   const auto deadline = std::chrono::steady_clock::now() + kGiveUp;
-  while (static_cast<double>(seen()) < figures.at("proxy_tries") &&
+  while (static_cast<double>(seen()) < metrics.at("proxy_tries") &&
          std::chrono::steady_clock::now() < deadline)
     std::this_thread::yield();
-  EXPECT_EQ(figures.at("proxy_tries"), static_cast<double>(seen()));
-  EXPECT_EQ(figures.at("proxy_pool_size"), 2);
-  EXPECT_GT(figures.count("proxy_pool_ejected"), 0u);
-  EXPECT_EQ(figures.size(), 3u * 3 + 4);
+  EXPECT_EQ(metrics.at("proxy_tries"), static_cast<double>(seen()));
+  EXPECT_EQ(metrics.at("proxy_pool_size"), 2);
+  EXPECT_GT(metrics.count("proxy_pool_ejected"), 0u);
+  EXPECT_EQ(metrics.size(), 3u * 3 + 4);
 }
 
-TEST(Figures, PoolSizeFollowsTheInstanceList) {
+TEST(Metrics, PoolSizeFollowsTheInstanceList) {
   Backend backend;
   Managed site(Members(MemberJson("s-1", backend.address()), MemberJson("s-2", backend.address())));
   site.Start();
