--- a/src/plugin/tagger.h
+++ b/src/plugin/tagger.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a front sees of plug-ins: a request goes in, its verdict comes out, once, within kMostWall.
+// The interface through which the proxy runs plug-ins: takes a request and calls back once with its verdict,
+// within kMostWall.
 #ifndef KESTRELLINE_PLUGIN_TAGGER_H_
 #define KESTRELLINE_PLUGIN_TAGGER_H_
 
@@ -13,20 +14,21 @@
 
 namespace kestrelline::plugin {
 
-// One version of all plug-ins. Whoever holds it, or a ticket of it, keeps that version alive.
+// One version of the whole set of plug-ins. A reference to it, or to one of its tickets, keeps that version
+// alive.
 class Tagger {
  public:
   using Done = std::function<void(const Verdict&)>;
-  // Held while the verdict is waited for; letting go of it gives the request up: `done` is not called then.
+  // Represents a pending verdict. Releasing it cancels the request: `done` is then not called.
   using Ticket = std::shared_ptr<void>;
 
   virtual ~Tagger() = default;
 
-  // Whether any plug-in reads requests of this route (RouteTable::kNone: of none).
+  // Whether any plug-in reads requests of this route (RouteTable::kNone: requests without a route).
   virtual bool Reads(std::uint32_t route) const = 0;
 
-  // `left`: what remains of the request's deadline. The view is not used after the call. `done` may be called
-  // from within; it must not throw.
+  // `left`: time until the request's deadline. The view is not used after Tag returns. `done` may be called
+  // before Tag returns, and must not throw.
   virtual Ticket Tag(const RequestView& request, int request_class, std::uint32_t route, Duration left,
                      Done done) = 0;
 };
--- a/src/plugin/tagging.cpp
+++ b/src/plugin/tagging.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 std::optional<int> IndexOf(const std::vector<std::string>& names, const std::string& name) {
-  const auto found = std::find(names.begin(), names.end(), name);
-  if (found == names.end()) return std::nullopt;
-  return static_cast<int>(found - names.begin());
+  const auto position = std::find(names.begin(), names.end(), name);
+  if (position == names.end()) return std::nullopt;
+  return static_cast<int>(position - names.begin());
 }
 
-bool GoodText(const std::optional<std::string>& text) {
+bool IsValidText(const std::optional<std::string>& text) {
   return !text ||
          (!text->empty() && text->size() <= kMostTagBytes &&
           std::none_of(text->begin(), text->end(), [](unsigned char c) { return c < 0x20 || c == 0x7f; }));
@@ -25,26 +25,26 @@
 bool Narrows(const ClassSettings& from, const ClassSettings& to) {
   if (from.effect == Effect::kSafe || to.effect == Effect::kUnsafe) return true;
   if (from.effect == Effect::kUnsafe || to.effect == Effect::kSafe) return false;
-  // A zone may hold parts of a cell: of two groups that differ, only 'all' is known to hold the other.
+  // Zones and cells may overlap, so of two different groups only 'all' is known to contain the other.
   return (from.group == Group::kAll || from.group == to.group) && to.window <= from.window;
 }
 
 Tagging::Tagging(const routing::Site& site, int request_class, std::vector<const Grants*> grants)
     : site_(site), request_class_(request_class), missing_(grants.size()) {
   slots_.reserve(grants.size());
-  for (const Grants* g : grants) {
+  for (const Grants* granted : grants) {
     slots_.emplace_back();
-    slots_.back().grants = g;
+    slots_.back().grants = granted;
   }
 }
 
 bool Tagging::Allowed(Slot* slot) const {
-  const Grants& may = *slot->grants;
+  const Grants& grants = *slot->grants;
   const Tags& tags = slot->tags;
-  if ((tags.tenant && !may.tenant) || (tags.key && !may.key) || (tags.route && !may.route) ||
-      (tags.cost_ms && !may.cost))
+  if ((tags.tenant && !grants.tenant) || (tags.key && !grants.key) || (tags.route && !grants.route) ||
+      (tags.cost_ms && !grants.cost))
     return false;
-  if (!GoodText(tags.key) || !GoodText(tags.route)) return false;
+  if (!IsValidText(tags.key) || !IsValidText(tags.route)) return false;
   if (tags.cost_ms && !(std::isfinite(*tags.cost_ms) && *tags.cost_ms >= 0 && *tags.cost_ms <= kMostCostMs))
     return false;
   if (tags.tenant) {
@@ -55,7 +55,8 @@
     slot->request_class = IndexOf(site_.classes, *tags.request_class);
     if (!slot->request_class) return false;
     const int to = *slot->request_class;
-    if (to != request_class_ && !std::binary_search(may.classes.begin(), may.classes.end(), to)) return false;
+    if (to != request_class_ && !std::binary_search(grants.classes.begin(), grants.classes.end(), to))
+      return false;
     const auto& classes = site_.settings.classes;
     if (!Narrows(classes[static_cast<std::size_t>(request_class_)], classes[static_cast<std::size_t>(to)]))
       return false;
@@ -78,17 +79,20 @@
 Verdict Tagging::Decide() const {
   Verdict verdict;
   const auto& classes = site_.settings.classes;
-  const auto of = [&](int c) -> const ClassSettings& { return classes[static_cast<std::size_t>(c)]; };
+  const auto settings_of = [&](int request_class) -> const ClassSettings& {
+    return classes[static_cast<std::size_t>(request_class)];
+  };
   for (const Slot& slot : slots_) {
     if (slot.fault != Fault::kNone) {
       verdict.refuse |= slot.grants->refuse_on_failure[static_cast<std::size_t>(request_class_)];
       continue;
     }
     if (const auto to = slot.request_class) {
-      // The first to speak holds unless a later one is narrower; two of which neither is, are both obeyed by
-      // nobody: the request does not go out.
-      if (!verdict.request_class || !Narrows(of(*to), of(*verdict.request_class))) {
-        if (verdict.request_class && !Narrows(of(*verdict.request_class), of(*to))) verdict.refuse = true;
+      // The first class stays unless a later one is more restrictive. If neither of two classes is as
+      // restrictive as the other, no class satisfies both and the request is refused.
+      if (!verdict.request_class || !Narrows(settings_of(*to), settings_of(*verdict.request_class))) {
+        if (verdict.request_class && !Narrows(settings_of(*verdict.request_class), settings_of(*to)))
+          verdict.refuse = true;
         verdict.request_class = to;
       }
     }
--- a/src/plugin/tagging.h
+++ b/src/plugin/tagging.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What becomes of a request once its plug-ins have answered, or have failed to. No I/O, no clock.
+// Combines the outcomes of a request's plug-ins into one verdict. No I/O, no clock.
 //
-// The plug-ins of a request run side by side, each on the request as it came; none sees another's tags. Their
-// tags are put together here, in the order of the operator's file: the first to set one is heard, but for the
-// class, where the narrowest is. The decision module then takes the request as it is tagged.
+// The plug-ins of a request run concurrently on the original request; none sees another's tags. The tags are
+// combined in the order of the operator's file: the first plug-in that sets a tag wins, except for the class,
+// where the most restrictive one wins. The decision module then receives the request with these tags.
 #ifndef KESTRELLINE_PLUGIN_TAGGING_H_
 #define KESTRELLINE_PLUGIN_TAGGING_H_
 
@@ -18,40 +18,43 @@
 
 namespace kestrelline::plugin {
 
-// Whether whatever the rules allow a request of class `to` they allow one of class `from` as well: safe, then
-// keyed, then unsafe; a keyed class only for one whose repeats are dropped at least as widely and as long.
+// Whether class `to` is at least as restrictive as class `from`: everything that the retry rules allow for a
+// request of `to` they also allow for one of `from`. The order is safe, keyed, unsafe. A keyed class is only
+// as restrictive as another keyed one that drops repeats at least as widely and as long.
 bool Narrows(const kestrelline::ClassSettings& from, const kestrelline::ClassSettings& to);
 
-// What the operator's file says of one plug-in, names resolved to the site's indices.
+// What the operator's file allows one plug-in, with names resolved to indices of the site.
 struct Grants {
-  std::vector<int> classes;  // that it may set, sorted
+  std::vector<int> classes;  // classes that it may set, sorted
   bool tenant = false, key = false, route = false, cost = false;
-  std::vector<bool> refuse_on_failure;  // by class of the request as it came
+  std::vector<bool> refuse_on_failure;  // indexed by the original class of the request
 
   bool operator==(const Grants&) const = default;
 };
 
-// Tags that were allowed, as the decision module and the routes take them.
+// The combined, permitted tags for the decision module and the routes.
 struct Verdict {
-  bool refuse = false;  // a plug-in failed, and its file says so for this class
+  bool refuse =
+      false;  // a plug-in failed and has on_failure = "refuse" for this class, or two tagged classes conflict
   std::optional<int> request_class, tenant;
   std::optional<std::string> key;
   std::optional<double> cost_ms;
   std::string route_tag;
 };
 
-// One request's answers. Each slot stands for a plug-in, in the order of the file.
+// Collects the outcomes for one request. Each slot belongs to a plug-in, in the order of the file.
 class Tagging {
  public:
-  // `site` and what `grants` points to must outlive it.
+  // `site` and the objects in `grants` must outlive it.
   Tagging(const routing::Site& site, int request_class, std::vector<const Grants*> grants);
 
-  // Takes a plug-in's outcome, once for each slot, and gives the fault as which it counts: kForbidden where
-  // tags are not those that it was granted, or would widen an effect. Such tags are dropped as a whole.
+  // Records a plug-in's outcome, once for each slot, and returns the fault to count: that of the outcome, or
+  // kForbidden if a tag is invalid, was not granted, or would make the class less restrictive. All its tags
+  // are then dropped.
   Fault Take(std::size_t slot, const Outcome& outcome);
 
   bool Complete() const { return missing_ == 0; }
-  Verdict Decide() const;  // once complete
+  Verdict Decide() const;  // call once Complete()
 
  private:
   struct Slot {
--- a/src/plugin/wire.cpp
+++ b/src/plugin/wire.cpp
@@ -45,24 +45,24 @@
   std::string bytes_;
 };
 
-// Fails for good at the first thing that is not there.
+// After the first error all further reads fail.
 class Reader {
  public:
-  explicit Reader(std::string_view bytes) : left_(bytes) {}
+  explicit Reader(std::string_view bytes) : remaining_(bytes) {}
 
   template <typename T>
   T Get() {
     T value{};
-    if (left_.size() < sizeof value) return Fail(), value;
-    std::memcpy(&value, left_.data(), sizeof value);
-    left_.remove_prefix(sizeof value);
+    if (remaining_.size() < sizeof value) return Fail(), value;
+    std::memcpy(&value, remaining_.data(), sizeof value);
+    remaining_.remove_prefix(sizeof value);
     return value;
   }
-  std::string_view Text(std::size_t most = kMostMessage) {
+  std::string_view Text(std::size_t max_bytes = kMostMessage) {
     const auto size = Get<std::uint32_t>();
-    if (size > most || size > left_.size()) return Fail(), std::string_view();
-    const auto text = left_.substr(0, size);
-    left_.remove_prefix(size);
+    if (size > max_bytes || size > remaining_.size()) return Fail(), std::string_view();
+    const auto text = remaining_.substr(0, size);
+    remaining_.remove_prefix(size);
     return text;
   }
   bool Flag() {
@@ -70,119 +70,125 @@
     if (value > 1) Fail();
     return value == 1;
   }
-  std::optional<std::string> Maybe(std::size_t most) {
+  std::optional<std::string> Maybe(std::size_t max_bytes) {
     if (!Flag()) return std::nullopt;
-    return std::string(Text(most));
+    return std::string(Text(max_bytes));
   }
   double Finite() {
     const double value = Get<double>();
     if (!std::isfinite(value)) return Fail(), 0;
     return value;
   }
-  void Fail() { good_ = false; }
-  bool Whole() const { return good_ && left_.empty(); }
-  bool good() const { return good_; }
+  void Fail() { valid_ = false; }
+  bool Complete() const { return valid_ && remaining_.empty(); }
+  bool valid() const { return valid_; }
 
  private:
-  std::string_view left_;
-  bool good_ = true;
+  std::string_view remaining_;
+  bool valid_ = true;
 };
 
 template <typename Message, typename All>
-std::optional<All> IfWhole(const Reader& reader, Message message) {
-  if (!reader.Whole()) return std::nullopt;
+std::optional<All> IfComplete(const Reader& reader, Message message) {
+  if (!reader.Complete()) return std::nullopt;
   return All(std::move(message));
 }
 
 Load GetLoad(Reader& in) {
-  Load m;
-  m.name = in.Text(kMostTagBytes);
-  m.source = in.Text(kMostSource);
-  m.budgets.wall = Duration(in.Finite());
-  m.budgets.fuel = in.Get<std::uint64_t>();
-  m.budgets.memory = in.Get<std::uint64_t>();
-  m.budgets.output = in.Get<std::uint64_t>();
-  m.budgets.load = Duration(in.Finite());
-  m.budgets.load_fuel = in.Get<std::uint64_t>();
-  return m;
+  Load load;
+  load.name = in.Text(kMostTagBytes);
+  load.source = in.Text(kMostSource);
+  load.budgets.wall = Duration(in.Finite());
+  load.budgets.fuel = in.Get<std::uint64_t>();
+  load.budgets.memory = in.Get<std::uint64_t>();
+  load.budgets.output = in.Get<std::uint64_t>();
+  load.budgets.load = Duration(in.Finite());
+  load.budgets.load_fuel = in.Get<std::uint64_t>();
+  return load;
 }
 
 Call GetCall(Reader& in) {
-  Call m;
-  m.id = in.Get<std::uint64_t>();
-  RequestView& r = m.request;
-  r.method = in.Text(), r.target = in.Text();
-  r.request_class = in.Text(), r.tenant = in.Text();
-  r.deadline_ms = in.Finite(), r.now_ms = in.Finite();
-  r.form = in.Text();
-  r.cut = in.Flag();
+  Call call;
+  call.id = in.Get<std::uint64_t>();
+  RequestView& request = call.request;
+  request.method = in.Text(), request.target = in.Text();
+  request.request_class = in.Text(), request.tenant = in.Text();
+  request.deadline_ms = in.Finite(), request.now_ms = in.Finite();
+  request.form = in.Text();
+  request.cut = in.Flag();
   const auto headers = in.Get<std::uint32_t>();
-  if (headers > kMostHeaders) return in.Fail(), m;
-  r.headers.reserve(headers);
-  for (std::uint32_t i = 0; i < headers && in.good(); ++i) {
+  if (headers > kMostHeaders) return in.Fail(), call;
+  request.headers.reserve(headers);
+  for (std::uint32_t i = 0; i < headers && in.valid(); ++i) {
     const auto name = in.Text();
-    r.headers.emplace_back(name, in.Text());
+    request.headers.emplace_back(name, in.Text());
   }
-  return m;
+  return call;
 }
 
 Reply GetReply(Reader& in) {
-  Reply m;
-  m.id = in.Get<std::uint64_t>();
+  Reply reply;
+  reply.id = in.Get<std::uint64_t>();
   const auto fault = in.Get<std::uint8_t>();
-  // What a worker can tell of itself; the rest is found out about it.
+  // Only these faults are reported by a worker; the proxy detects the others.
   if (fault > static_cast<std::uint8_t>(Fault::kOutput)) in.Fail();
-  m.outcome.fault = static_cast<Fault>(fault);
-  m.outcome.fuel = in.Get<std::uint64_t>();
-  m.outcome.text = in.Text(kMostFaultText);
-  Tags& t = m.outcome.tags;
-  t.request_class = in.Maybe(kMostTagBytes);
-  t.tenant = in.Maybe(kMostTagBytes);
-  t.key = in.Maybe(kMostTagBytes);
-  t.route = in.Maybe(kMostTagBytes);
+  reply.outcome.fault = static_cast<Fault>(fault);
+  reply.outcome.fuel = in.Get<std::uint64_t>();
+  reply.outcome.text = in.Text(kMostFaultText);
+  Tags& tags = reply.outcome.tags;
+  tags.request_class = in.Maybe(kMostTagBytes);
+  tags.tenant = in.Maybe(kMostTagBytes);
+  tags.key = in.Maybe(kMostTagBytes);
+  tags.route = in.Maybe(kMostTagBytes);
   if (in.Flag()) {
-    t.cost_ms = in.Finite();
-    if (*t.cost_ms < 0 || *t.cost_ms > kMostCostMs) in.Fail();
+    tags.cost_ms = in.Finite();
+    if (*tags.cost_ms < 0 || *tags.cost_ms > kMostCostMs) in.Fail();
   }
-  if (m.outcome.fault != Fault::kNone && !t.empty()) in.Fail();
-  return m;
+  if (reply.outcome.fault != Fault::kNone && !tags.empty()) in.Fail();
+  return reply;
 }
 
 }  // namespace
 
-std::string Write(const Load& m) {
+std::string Write(const Load& message) {
   Writer out(Type::kLoad);
-  out.Put(m.name).Put(m.source);
-  out.Put(m.budgets.wall.count()).Put(m.budgets.fuel);
-  out.Put(std::uint64_t{m.budgets.memory}).Put(std::uint64_t{m.budgets.output});
-  out.Put(m.budgets.load.count()).Put(m.budgets.load_fuel);
+  out.Put(message.name).Put(message.source);
+  out.Put(message.budgets.wall.count()).Put(message.budgets.fuel);
+  out.Put(std::uint64_t{message.budgets.memory}).Put(std::uint64_t{message.budgets.output});
+  out.Put(message.budgets.load.count()).Put(message.budgets.load_fuel);
   return out.Take();
 }
 
-std::string Write(const Call& m) {
+std::string Write(const Call& message) {
   Writer out(Type::kCall);
-  const RequestView& r = m.request;
-  out.Put(m.id).Put(r.method).Put(r.target).Put(r.request_class).Put(r.tenant);
-  out.Put(r.deadline_ms).Put(r.now_ms).Put(r.form).Put(static_cast<std::uint8_t>(r.cut));
-  out.Put(static_cast<std::uint32_t>(r.headers.size()));
-  for (const auto& [name, value] : r.headers) out.Put(name).Put(value);
+  const RequestView& request = message.request;
+  out.Put(message.id).Put(request.method).Put(request.target).Put(request.request_class).Put(request.tenant);
+  out.Put(request.deadline_ms)
+      .Put(request.now_ms)
+      .Put(request.form)
+      .Put(static_cast<std::uint8_t>(request.cut));
+  out.Put(static_cast<std::uint32_t>(request.headers.size()));
+  for (const auto& [name, value] : request.headers) out.Put(name).Put(value);
   return out.Take();
 }
 
-std::string Write(const Ready& m) { return Writer(Type::kReady).Put(m.fuel).Take(); }
+std::string Write(const Ready& message) { return Writer(Type::kReady).Put(message.fuel).Take(); }
 
-std::string Write(const Refused& m) {
-  return Writer(Type::kRefused).Put(std::string_view(m.text).substr(0, kMostFaultText)).Take();
+std::string Write(const Refused& message) {
+  return Writer(Type::kRefused).Put(std::string_view(message.text).substr(0, kMostFaultText)).Take();
 }
 
-std::string Write(const Reply& m) {
+std::string Write(const Reply& message) {
   Writer out(Type::kReply);
-  const Outcome& o = m.outcome;
-  out.Put(m.id).Put(static_cast<std::uint8_t>(o.fault)).Put(o.fuel);
-  out.Put(std::string_view(o.text).substr(0, kMostFaultText));
-  out.Maybe(o.tags.request_class).Maybe(o.tags.tenant).Maybe(o.tags.key).Maybe(o.tags.route);
-  out.Put(static_cast<std::uint8_t>(o.tags.cost_ms.has_value()));
-  if (o.tags.cost_ms) out.Put(*o.tags.cost_ms);
+  const Outcome& outcome = message.outcome;
+  out.Put(message.id).Put(static_cast<std::uint8_t>(outcome.fault)).Put(outcome.fuel);
+  out.Put(std::string_view(outcome.text).substr(0, kMostFaultText));
+  out.Maybe(outcome.tags.request_class)
+      .Maybe(outcome.tags.tenant)
+      .Maybe(outcome.tags.key)
+      .Maybe(outcome.tags.route);
+  out.Put(static_cast<std::uint8_t>(outcome.tags.cost_ms.has_value()));
+  if (outcome.tags.cost_ms) out.Put(*outcome.tags.cost_ms);
   return out.Take();
 }
 
@@ -191,11 +197,11 @@
   switch (in.Get<Type>()) {
     case Type::kLoad: {
       Load message = GetLoad(in);
-      return IfWhole<Load, ToWorker>(in, std::move(message));
+      return IfComplete<Load, ToWorker>(in, std::move(message));
     }
     case Type::kCall: {
       Call message = GetCall(in);
-      return IfWhole<Call, ToWorker>(in, std::move(message));
+      return IfComplete<Call, ToWorker>(in, std::move(message));
     }
     default:
       return std::nullopt;
@@ -207,15 +213,15 @@
   switch (in.Get<Type>()) {
     case Type::kReady: {
       const Ready message{in.Get<std::uint64_t>()};
-      return IfWhole<Ready, FromWorker>(in, message);
+      return IfComplete<Ready, FromWorker>(in, message);
     }
     case Type::kRefused: {
       Refused message{std::string(in.Text(kMostFaultText))};
-      return IfWhole<Refused, FromWorker>(in, std::move(message));
+      return IfComplete<Refused, FromWorker>(in, std::move(message));
     }
     case Type::kReply: {
       Reply message = GetReply(in);
-      return IfWhole<Reply, FromWorker>(in, std::move(message));
+      return IfComplete<Reply, FromWorker>(in, std::move(message));
     }
     default:
       return std::nullopt;
--- a/src/plugin/wire.h
+++ b/src/plugin/wire.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Messages between the daemon and a worker, without I/O. Each is one datagram of a SOCK_SEQPACKET pair, so
-// that none arrives in part. Integers and texts (a 32-bit length before them) are of this machine's order:
-// both ends are processes of one.
+// Encoding of the messages between the proxy and a worker, without I/O. Each message is one datagram of a
+// SOCK_SEQPACKET socket pair, so that none arrives in part. Integers, and the 32-bit lengths of texts, are in
+// host byte order, since both ends run on the same machine.
 //
-// The daemon believes nothing that it reads: a reply that is not wholly understood, is too long, or holds a
-// number that is none, is refused by the reader.
+// The proxy does not trust a worker: the reader rejects a reply that is malformed, too long, or holds a
+// number that is not finite.
 #ifndef KESTRELLINE_PLUGIN_WIRE_H_
 #define KESTRELLINE_PLUGIN_WIRE_H_
 
@@ -19,27 +19,27 @@
 
 namespace kestrelline::plugin::wire {
 
-// The descriptor that the daemon leaves the worker.
+// File descriptor of the worker's socket.
 inline constexpr int kWorkerSocket = 3;
 
-inline constexpr std::size_t kMostSource = 64 * 1024;
+inline constexpr std::size_t kMostSource = 64 * 1024;  // bytes of a script
 inline constexpr std::size_t kMostMessage = kMostSource + 4096;
 
-// To the worker.
+// Messages to the worker.
 struct Load {
   std::string name, source;
   Budgets budgets;
 };
 struct Call {
   std::uint64_t id = 0;
-  RequestView request;  // of the buffer that was read
+  RequestView request;  // points into the buffer that was read
 };
 
-// From the worker.
+// Messages from the worker.
 struct Ready {
-  std::uint64_t fuel = 0;  // that loading took
+  std::uint64_t fuel = 0;  // instructions that loading took
 };
-struct Refused {
+struct Refused {  // the script could not be loaded
   std::string text;
 };
 struct Reply {
@@ -56,7 +56,7 @@
 using ToWorker = std::variant<Load, Call>;
 using FromWorker = std::variant<Ready, Refused, Reply>;
 
-// Nothing unless all of `bytes` is one message. The view of a Call points into `bytes`.
+// Return nothing unless `bytes` is exactly one valid message. The view of a Call points into `bytes`.
 std::optional<ToWorker> ReadToWorker(std::string_view bytes);
 std::optional<FromWorker> ReadFromWorker(std::string_view bytes);
 
