--- a/src/standin/site.cpp
+++ b/src/standin/site.cpp
@@ -116,7 +116,7 @@
 void ReadConverters(const TableReader& reader, SiteSpec* site, const SiteBounds& bounds,
                     Diagnostics* diagnostics) {
   const auto whole = [&](std::string_view key, std::int64_t otherwise, std::int64_t most) {
-    const auto value = reader.Whole(key, 1, most);
+    const auto value = reader.Integer(key, 1, most);
     return value ? value->value : otherwise;
   };
   const auto count = whole("count", 1, static_cast<std::int64_t>(bounds.converters));
