--- a/src/plugin/api.h
+++ b/src/plugin/api.h
@@ -29,9 +29,9 @@
 inline constexpr Duration kMaxWall{5};
 
 // Limits of the view. Anything beyond them is left out and `cut` is set.
-inline constexpr std::size_t kMostViewBytes = 24 * 1024;
-inline constexpr std::size_t kMostFormBytes = 4 * 1024;
-inline constexpr std::size_t kMostHeaders = 128;
+inline constexpr std::size_t kMaxViewBytes = 24 * 1024;
+inline constexpr std::size_t kMaxFormBytes = 4 * 1024;
+inline constexpr std::size_t kMaxHeaders = 128;
 // Limits of a returned text (class, tenant, key or route tag) and of a returned cost.
 inline constexpr std::size_t kMaxTagBytes = 256;
 inline constexpr double kMaxCostMs = 1e9;
@@ -42,7 +42,7 @@
   std::string_view request_class, tenant;  // names from the platform configuration; the tenant may be empty
   double deadline_ms = 0;                  // time left until the request's deadline
   double now_ms = 0;                       // Unix time at which the request was read; plug-ins have no clock
-  std::string_view form;                   // the body, if it is a form of at most kMostFormBytes
+  std::string_view form;                   // the body, if it is a form of at most kMaxFormBytes
   bool cut = false;                        // some of the request was left out
   std::vector<std::pair<std::string_view, std::string_view>> headers;  // in the order of the request
 };
--- a/src/plugin/wire.cpp
+++ b/src/plugin/wire.cpp
@@ -117,7 +117,7 @@
   request.form = in.Text();
   request.cut = in.Flag();
   const auto headers = in.Get<std::uint32_t>();
-  if (headers > kMostHeaders) return in.Fail(), call;
+  if (headers > kMaxHeaders) return in.Fail(), call;
   request.headers.reserve(headers);
   for (std::uint32_t i = 0; i < headers && in.valid(); ++i) {
     const auto name = in.Text();
--- a/src/proxy/request_views.cpp
+++ b/src/proxy/request_views.cpp
@@ -24,11 +24,11 @@
   if (!config.tenants.empty()) view.tenant = config.tenants[static_cast<std::size_t>(tenant)];
   view.deadline_ms = left.count();
   view.now_ms = Duration(std::chrono::system_clock::now().time_since_epoch()).count();
-  if (message.body().size() <= kMostFormBytes && IsForm(message)) view.form = message.body();
+  if (message.body().size() <= kMaxFormBytes && IsForm(message)) view.form = message.body();
   std::size_t bytes = view.target.size() + view.form.size();
   for (const auto& header : message) {
     bytes += header.name_string().size() + header.value().size();
-    if (view.headers.size() == kMostHeaders || bytes > kMostViewBytes) {
+    if (view.headers.size() == kMaxHeaders || bytes > kMaxViewBytes) {
       view.cut = true;
       break;
     }
