--- a/src/management/door.cpp
+++ b/src/management/door.cpp
@@ -1,6 +1,4 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "management/door.h"
-
 #include <algorithm>
 #include <array>
 #include <boost/asio/buffer.hpp>
@@ -8,6 +6,8 @@
 #include <string>
 #include <utility>
 
+#include "management/endpoint.h"
+
 namespace kestrelline::management {
 namespace {
 
--- a/src/management/door.h
+++ b/src/management/endpoint.h
@@ -2,8 +2,8 @@
 //
 // The management endpoint: a TCP listener that reads one command from each connection, writes the answer and
 // closes the connection. Runs on the thread of its io_context.
-#ifndef KESTRELLINE_MANAGEMENT_DOOR_H_
-#define KESTRELLINE_MANAGEMENT_DOOR_H_
+#ifndef KESTRELLINE_MANAGEMENT_ENDPOINT_H_
+#define KESTRELLINE_MANAGEMENT_ENDPOINT_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -56,4 +56,4 @@
 
 }  // namespace kestrelline::management
 
-#endif  // KESTRELLINE_MANAGEMENT_DOOR_H_
+#endif  // KESTRELLINE_MANAGEMENT_ENDPOINT_H_
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -27,7 +27,7 @@
 #include "handover/last_byte.h"
 #include "kestrelline/balancer.h"
 #include "lifecycle/life.h"
-#include "management/door.h"
+#include "management/endpoint.h"
 #include "management/figures.h"
 #include "members.h"
 #include "pair/registry.h"
