--- a/src/management/door.cpp
+++ b/src/management/endpoint.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+#include "management/endpoint.h"
+
 #include <algorithm>
 #include <array>
 #include <boost/asio/buffer.hpp>
@@ -6,8 +8,6 @@
 #include <string>
 #include <utility>
 
-#include "management/endpoint.h"
-
 namespace kestrelline::management {
 namespace {
 
