--- a/src/concert/partition_link.cpp
+++ b/src/concert/partition_link.cpp
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <utility>
 
-#include "management/figures.h"
+#include "management/metrics.h"
 
 namespace kestrelline::concert {
 
--- a/src/management/figures.h
+++ b/src/management/metrics.h
@@ -5,8 +5,8 @@
 // Each counter is incremented where the event occurs: for a request where its final response is given, for an
 // attempt when the last byte of its request is written. Values that other components own are passed in when
 // the text is formed.
-#ifndef KESTRELLINE_MANAGEMENT_FIGURES_H_
-#define KESTRELLINE_MANAGEMENT_FIGURES_H_
+#ifndef KESTRELLINE_MANAGEMENT_METRICS_H_
+#define KESTRELLINE_MANAGEMENT_METRICS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -58,4 +58,4 @@
 
 }  // namespace kestrelline::management
 
-#endif  // KESTRELLINE_MANAGEMENT_FIGURES_H_
+#endif  // KESTRELLINE_MANAGEMENT_METRICS_H_
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -19,7 +19,7 @@
 #include "clock.h"
 #include "config.h"
 #include "lifecycle/life.h"
-#include "management/figures.h"
+#include "management/metrics.h"
 
 namespace kestrelline::proxy {
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -28,7 +28,7 @@
 #include "kestrelline/balancer.h"
 #include "lifecycle/life.h"
 #include "management/endpoint.h"
-#include "management/figures.h"
+#include "management/metrics.h"
 #include "members.h"
 #include "pair/registry.h"
 #include "plugin/tagger.h"
--- a/tests/management/commands_test.cpp
+++ b/tests/management/commands_test.cpp
@@ -8,7 +8,7 @@
 #include <algorithm>
 #include <random>
 
-#include "management/figures.h"
+#include "management/metrics.h"
 
 namespace kestrelline::management {
 namespace {
