--- a/src/management/figures.cpp
+++ b/src/management/metrics.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
+#include "management/metrics.h"
+
 #include <array>
 #include <utility>
 
-#include "management/metrics.h"
-
 namespace kestrelline::management {
 namespace {
 
