--- a/src/app/door_call.cpp
+++ b/src/app/door_call.cpp
@@ -1,6 +1,4 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "app/door_call.h"
-
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/read.hpp>
@@ -8,6 +6,7 @@
 #include <chrono>
 #include <nlohmann/json.hpp>
 
+#include "app/management_client.h"
 #include "config.h"
 
 namespace kestrelline::app {
--- a/src/app/door_call.h
+++ b/src/app/management_client.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Client of a running proxy's management endpoint, for the subcommands that query it.
-#ifndef KESTRELLINE_APP_DOOR_CALL_H_
-#define KESTRELLINE_APP_DOOR_CALL_H_
+#ifndef KESTRELLINE_APP_MANAGEMENT_CLIENT_H_
+#define KESTRELLINE_APP_MANAGEMENT_CLIENT_H_
 
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
@@ -22,4 +22,4 @@
 
 }  // namespace kestrelline::app
 
-#endif  // KESTRELLINE_APP_DOOR_CALL_H_
+#endif  // KESTRELLINE_APP_MANAGEMENT_CLIENT_H_
--- a/src/app/peers_command.cpp
+++ b/src/app/peers_command.cpp
@@ -10,7 +10,7 @@
 #include <thread>
 #include <vector>
 
-#include "app/door_call.h"
+#include "app/management_client.h"
 
 namespace kestrelline::app {
 namespace {
--- a/src/app/replica_command.cpp
+++ b/src/app/replica_command.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-#include "app/door_call.h"
+#include "app/management_client.h"
 
 namespace kestrelline::app {
 namespace {
