--- a/src/app/door_call.cpp
+++ b/src/app/management_client.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+#include "app/management_client.h"
+
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/read.hpp>
@@ -6,7 +8,6 @@
 #include <chrono>
 #include <nlohmann/json.hpp>
 
-#include "app/management_client.h"
 #include "config.h"
 
 namespace kestrelline::app {
