--- a/bench/peers_cost_bench.cpp
+++ b/bench/peers_cost_bench.cpp
@@ -20,7 +20,7 @@
 #include "replica/link.h"
 #include "running_site.h"
 #include "support/client.h"
-#include "support/door_call.h"
+#include "support/management_client.h"
 #include "support/temporary.h"
 
 namespace {
--- a/tests/proxy/door_test.cpp
+++ b/tests/proxy/door_test.cpp
@@ -9,8 +9,8 @@
 #include <random>
 #include <thread>
 
-#include "support/door_call.h"
 #include "support/loopback.h"
+#include "support/management_client.h"
 
 namespace kestrelline::testing {
 namespace {
--- a/tests/proxy/upgrade_test.cpp
+++ b/tests/proxy/upgrade_test.cpp
@@ -9,7 +9,7 @@
 #include <map>
 #include <thread>
 
-#include "support/door_call.h"
+#include "support/management_client.h"
 #include "support/process.h"
 #include "support/temporary.h"
 
--- a/tests/support/door_call.h
+++ b/tests/support/management_client.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A client of the management endpoint: sends a command and reads until the endpoint closes the connection.
-#ifndef KESTRELLINE_TESTS_SUPPORT_DOOR_CALL_H_
-#define KESTRELLINE_TESTS_SUPPORT_DOOR_CALL_H_
+#ifndef KESTRELLINE_TESTS_SUPPORT_MANAGEMENT_CLIENT_H_
+#define KESTRELLINE_TESTS_SUPPORT_MANAGEMENT_CLIENT_H_
 
 #include <boost/asio/read.hpp>
 #include <map>
@@ -39,4 +39,4 @@
 
 }  // namespace kestrelline::testing
 
-#endif  // KESTRELLINE_TESTS_SUPPORT_DOOR_CALL_H_
+#endif  // KESTRELLINE_TESTS_SUPPORT_MANAGEMENT_CLIENT_H_
--- a/tests/support/peer_fleet.h
+++ b/tests/support/peer_fleet.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "support/door_call.h"
+#include "support/management_client.h"
 #include "support/running_fleet.h"
 #include "support/temporary.h"
 
