--- a/bench/plugin_bench.cpp
+++ b/bench/plugin_bench.cpp
@@ -178,7 +178,7 @@
                 const std::map<std::string, std::string>& scripts)
       : host_(io_, {worker, nullptr}) {
     const testing::PluginFile file(text, scripts);
-    std::fputs(file.Said().c_str(), stderr);
+    std::fputs(file.DiagnosticsText().c_str(), stderr);
     bool loaded = false;
     host_.Load(file.built, [&](auto tagger, const auto&) { tagger_ = std::move(tagger), loaded = true; });
     Until([&] { return loaded; });
--- a/src/app/peers_command.h
+++ b/src/app/peers_command.h
@@ -10,7 +10,7 @@
 
 namespace kestrelline::app {
 
-// Returns the exit code: 0, or one of those in door_call.h.
+// Returns the exit code: 0, or one of those in management_client.h.
 int ShowPeers(const Command& command, std::ostream& out, std::ostream& err);
 
 }  // namespace kestrelline::app
--- a/src/app/replica_command.h
+++ b/src/app/replica_command.h
@@ -10,8 +10,8 @@
 
 namespace kestrelline::app {
 
-// Returns the exit code: 0, or one of those in door_call.h; `diff` returns 4 if the replicas differ, and 5 if
-// they could not be compared and the command should be repeated.
+// Returns the exit code: 0, or one of those in management_client.h; `diff` returns 4 if the replicas differ,
+// and 5 if they could not be compared and the command should be repeated.
 int ShowReplica(const Command& command, std::ostream& out, std::ostream& err);
 
 }  // namespace kestrelline::app
--- a/src/operator/document.h
+++ b/src/operator/document.h
@@ -31,7 +31,7 @@
 
 inline constexpr std::int64_t kVersion = 1;
 
-// Type of a value; see TypeName. kPause is a duration that may be 0.
+// Type of a value; see TypeName. kDurationOrZero is a duration that may be 0.
 enum class Kind {
   kText,
   kTexts,
@@ -70,8 +70,8 @@
   std::optional<Located<double>> Number(std::string_view key, double min, double max) const;  // integers too
   // Calls `each` for every table of an array of tables.
   void Tables(std::string_view key, const std::function<void(const toml::table&, Position)>& each) const;
-  // Call `each` for every key of a table whose values are tables (Named) or texts (Pairs), in the order of
-  // the file.
+  // Call `each` for every key of a table whose values are tables (ForEachTable) or texts (ForEachText), in
+  // the order of the file.
   void ForEachTable(
       std::string_view key,
       const std::function<void(const Located<std::string>& name, const toml::table&)>& each) const;
--- a/src/operator/read_file.h
+++ b/src/operator/read_file.h
@@ -14,11 +14,11 @@
 
 inline constexpr std::size_t kMaxFileBytes = 8 * 1024 * 1024;
 
-// Memory that parsing takes, as a multiple of the file size. TOML takes 20 to 40 times its size while it is
-// parsed, and 85 times in the worst known case (docs/design/routes.md).
+// Assumed memory that parsing takes, as a multiple of the file size. TOML takes 20 to 40 times the file size
+// while it is parsed, and 85 times in the worst known case (docs/design/routes.md).
 inline constexpr std::size_t kParsedSize = 64;
-// The largest file that a process with `memory_mb` may read: parsing takes up to half of the memory, and two
-// thirds in the worst known case.
+// The largest file that a process with `memory_mb` may read: by kParsedSize, parsing takes up to half of the
+// memory, and two thirds in the worst known case.
 constexpr std::size_t MaxFileBytes(double memory_mb) {
   const double bytes = memory_mb * 1024 * 1024 / 2 / kParsedSize;
   return bytes < static_cast<double>(kMaxFileBytes) ? static_cast<std::size_t>(bytes) : kMaxFileBytes;
--- a/tests/plugin/daemon_test.cpp
+++ b/tests/plugin/daemon_test.cpp
@@ -205,8 +205,7 @@
   EXPECT_NE(check(kHealthy).find("1 plug-in: accepted"), std::string::npos);
 }
 
-// ---- kestrelplug, the tool for plug-in authors
-// -------------------------------------------------------------
+// ---- kestrelplug, the tool for plug-in authors -----------------------------------------------------------
 TEST(Kestrelplug, ANewScriptPassesItsCasesAndErrorsAreReported) {
   const TemporaryFolder folder;
   const auto run = [&](const std::string& arguments) {
--- a/tests/plugin/host_test.cpp
+++ b/tests/plugin/host_test.cpp
@@ -56,7 +56,7 @@
   std::shared_ptr<const PluginTable> TableOf(const std::string& text,
                                              const std::map<std::string, std::string>& scripts) {
     const testing::PluginFile file(text, scripts);
-    EXPECT_TRUE(file.built) << file.Said();
+    EXPECT_TRUE(file.built) << file.DiagnosticsText();
     return file.built;
   }
 
--- a/tests/plugin/section_test.cpp
+++ b/tests/plugin/section_test.cpp
@@ -90,7 +90,7 @@
   for (const auto& message : file.diagnostics.messages())
     found |= message.at.line == GetParam().line && message.rule == GetParam().rule &&
              message.text.find(GetParam().text_part) != std::string::npos;
-  EXPECT_TRUE(found) << file.Said();
+  EXPECT_TRUE(found) << file.DiagnosticsText();
 }
 
 TEST(PluginSection, TooManyPluginsAreRejected) {
@@ -99,7 +99,8 @@
     text += PluginText("sets = \"key\"\nmemory_kb = 256\n", "p" + std::to_string(i));
   const ParsedFile file(text);
   EXPECT_EQ(file.built, nullptr);
-  EXPECT_NE(file.Said().find("9 plug-ins; 8 are accepted"), std::string::npos) << file.Said();
+  EXPECT_NE(file.DiagnosticsText().find("9 plug-ins; 8 are accepted"), std::string::npos)
+      << file.DiagnosticsText();
 }
 
 TEST(PluginSection, NamesOfAValidFileAreResolved) {
@@ -108,7 +109,7 @@
       PluginText("sets = \"cost\"\non_failure = \"refuse\"\n[plugin.on_failure_of]\npreview = \"pass\"\n",
                  "b") +
       "[[route]]\nname = \"r\"\nmatch.class = \"convert\"\n[[route]]\nname = \"s\"\nmatch.tag = \"night\"\n");
-  ASSERT_TRUE(file.built) << file.Said();
+  ASSERT_TRUE(file.built) << file.DiagnosticsText();
   const auto& plugins = file.built->plugins();
   ASSERT_EQ(plugins.size(), 2u);
   EXPECT_EQ(plugins[0].grants.classes, std::vector<int>{testing::kCertify});
--- a/tests/support/plugin_file.h
+++ b/tests/support/plugin_file.h
@@ -36,7 +36,7 @@
             text, [&](const std::string& file, std::string*) { return std::optional(scripts.at(file)); },
             2048) {}
 
-  std::string Said() const {
+  std::string DiagnosticsText() const {
     std::string text;
     for (const auto& line : diagnostics.Lines()) text += line + '\n';
     return text;
