--- a/src/proxy/backends.cpp
+++ b/src/proxy/backends.cpp
@@ -110,7 +110,7 @@
 // The most recently used of those that have rested. A backend may close just after an answer, or send more
 // than belongs to it: what has rested has shown that.
 std::shared_ptr<Connection> Backends::TakeIdle(Backend& backend) {
-  const auto rested_since = Steady::now() - limits_.patience.rest;
+  const auto rested_since = Steady::now() - limits_.timeouts.rest;
   auto end = backend.idle.end();
   while (end != backend.idle.begin() && (*std::prev(end))->idle_since() > rested_since) --end;
   while (end != backend.idle.begin()) {
--- a/src/proxy/backends.h
+++ b/src/proxy/backends.h
@@ -61,7 +61,7 @@
     Duration connect_timeout{250};
     Duration conn_idle{15000};
     std::function<std::size_t()> connections = [] { return std::size_t{300}; };  // over all backends, now
-    Patience patience{};
+    Timeouts timeouts{};
     kestrelline::bodies::Budget* bodies = nullptr;  // for answers that pass in pieces
     std::function<void()> on_written = [] {};       // the last byte of an attempt is
   };
--- a/src/proxy/clients.cpp
+++ b/src/proxy/clients.cpp
@@ -123,16 +123,16 @@
 // stay, since their request may be on its way.
 bool Clients::MakeRoom() {
   const auto now = Steady::now();
-  const auto& patience = config_.patience;
+  const auto& timeouts = config_.timeouts;
   std::shared_ptr<Session> session;
   const auto find = [&](const auto& may_go) {
     if (session) return;
     const auto found = std::find_if(sessions_.begin(), sessions_.end(), may_go);
     if (found != sessions_.end()) session = *found;
   };
-  find([&](const auto& s) { return s->EndingSince(now - patience.silent); });
-  find([&](const auto& s) { return s->SpareSince(now - patience.spare); });
-  find([&](const auto& s) { return s->SilentSince(now - patience.silent); });
+  find([&](const auto& s) { return s->EndingSince(now - timeouts.silent); });
+  find([&](const auto& s) { return s->SpareSince(now - timeouts.spare); });
+  find([&](const auto& s) { return s->SilentSince(now - timeouts.silent); });
   if (!session) return false;
   const bool waiting = std::exchange(waiting_for_room_, false);  // whoever asks goes on by itself
   session->Close();
@@ -152,7 +152,7 @@
     const std::vector<std::shared_ptr<Session>> present(sessions_.begin(), sessions_.end());
     for (const auto& session : present) {
       if (session->Closed()) continue;
-      if (sessions_.size() > mark && session->SpareSince(now - config_.patience.spare)) {
+      if (sessions_.size() > mark && session->SpareSince(now - config_.timeouts.spare)) {
         session->Close();
       } else {
         session->EndIfDue(now);
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -26,15 +26,15 @@
 };
 
 // How long things are waited for.
-struct Patience {
+struct Timeouts {
   using Ms = std::chrono::milliseconds;
-  Ms whole_request{2500};  // from a connection's start to its first byte; from there to the end of a head
+  Ms request_read{2500};   // from a connection's start to its first byte; from there to the end of a head
   Ms kept{90000};          // for a client's next request
   Ms spare{2000};          // after which a connection with no request open may make room for others
   Ms silent{250};          // the same of one that never sent anything
   Ms answer_taken{10000};  // for a client to take its answer
   Ms drained{1000};        // for a client to close after its last answer
-  Ms answer_whole{100};    // from an answer's first byte to its last
+  Ms response_read{100};   // from an answer's first byte to its last
   Ms rest{2};              // before a connection to a backend is used again
   Ms forgotten{900000};    // after which nothing is known of a backend that has gone
 };
@@ -52,7 +52,7 @@
   std::vector<std::string> classes, tenants, zones, kinds;  // their names, by index
   Duration connect_timeout{250};
   Duration conn_idle{15000};  // backends close what stands idle for this long
-  Patience patience;
+  Timeouts timeouts;
   MemberList known;
   bool await_copies = false;          // of what other proxies know, before it is ready; see Proxy::OnCopies
   std::optional<bool> peers_allowed;  // permissions.peers; nothing where it is not said
--- a/src/proxy/connection.cpp
+++ b/src/proxy/connection.cpp
@@ -223,7 +223,7 @@
     if (!self->done_ || use != self->use_) return;
     if (failed || (!self->written_ && self->PeerEnded())) return self->Finish(self->Broken());
     self->begun_ = true;
-    self->SetTimer(std::min(self->deadline_, Steady::now() + self->owner_->limits_.patience.answer_whole));
+    self->SetTimer(std::min(self->deadline_, Steady::now() + self->owner_->limits_.timeouts.response_read));
     self->Read();
   });
 }
@@ -260,7 +260,7 @@
   answered_ = true;
   if (!written_) {
     upload_->Drop();
-    SetTimer(Steady::now() + owner_->limits_.patience.answer_whole);
+    SetTimer(Steady::now() + owner_->limits_.timeouts.response_read);
   }
   if (!by_end && !parser_->chunked() && parser_->content_length().value_or(0) <= kMostBody)
     return ReadWhole();
@@ -450,7 +450,7 @@
 void Connection::OnWriteFailed() {
   Error error;
   if (!answered_ && socket_.available(error) == 0) return Finish(Outcome::kConnectFailed);
-  SetTimer(Steady::now() + owner_->limits_.patience.answer_whole);
+  SetTimer(Steady::now() + owner_->limits_.timeouts.response_read);
 }
 
 void Connection::Finish(Outcome outcome, HttpResponse response) {
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -55,7 +55,7 @@
       timer_(io),
       list_wait_(io),
       sharing_(io) {
-  Backends::Limits limits{config_.connect_timeout, config_.conn_idle, {}, config_.patience};
+  Backends::Limits limits{config_.connect_timeout, config_.conn_idle, {}, config_.timeouts};
   limits.bodies = &bodies_;
   limits.connections = [this] { return shares_.ForBackends(clients_ ? clients_->connections() : 0); };
   limits.on_written = [this] { figures_.OnTry(); };
@@ -266,7 +266,7 @@
 
 // Ids are ever new: what has been gone for longer than the module remembers it has no number any more.
 void Proxy::ForgetLongGone() {
-  std::erase_if(gone_since_, [this, until = Steady::now() - config_.patience.forgotten](const auto& gone) {
+  std::erase_if(gone_since_, [this, until = Steady::now() - config_.timeouts.forgotten](const auto& gone) {
     if (gone.second > until) return false;
     backends_->Forget(numbers_.Of(gone.first));
     numbers_.Forget(gone.first);
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -60,7 +60,7 @@
   Error ignored;
   socket_.set_option(Tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
-  Wait(patience().whole_request);
+  Wait(timeouts().request_read);
 }
 
 bool Session::Idle() const {
@@ -137,7 +137,7 @@
   if (Holds()) TurnAway(status, "found faulty");
 }
 
-const Patience& Session::patience() const { return owner_->config_.patience; }
+const Timeouts& Session::timeouts() const { return owner_->config_.timeouts; }
 
 // Each state has one time limit: it does not begin anew with each byte.
 void Session::Enter(State state, std::optional<Steady::duration> at_most) {
@@ -161,7 +161,7 @@
 }
 
 void Session::Begin() {
-  Enter(State::kReading, patience().whole_request);
+  Enter(State::kReading, timeouts().request_read);
   empty_lines_ = 0;
   ReadHeader();
 }
@@ -198,7 +198,7 @@
   old_ = head_.version() < 11;
   last_ = old_ || !parser_->keep_alive();
   if (const auto complaint = CheckHeader(head_)) return TurnAway(complaint->status, complaint->text);
-  pace_ = kestrelline::bodies::Pace(patience().whole_request, kLeastRate);
+  pace_ = kestrelline::bodies::Pace(timeouts().request_read, kLeastRate);
   const std::uint64_t length = parser_->content_length().value_or(0);
   const bool may_be_long = parser_->chunked() || length > kMostBody;
   if (!ReserveFor(may_be_long ? 0 : static_cast<std::size_t>(length))) return NoMemory();
@@ -281,7 +281,7 @@
   if (!whole) {
     const auto guess = length > 0 ? std::chrono::duration<double>(static_cast<double>(left) / kLeastRate)
                                   : std::chrono::duration<double>(3600);
-    request->due += std::chrono::duration_cast<Steady::duration>(guess) + patience().whole_request;
+    request->due += std::chrono::duration_cast<Steady::duration>(guess) + timeouts().request_read;
   }
   upload_->OnWant([this] { ReadMore(); });
   Hold(std::move(*request));
@@ -463,7 +463,7 @@
   if (const auto target = head_.target(); class_ < 0 && !target.empty())
     class_ = ClassOf({target.data(), target.size()}, owner_->config_);
   owner_->figures_.OnEnded(class_, EndingOf(response_.result()));
-  BeginAnswer(patience().answer_taken);
+  BeginAnswer(timeouts().answer_taken);
   response_.keep_alive(!last_);
   response_.prepare_payload();
   if (head_only_) response_.body().clear();  // its length stays said (RFC 9110, 9.3.2)
@@ -478,7 +478,7 @@
   Over();
   if (failed) return Close();
   if (last_) return CloseGently();
-  Wait(patience().kept);
+  Wait(timeouts().kept);
   if (owner_->waiting_for_room_) owner_->Accept();
 }
 
@@ -544,7 +544,7 @@
 // Guards against a reset overtaking the answer: with unread input left, or input that comes later, a plain
 // close would send one.
 void Session::CloseGently() {
-  Enter(State::kDraining, patience().drained);
+  Enter(State::kDraining, timeouts().drained);
   Error ignored;
   socket_.shutdown(Tcp::socket::shutdown_send, ignored);
   Drain();
--- a/src/proxy/session.h
+++ b/src/proxy/session.h
@@ -74,7 +74,7 @@
 
   using Parser = boost::beast::http::request_parser<PieceBody>;
 
-  const Patience& patience() const;
+  const Timeouts& timeouts() const;
 
   void Enter(State state, std::optional<Steady::duration> at_most);
   void Wait(Steady::duration at_most);
--- a/tests/proxy/bodies_test.cpp
+++ b/tests/proxy/bodies_test.cpp
@@ -210,7 +210,7 @@
 TEST(LongBodies, AClientThatFallsSilentHalfWayIsTold) {
   LongBackend backend(SayHash());
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.whole_request = std::chrono::milliseconds(60);
+  site.timeouts.request_read = std::chrono::milliseconds(60);
   site.Start();
   LongBody body(5, 300000);
   Client client(site.proxy->address);
--- a/tests/proxy/departures_test.cpp
+++ b/tests/proxy/departures_test.cpp
@@ -121,7 +121,7 @@
   TakeTime(site);
   constexpr std::chrono::milliseconds kPause{500};
   site.operator_text = "version = 1\n[class.book]\npause = \"500ms\"\n";
-  site.patience.rest = {};
+  site.timeouts.rest = {};
   site.Start();
   Client here(site.proxy->address), there(site.proxy->address);
   here.Send(WithId(Look(), "1"));
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -177,7 +177,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = {};
+  site.timeouts.rest = {};
   site.Start();
   {
     Client client(site.proxy->address);
@@ -196,7 +196,7 @@
 TEST(Proxy, RequestsOneAfterTheOtherShareAConnection) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = {};
+  site.timeouts.rest = {};
   site.Start();
   Client client(site.proxy->address);
   for (int i = 0; i < 5; ++i) EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -526,7 +526,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.answer_whole = std::chrono::milliseconds(20);
+  site.timeouts.response_read = std::chrono::milliseconds(20);
   site.Start();
   Client client(site.proxy->address);
   // Its deadline is a minute away: longer than the test waits.
@@ -570,7 +570,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = {};
+  site.timeouts.rest = {};
   site.Start();
   Client client(site.proxy->address);
   for (const char* id : {"a1", "a2", "a3"}) EXPECT_EQ(client.Ask(WithId(Book(), id)).body(), id);
@@ -580,7 +580,7 @@
 TEST(Proxy, AConnectionRestsBeforeItIsUsedAgain) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = std::chrono::hours(1);
+  site.timeouts.rest = std::chrono::hours(1);
   site.Start();
   Client client(site.proxy->address);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -764,7 +764,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.rest = std::chrono::hours(1);  // so that each request opens a connection
+  site.timeouts.rest = std::chrono::hours(1);  // so that each request opens a connection
   site.Start();
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -776,7 +776,7 @@
 TEST(Proxy, BackendsLongGoneAreForgotten) {
   Backend backend;
   Site site(Members(MemberJson("s-0", backend.address())));
-  site.patience.forgotten = {};
+  site.timeouts.forgotten = {};
   site.Start();
   for (int i = 1; i <= 20; ++i) {
     site.discovery.Push(
@@ -912,7 +912,7 @@
 TEST(Proxy, ASlowRequestHasOneDeadlineAndEndsWithA408) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.patience.whole_request = std::chrono::milliseconds(500);
+  site.timeouts.request_read = std::chrono::milliseconds(500);
   site.Start();
   Client silent(site.proxy->address);
   EXPECT_TRUE(silent.Ended());
@@ -943,7 +943,7 @@
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;  // 24 places of clients, 32 with all that may be borrowed
-  site.patience.spare = site.patience.kept = std::chrono::minutes(10);
+  site.timeouts.spare = site.timeouts.kept = std::chrono::minutes(10);
   site.Start();
   constexpr int kClients = 200;
   std::vector<std::unique_ptr<Client>> clients;
@@ -1013,8 +1013,8 @@
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
-  site.patience.whole_request = std::chrono::hours(1);
-  site.patience.silent = std::chrono::milliseconds(10);
+  site.timeouts.request_read = std::chrono::hours(1);
+  site.timeouts.silent = std::chrono::milliseconds(10);
   site.Start();
   std::vector<std::unique_ptr<Client>> silent;
   for (int i = 0; i < 80; ++i) silent.push_back(std::make_unique<Client>(site.proxy->address));
@@ -1101,7 +1101,7 @@
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
-  site.patience.spare = std::chrono::milliseconds(10);
+  site.timeouts.spare = std::chrono::milliseconds(10);
   site.Start();
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 60; ++i) {
--- a/tests/support/site.h
+++ b/tests/support/site.h
@@ -20,11 +20,11 @@
 struct Site {
   explicit Site(std::vector<nlohmann::json> known)
       : config(ConfigJson(discovery.address(), std::move(known))) {
-    patience.whole_request = patience.answer_whole = std::chrono::minutes(1);
+    timeouts.request_read = timeouts.response_read = std::chrono::minutes(1);
   }
   void Start() {
     proxy::Config all = ConfigOf(config);
-    all.patience = patience;
+    all.timeouts = timeouts;
     auto routes = Routes(operator_text);
     proxy = std::make_unique<RunningProxy>(std::move(all), std::move(routes));
   }
@@ -41,7 +41,7 @@
   FakeDiscovery discovery;
   nlohmann::json config;
   std::string operator_text;  // of the operator's file; empty for none
-  proxy::Patience patience;
+  proxy::Timeouts timeouts;
   std::unique_ptr<RunningProxy> proxy;
 };
 
