--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -99,7 +99,7 @@
     const auto found = requests_.find(e.request);
     if (found == requests_.end()) return;
     Request& r = found->second;
-    r.body_dropped |= e.bound;
+    r.body_dropped |= e.body_dropped;
     if (!e.whole || !std::exchange(r.receiving, false)) return;
     r.due = e.due;
     for (Attempt& a : r.attempts) {
