--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -100,7 +100,7 @@
     if (found == requests_.end()) return;
     Request& r = found->second;
     r.body_dropped |= e.body_dropped;
-    if (!e.whole || !std::exchange(r.receiving, false)) return;
+    if (!e.complete || !std::exchange(r.receiving, false)) return;
     r.due = e.due;
     for (Attempt& a : r.attempts) {
       if (a.outstanding) a.sent_at = now_, CountInFlight(r, servers_[a.server]);
