--- a/include/kestrelline/balancer.h
+++ b/include/kestrelline/balancer.h
@@ -168,8 +168,8 @@
 // Progress of a request body, for a request submitted with body_follows.
 struct BodyProgress {
   RequestId request = 0;
-  bool bound = false;  // part of the body is no longer buffered: no further attempt is possible
-  bool whole = false;  // the last byte was received, and `due` is final
+  bool body_dropped = false;  // part of the body is no longer buffered: no further attempt is possible
+  bool complete = false;      // the last byte was received, and `due` is final
   TimePoint due{};
 };
 // This proxy's fraction of what all proxies share (tenant quotas, concurrency at servers, budgets of cold
