--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -71,9 +71,9 @@
   const Upload& upload = *found->second.upload;
   BodyProgress news;
   news.request = id;
-  news.bound = upload.bound();
-  news.whole = upload.whole();
-  if (news.whole) found->second.due = upload.due();
+  news.body_dropped = upload.bound();
+  news.complete = upload.whole();
+  if (news.complete) found->second.due = upload.due();
   news.due = clock_.At(found->second.due);
   Feed(news);
 }
