--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -33,7 +33,7 @@
     return kestrelline::proxy::LoadConfig([&](const char* name) -> const char* {
       return std::string_view(name) == "ROUTER_CONFIG" ? path.c_str() : nullptr;
     });
-  } catch (const kestrelline::proxy::BadConfig& error) {
+  } catch (const kestrelline::proxy::ConfigError& error) {
     err << path << ": [config] " << error.what() << '\n';
     return std::nullopt;
   }
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -65,7 +65,7 @@
       Await();
       try {
         Begin(kestrelline::proxy::ReloadConfig(Environment));
-      } catch (const kestrelline::proxy::BadConfig& error) {
+      } catch (const kestrelline::proxy::ConfigError& error) {
         OldOneStays(error.what());
       }
     });
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -61,7 +61,7 @@
     Count own, most;
   };
 
-  // Listens at once, or takes over the listener that the configuration names; throws BadConfig or
+  // Listens at once, or takes over the listener that the configuration names; throws ConfigError or
   // boost::system::system_error if it cannot. Accepts when `life` says so. `figures` are told of each end.
   Clients(boost::asio::io_context& io, const Config& config, Places places,
           const kestrelline::lifecycle::Life& life, kestrelline::management::Figures& figures,
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -47,7 +47,7 @@
 Tcp::endpoint Address(const char* from_env, const json& root, const char* name) {
   const std::string text = from_env && *from_env ? from_env : root.value(name, "");
   const auto endpoint = ParseEndpoint(text);
-  if (!endpoint) throw BadConfig(std::string(name) + " is no address: '" + text + "'");
+  if (!endpoint) throw ConfigError(std::string(name) + " is no address: '" + text + "'");
   return *endpoint;
 }
 
@@ -61,13 +61,13 @@
 
 std::uint64_t SeedOf(const json& root) {
   const auto found = root.find("seed");
-  if (found == root.end()) throw BadConfig("seed is missing");
+  if (found == root.end()) throw ConfigError("seed is missing");
   if (found->is_number_unsigned()) return found->get<std::uint64_t>();
   const std::string text = found->is_string() ? found->get<std::string>() : "";
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (text.empty() || error != std::errc() || end != text.data() + text.size())
-    throw BadConfig("seed is no hexadecimal number");
+    throw ConfigError("seed is no hexadecimal number");
   return seed;
 }
 
@@ -78,7 +78,7 @@
   int number = -1;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), number);
   if (error != std::errc() || end != digits.data() + digits.size() || number < 0)
-    throw BadConfig("ROUTER_INHERITED_FD is no descriptor: '" + std::string(digits) + "'");
+    throw ConfigError("ROUTER_INHERITED_FD is no descriptor: '" + std::string(digits) + "'");
   return number;
 }
 
@@ -99,8 +99,8 @@
     config.sockets = limits->value("sockets", config.sockets);
     config.memory_mb = limits->value("memory_mb", config.memory_mb);
   }
-  if (!(config.memory_mb >= 8)) throw BadConfig("limits.memory_mb is too small to serve");
-  if (config.sockets < 64) throw BadConfig("limits.sockets is too small to serve");
+  if (!(config.memory_mb >= 8)) throw ConfigError("limits.memory_mb is too small to serve");
+  if (config.sockets < 64) throw ConfigError("limits.sockets is too small to serve");
 
   const json& settings = root.at("settings");
   std::string lines;
@@ -120,12 +120,12 @@
     config.settings.max_retry_after = std::max(Duration(0), Duration(allowed->value("maxRetryAfterMs", 0.0)));
   }
   if (!(config.connect_timeout.count() > 0) || !(config.conn_idle.count() > 0))
-    throw BadConfig("permissions.connectTimeoutMs and connIdleMs must be over 0");
+    throw ConfigError("permissions.connectTimeoutMs and connIdleMs must be over 0");
 
   if (const auto known = root.find("known"); known != root.end() && !known->is_null()) {
     std::string why;
     auto list = ParseMembers(*known, &why);
-    if (!list) throw BadConfig("known is no list: " + why);
+    if (!list) throw ConfigError("known is no list: " + why);
     config.known = std::move(*list);
   }
   return config;
@@ -135,21 +135,21 @@
 
 Config ParseConfig(std::string_view text, const Environment& env) {
   const json root = json::parse(text, nullptr, /*allow_exceptions=*/false);
-  if (!root.is_object()) throw BadConfig("the configuration is no JSON object");
+  if (!root.is_object()) throw ConfigError("the configuration is no JSON object");
   try {
     return Read(root, env);
   } catch (const adapter::BadSettings& error) {
-    throw BadConfig(error.what());
+    throw ConfigError(error.what());
   } catch (const json::exception& error) {
-    throw BadConfig(error.what());
+    throw ConfigError(error.what());
   }
 }
 
 Config LoadConfig(const Environment& env) {
   const char* path = env("ROUTER_CONFIG");
-  if (!path || !*path) throw BadConfig("ROUTER_CONFIG is not set");
+  if (!path || !*path) throw ConfigError("ROUTER_CONFIG is not set");
   std::ifstream file(path, std::ios::binary);
-  if (!file) throw BadConfig("cannot read ROUTER_CONFIG: " + std::string(path));
+  if (!file) throw ConfigError("cannot read ROUTER_CONFIG: " + std::string(path));
   const std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   return ParseConfig(text, env);
 }
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -20,7 +20,7 @@
 namespace kestrelline::proxy {
 
 // what() is one line that says what is missing or wrong.
-class BadConfig : public std::runtime_error {
+class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -23,7 +23,7 @@
 }
 
 [[noreturn]] void Bad(int descriptor, const std::string& what) {
-  throw BadConfig("ROUTER_INHERITED_FD: descriptor " + std::to_string(descriptor) + " " + what);
+  throw ConfigError("ROUTER_INHERITED_FD: descriptor " + std::to_string(descriptor) + " " + what);
 }
 
 Tcp::acceptor Inherited(boost::asio::io_context& io, const Tcp::endpoint& address, int descriptor) {
--- a/src/proxy/listener.h
+++ b/src/proxy/listener.h
@@ -9,7 +9,7 @@
 
 namespace kestrelline::proxy {
 
-// `inherited`: a descriptor; -1 for none. It has to be a TCP socket that listens at `address`, or BadConfig
+// `inherited`: a descriptor; -1 for none. It has to be a TCP socket that listens at `address`, or ConfigError
 // says what it is instead. No program that this one starts gets it.
 boost::asio::ip::tcp::acceptor OpenListener(boost::asio::io_context& io,
                                             const boost::asio::ip::tcp::endpoint& address, int inherited);
--- a/src/sim/simulation.cpp
+++ b/src/sim/simulation.cpp
@@ -29,7 +29,7 @@
     std::replace(pointer.begin(), pointer.end(), '.', '/');
     const nlohmann::json::json_pointer at(pointer);
     // Keys that nobody knows are ignored by who reads them: a slip of the pen would change nothing.
-    if (!json.contains(at)) throw kestrelline::proxy::BadConfig("there is no settings." + path);
+    if (!json.contains(at)) throw kestrelline::proxy::ConfigError("there is no settings." + path);
     json[at] = nlohmann::json::parse(text);
   }
   auto settings = kestrelline::proxy::ParseConfig(json.dump(), [](const char*) -> const char* {
@@ -54,7 +54,7 @@
     SettingsOf(scenario, 0);
     Peering::ConcertOf(scenario.site);
     return true;
-  } catch (const std::exception& error) {  // BadConfig, or of JSON
+  } catch (const std::exception& error) {  // ConfigError, or of JSON
     *why = error.what();
     return false;
   }
--- a/tests/proxy/door_test.cpp
+++ b/tests/proxy/door_test.cpp
@@ -38,7 +38,7 @@
   EXPECT_EQ(ConfigOf(site.config).management->port(), 7000);
   for (const char* bad : {"here", "127.0.0.1", "127.0.0.1:99999999", "x:1"}) {
     site.config["mgmt"] = bad;
-    EXPECT_THROW(ConfigOf(site.config), proxy::BadConfig) << bad;
+    EXPECT_THROW(ConfigOf(site.config), proxy::ConfigError) << bad;
   }
   const auto env = [](const char* name) -> const char* {
     return std::string(name) == "ROUTER_MGMT" ? "127.0.0.1:7001" : nullptr;
