--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -153,7 +153,7 @@
     hooks.leave = [l, r] { r->Leave(), l->Leave(); };
     hooks.hand_over = [l, r] { r->Leave(), l->HandOver(), r->HandOver(); };
     hooks.when_held_elsewhere = [r](auto done) { r->WhenHeldElsewhere(std::move(done)); };
-    if (config.await_copies) r->WhenCurrent(shared->ready_within, [&proxy] { proxy.OnCopies(); });
+    if (config.await_replica) r->WhenCurrent(shared->ready_within, [&proxy] { proxy.OnReplicaReady(); });
   }
   if (divided) {
     const kestrelline::concert::Link::Who place{config.settings.me, config.settings.balancers, config.seed};
@@ -202,7 +202,7 @@
       if (!diagnostics.ok()) return 1;
       routes = loaded->routes;
       // One that takes over from another process gets what that one holds, once it is ready.
-      config.await_copies =
+      config.await_replica =
           loaded->replica && loaded->replica->ready_within.count() > 0 && config.inherited_listener < 0;
       if (loaded->peers) config.sockets -= kestrelline::peers::Link::kDescriptors;
     }
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -54,7 +54,7 @@
   Duration conn_idle{15000};  // backends close what stands idle for this long
   Timeouts timeouts;
   MemberList known;
-  bool await_copies = false;          // of what other proxies know, before it is ready; see Proxy::OnCopies
+  bool await_replica = false;  // of what other proxies know, before it is ready; see Proxy::OnReplicaReady
   std::optional<bool> peers_allowed;  // permissions.peers; nothing where it is not said
 };
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -44,7 +44,7 @@
 
 Proxy::Proxy(boost::asio::io_context& io, Config config, Routes routes, Tagger tagger)
     : config_(std::move(config)),
-      life_(/*queue_kept=*/config_.inherited_listener >= 0, config_.await_copies),
+      life_(/*queue_kept=*/config_.inherited_listener >= 0, config_.await_replica),
       figures_(config_.classes),
       routes_(std::move(routes)),
       tagger_(std::move(tagger)),
@@ -104,7 +104,7 @@
   if (life_.Listed()) OnLife();
 }
 
-void Proxy::OnCopies() {
+void Proxy::OnReplicaReady() {
   if (life_.CopiesCame()) OnLife();
 }
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -61,8 +61,8 @@
   // What is known of keys among them, and told; must outlive all requests.
   void SetClaims(kestrelline::replica::Claims* claims) { claims_ = claims; }
 
-  // What other proxies know has come, or is waited for no longer (Config::await_copies).
-  void OnCopies();
+  // What other proxies know has come, or is waited for no longer (Config::await_replica).
+  void OnReplicaReady();
 
   // Of what all proxies have together; see Share in balancer.h. Requests that came since the start.
   void OnShare(double share, Steady::time_point until, double after);
