--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -152,7 +152,7 @@
     hooks.figures = [l, r, c] { return l->FiguresText() + r->FiguresText(c->counts()); };
     hooks.leave = [l, r] { r->Leave(), l->Leave(); };
     hooks.hand_over = [l, r] { r->Leave(), l->HandOver(), r->HandOver(); };
-    hooks.when_held_elsewhere = [r](auto done) { r->WhenHeldElsewhere(std::move(done)); };
+    hooks.await_handover = [r](auto done) { r->WhenHeldElsewhere(std::move(done)); };
     if (config.await_replica) r->WhenCurrent(shared->ready_within, [&proxy] { proxy.OnReplicaReady(); });
   }
   if (divided) {
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -168,11 +168,11 @@
       for (const auto& other : companions_->Others()) taken_over |= !other.leaving;
     if (taken_over) {
       peers_.hand_over();
-      done = [this, done = std::move(done)] { peers_.when_held_elsewhere(done); };
+      done = [this, done = std::move(done)] { peers_.await_handover(done); };
     } else {
       peers_.leave();
       done = [this, done = std::move(done)] {
-        peers_.when_held_elsewhere([this, done] {
+        peers_.await_handover([this, done] {
           peers_.gone();
           done();
         });
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -54,7 +54,7 @@
     std::function<void()> gone;            // nothing is held any more
     std::function<void()> hand_over;       // to another process of this proxy
     // After `leave` or `hand_over`, with nothing open: calls back once others have all that is shared.
-    std::function<void(std::function<void()>)> when_held_elsewhere;
+    std::function<void(std::function<void()>)> await_handover;
   };
   void SetPeers(Peers peers) { peers_ = std::move(peers); }
 
