--- a/src/bodies/pace.h
+++ b/src/bodies/pace.h
@@ -15,22 +15,22 @@
   using Span = std::chrono::steady_clock::duration;
 
   // `bytes_per_s`: on the whole, after `start`.
-  Pace(Span start, double bytes_per_s) : left_(start), bytes_per_s_(bytes_per_s) {}
+  Pace(Span start, double bytes_per_s) : credit_(start), bytes_per_s_(bytes_per_s) {}
 
   // For how long it may be waited for now.
-  Span Left() const { return left_; }
+  Span Remaining() const { return credit_; }
   void OnRead(Span waited, std::size_t bytes) {
-    left_ += std::chrono::duration_cast<Span>(
-                 std::chrono::duration<double>(static_cast<double>(bytes) / bytes_per_s_)) -
-             waited;
+    credit_ += std::chrono::duration_cast<Span>(
+                   std::chrono::duration<double>(static_cast<double>(bytes) / bytes_per_s_)) -
+               waited;
     // What came fast does not buy a long silence.
-    if (left_ > kMostCredit) left_ = kMostCredit;
+    if (credit_ > kMaxCredit) credit_ = kMaxCredit;
   }
 
  private:
-  static constexpr std::chrono::seconds kMostCredit{10};
+  static constexpr std::chrono::seconds kMaxCredit{10};
 
-  Span left_;
+  Span credit_;
   double bytes_per_s_;
 };
 
--- a/src/bodies/passage.h
+++ b/src/bodies/passage.h
@@ -16,55 +16,55 @@
 
 class Passage {
  public:
-  static constexpr std::size_t kMostKept = 64 * 1024;
+  static constexpr std::size_t kMaxBuffered = 64 * 1024;
 
   // What an attempt that asks for more gets.
   enum class Step {
-    kKept,     // the kept bytes that it has not had
-    kAwait,    // what the client sends next
-    kNothing,  // all has been given
-    kBroken,   // the rest will never come
+    kSendBuffered,  // the kept bytes that it has not had
+    kAwaitClient,   // what the client sends next
+    kEnd,           // all has been given
+    kBroken,        // the rest will never come
   };
 
   // `kept`: bytes that have come already; `whole`: they are all.
-  explicit Passage(std::size_t kept, bool whole = false) : kept_(kept), whole_(whole) {}
+  explicit Passage(std::size_t buffered, bool complete = false) : buffered_(buffered), complete_(complete) {}
 
   // Another attempt, from the first byte. False if there can be none.
   bool Begin() {
-    if (bound_ || broken_) return false;
-    given_ = 0;
+    if (dropped_ || broken_) return false;
+    sent_ = 0;
     return true;
   }
   Step Next() const {
     if (broken_) return Step::kBroken;
-    if (given_ < kept_) return Step::kKept;
-    return whole_ ? Step::kNothing : Step::kAwait;
+    if (sent_ < buffered_) return Step::kSendBuffered;
+    return complete_ ? Step::kEnd : Step::kAwaitClient;
   }
   // The attempt has all of the kept bytes; how many of them it had before.
-  std::size_t GiveKept() { return std::exchange(given_, kept_); }
+  std::size_t TakeBuffered() { return std::exchange(sent_, buffered_); }
   // A piece has come that nobody waits for: whoever asked for it has failed since. It is kept too; no other
   // is asked for before there is an attempt again.
   void Keep(std::size_t bytes, bool last) {
-    kept_ += bytes;
-    whole_ |= last;
+    buffered_ += bytes;
+    complete_ |= last;
   }
   // A piece beyond the kept bytes has come and goes to the attempt that waits. True if it is the first.
   bool Pass(bool last) {
-    const bool first = !bound_;
-    bound_ = true;
-    kept_ = given_ = 0;
-    whole_ |= last;
+    const bool first = !dropped_;
+    dropped_ = true;
+    buffered_ = sent_ = 0;
+    complete_ |= last;
     return first;
   }
-  void Break() { broken_ = !whole_; }
+  void Break() { broken_ = !complete_; }
 
-  bool bound() const { return bound_; }
-  bool whole() const { return whole_; }
+  bool dropped() const { return dropped_; }
+  bool complete() const { return complete_; }
   bool broken() const { return broken_; }
 
  private:
-  std::size_t kept_, given_ = 0;
-  bool whole_, bound_ = false, broken_ = false;
+  std::size_t buffered_, sent_ = 0;
+  bool complete_, dropped_ = false, broken_ = false;
 };
 
 }  // namespace kestrelline::bodies
--- a/src/proxy/backends.cpp
+++ b/src/proxy/backends.cpp
@@ -13,7 +13,7 @@
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
-constexpr double kIdleShare = 0.8;  // of the time after which backends close: ours must come first
+constexpr double kIdleTimeoutShare = 0.8;  // of the time after which backends close: ours must come first
 
 }  // namespace
 
@@ -23,7 +23,7 @@
   const auto live = std::move(live_);
   live_.clear();
   for (const auto& [key, weak] : live) {
-    if (const auto connection = weak.lock()) connection->Orphan();
+    if (const auto connection = weak.lock()) connection->Detach();
   }
 }
 
@@ -37,12 +37,12 @@
 }
 
 void Backends::Retire(ServerId server) {
-  const auto found = backends_.find(server);
-  if (found == backends_.end()) return;
-  ++found->second.generation;
-  found->second.usable = false;
+  const auto entry = backends_.find(server);
+  if (entry == backends_.end()) return;
+  ++entry->second.generation;
+  entry->second.usable = false;
   CloseIdle(server);
-  if (found->second.live == 0) return;
+  if (entry->second.live == 0) return;
   for (const auto& [key, weak] : live_) {
     const auto connection = weak.lock();
     if (connection && connection->server() == server) connection->AbandonUnwritten();
@@ -50,28 +50,28 @@
 }
 
 bool Backends::IsCurrent(const Connection& connection) const {
-  const auto found = backends_.find(connection.server());
-  return found != backends_.end() && found->second.usable &&
-         found->second.generation == connection.generation();
+  const auto entry = backends_.find(connection.server());
+  return entry != backends_.end() && entry->second.usable &&
+         entry->second.generation == connection.generation();
 }
 
-void Backends::RetireOthers(const std::unordered_set<ServerId>& named) {
+void Backends::RetireAllExcept(const std::unordered_set<ServerId>& named) {
   for (const auto& [server, backend] : backends_) {
     if (!named.contains(server)) Retire(server);
   }
 }
 
 void Backends::CloseIdle(ServerId server) {
-  const auto found = backends_.find(server);
-  if (found == backends_.end()) return;
-  const auto idle = std::move(found->second.idle);
-  found->second.idle.clear();
+  const auto entry = backends_.find(server);
+  if (entry == backends_.end()) return;
+  const auto idle = std::move(entry->second.idle);
+  entry->second.idle.clear();
   for (const auto& connection : idle) connection->Close();
 }
 
 void Backends::Forget(ServerId server) {
-  const auto found = backends_.find(server);
-  if (found != backends_.end() && !found->second.usable && found->second.live == 0) backends_.erase(found);
+  const auto entry = backends_.find(server);
+  if (entry != backends_.end() && !entry->second.usable && entry->second.live == 0) backends_.erase(entry);
 }
 
 AttemptHandle Backends::Send(ServerId server, std::shared_ptr<const HttpRequest> request, Duration timeout,
@@ -93,9 +93,9 @@
   // A backend that never had an address could not be connected to; a pool full of attempts is no backend's
   // fault.
   if (backend.address.port() == 0) {
-    connection->FinishSoon(Outcome::kConnectFailed);
+    connection->PostFinish(Outcome::kConnectFailed);
   } else if (open_ > limits_.connections() && !CloseOldestIdle()) {
-    connection->FinishSoon(Outcome::kMoot);
+    connection->PostFinish(Outcome::kMoot);
   } else {
     ++opened_;
     connection->Open(backend.address, limits_.connect_timeout);
@@ -110,13 +110,13 @@
 // The most recently used of those that have rested. A backend may close just after an answer, or send more
 // than belongs to it: what has rested has shown that.
 std::shared_ptr<Connection> Backends::TakeIdle(Backend& backend) {
-  const auto rested_since = Steady::now() - limits_.timeouts.rest;
+  const auto rested_since = Steady::now() - limits_.timeouts.reuse_delay;
   auto end = backend.idle.end();
   while (end != backend.idle.begin() && (*std::prev(end))->idle_since() > rested_since) --end;
   while (end != backend.idle.begin()) {
     const auto connection = *--end;
     end = backend.idle.erase(end);
-    if (connection->Quiet()) return connection;
+    if (connection->IsQuiet()) return connection;
     const auto place = end - backend.idle.begin();
     connection->Close();
     end = backend.idle.begin() + place;
@@ -124,7 +124,7 @@
   return nullptr;
 }
 
-void Backends::Trim() {
+void Backends::TrimIdle() {
   while (open_ > limits_.connections() && CloseOldestIdle()) {
   }
 }
@@ -140,19 +140,19 @@
   return oldest != nullptr;
 }
 
-void Backends::Keep(const std::shared_ptr<Connection>& connection) {
+void Backends::ReturnIdle(const std::shared_ptr<Connection>& connection) {
   if (!IsCurrent(*connection)) return connection->Close();
   backends_.at(connection->server()).idle.push_back(connection);
-  connection->WatchIdle(limits_.conn_idle * kIdleShare);
+  connection->WatchIdle(limits_.conn_idle * kIdleTimeoutShare);
 }
 
-void Backends::Drop(const Connection* connection) {
+void Backends::Remove(const Connection* connection) {
   const bool was_live = live_.erase(connection) > 0;
   open_ -= was_live;
-  const auto found = backends_.find(connection->server());
-  if (found == backends_.end()) return;
-  found->second.live -= was_live;
-  std::erase_if(found->second.idle, [&](const auto& idle) { return idle.get() == connection; });
+  const auto entry = backends_.find(connection->server());
+  if (entry == backends_.end()) return;
+  entry->second.live -= was_live;
+  std::erase_if(entry->second.idle, [&](const auto& idle) { return idle.get() == connection; });
 }
 
 }  // namespace kestrelline::proxy
--- a/src/proxy/backends.h
+++ b/src/proxy/backends.h
@@ -28,12 +28,12 @@
   Outcome outcome = Outcome::kUnknown;
   HttpResponse response;  // of kOk; of kUnknown, where the backend turned the request away as faulty
   // Of kOk: what follows the body in `response`, which is its beginning then. Null where it is whole.
-  std::shared_ptr<BodySource> rest;
+  std::shared_ptr<BodySource> rest_of_body;
   std::optional<std::uint64_t> length;  // of the whole body, where it was announced
-  bool local = false;                   // of kMoot: it could not begin for want of descriptors or places here
-  bool broke = false;     // its connection broke before any byte of an answer, after some of its own
-  Duration written{0};    // since its first byte was
-  Duration answering{0};  // since its last byte was
+  bool local_failure = false;           // of kMoot: it could not begin for want of descriptors or places here
+  bool connection_broke = false;  // its connection broke before any byte of an answer, after some of its own
+  Duration since_first_byte{0};   // since its first byte was
+  Duration since_last_byte{0};    // since its last byte was
 };
 using AttemptDone = std::function<void(AttemptResult)>;
 
@@ -77,11 +77,11 @@
   // in use go when their answers are in.
   void Retire(ServerId server);
   // All but those that a complete list names.
-  void RetireOthers(const std::unordered_set<ServerId>& named);
+  void RetireAllExcept(const std::unordered_set<ServerId>& named);
   void CloseIdle(ServerId server);
 
   // Closes idle connections, the oldest first, while there are more than may be now.
-  void Trim();
+  void TrimIdle();
 
   // Drops what is known of a backend that is retired.
   void Forget(ServerId server);
@@ -113,8 +113,8 @@
   bool IsCurrent(const Connection& connection) const;
   std::shared_ptr<Connection> TakeIdle(Backend& backend);
   bool CloseOldestIdle();
-  void Keep(const std::shared_ptr<Connection>& connection);
-  void Drop(const Connection* connection);
+  void ReturnIdle(const std::shared_ptr<Connection>& connection);
+  void Remove(const Connection* connection);
 
   boost::asio::io_context& io_;
   Limits limits_;
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -36,7 +36,7 @@
   virtual void Rejected(boost::beast::http::status status) = 0;
   // Whether the client has closed its connection by now, whatever it sent ahead and whether or not anybody
   // has heard of it.
-  virtual bool Gone() const = 0;
+  virtual bool ClientClosed() const = 0;
 };
 
 // What is done with requests. Neither call may throw.
@@ -57,13 +57,13 @@
 
   // How many connections there may be now: those that are its own, near which places run short, and all, with
   // what is borrowed.
-  struct Places {
-    Count own, most;
+  struct ConnectionLimits {
+    Count own, max;
   };
 
   // Listens at once, or takes over the listener that the configuration names; throws ConfigError or
   // boost::system::system_error if it cannot. Accepts when `life` says so. `figures` are told of each end.
-  Clients(boost::asio::io_context& io, const Config& config, Places places,
+  Clients(boost::asio::io_context& io, const Config& config, ConnectionLimits places,
           const kestrelline::lifecycle::Life& life, kestrelline::management::Figures& figures,
           kestrelline::bodies::Budget& bodies, RequestHandler& handler);
   ~Clients();
@@ -72,8 +72,8 @@
 
   // To be called after each change of `life`. Once it stops, `done` is called when nothing is owed to anybody
   // any more.
-  void OnLife();
-  void WhenOver(std::function<void()> done) { stopped_ = std::move(done); }
+  void OnLifecycleChange();
+  void SetDrainedCallback(std::function<void()> done) { on_drained_ = std::move(done); }
   // Of the memory of the configuration, where other processes have the rest.
   void SetMemoryShare(double share);
 
@@ -84,30 +84,30 @@
   friend class Session;
 
   void Accept();
-  void Take(boost::asio::ip::tcp::socket socket);
-  void TakeQueue();
-  void AcceptLater();
-  bool MakeRoom();
-  bool PlacesRunShort() const;
+  void AddSession(boost::asio::ip::tcp::socket socket);
+  void AcceptBacklog();
+  void RetryAccept();
+  bool EvictConnection();
+  bool NearConnectionLimit() const;
   bool Reserve(std::size_t bytes);
   void Sweep();
   void Remove(Session* session);
-  void LookWhetherOver();
+  void CheckDrained();
 
   boost::asio::io_context& io_;
   const Config& config_;
-  Places places_;
+  ConnectionLimits limits_;
   const kestrelline::lifecycle::Life& life_;
   kestrelline::management::Figures& figures_;
   kestrelline::bodies::Budget& bodies_;
-  std::size_t most_bytes_ = 0, reserved_ = 0;  // of bodies that are held whole
+  std::size_t max_body_bytes_ = 0, reserved_ = 0;  // of bodies that are held whole
   RequestHandler& handler_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_, over_, sweep_;
+  boost::asio::steady_timer accept_retry_timer_, drain_timer_, sweep_timer_;
   std::list<std::shared_ptr<Session>> sessions_;  // in the order of their last change of state
   std::uint64_t last_serial_ = 0;
-  bool waiting_for_room_ = false, accepting_ = false;
-  std::function<void()> stopped_;
+  bool accept_blocked_ = false, accepting_ = false;
+  std::function<void()> on_drained_;
 };
 
 }  // namespace kestrelline::proxy
--- a/src/proxy/clock.h
+++ b/src/proxy/clock.h
@@ -16,13 +16,13 @@
 
 // Both origins are taken once, at the start: a step of the wall clock later on must not make a backend look
 // restarted.
-class ModuleClock {
+class BalancerClock {
  public:
-  TimePoint At(Steady::time_point at) const { return kStart + Duration(at - steady_origin_); }
-  TimePoint Now() const { return At(Steady::now()); }
+  TimePoint FromSteady(Steady::time_point at) const { return kStart + Duration(at - steady_origin_); }
+  TimePoint Now() const { return FromSteady(Steady::now()); }
 
   Steady::time_point ToSteady(TimePoint at) const {
-    const Duration capped = std::min(at - kStart, kFarthest);
+    const Duration capped = std::min(at - kStart, kMaxAhead);
     return steady_origin_ + std::chrono::ceil<Steady::duration>(capped);
   }
   // 0, for long ago, stays 0; what would come out before the clock's origin is as long ago.
@@ -33,7 +33,7 @@
 
  private:
   static constexpr TimePoint kStart{Duration(1e9)};
-  static constexpr Duration kFarthest{1e11};
+  static constexpr Duration kMaxAhead{1e11};
   Steady::time_point steady_origin_ = Steady::now();
   Duration unix_origin_ = std::chrono::system_clock::now().time_since_epoch();
 };
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -17,7 +17,7 @@
 using Tcp = boost::asio::ip::tcp;
 
 // A value as the simulator's first message writes it: no blanks, no line ends.
-std::string Scalar(const json& value) {
+std::string ScalarText(const json& value) {
   std::string text = value.is_string() ? value.get<std::string>() : value.dump();
   std::replace_if(
       text.begin(), text.end(), [](unsigned char c) { return std::isspace(c) || c == ','; }, '_');
@@ -36,30 +36,30 @@
     std::string joined;
     for (const json& item : value) {
       if (!joined.empty()) joined += ',';
-      joined += Scalar(item);
+      joined += ScalarText(item);
     }
     *lines += path + '=' + joined + '\n';
   } else if (!value.is_null()) {
-    *lines += path + '=' + Scalar(value) + '\n';
+    *lines += path + '=' + ScalarText(value) + '\n';
   }
 }
 
-Tcp::endpoint Address(const char* from_env, const json& root, const char* name) {
+Tcp::endpoint ReadEndpoint(const char* from_env, const json& root, const char* name) {
   const std::string text = from_env && *from_env ? from_env : root.value(name, "");
   const auto endpoint = ParseEndpoint(text);
   if (!endpoint) throw ConfigError(std::string(name) + " is no address: '" + text + "'");
   return *endpoint;
 }
 
-std::vector<std::string> Strings(const json& settings, const char* name) {
+std::vector<std::string> ReadNames(const json& settings, const char* name) {
   std::vector<std::string> all;
   const auto found = settings.find(name);
   if (found == settings.end() || !found->is_array()) return all;
-  for (const json& item : *found) all.push_back(item.is_object() ? item.value("name", "") : Scalar(item));
+  for (const json& item : *found) all.push_back(item.is_object() ? item.value("name", "") : ScalarText(item));
   return all;
 }
 
-std::uint64_t SeedOf(const json& root) {
+std::uint64_t ReadSeed(const json& root) {
   const auto found = root.find("seed");
   if (found == root.end()) throw ConfigError("seed is missing");
   if (found->is_number_unsigned()) return found->get<std::uint64_t>();
@@ -72,7 +72,7 @@
 }
 
 // The number of a descriptor; -1 where the variable is not set.
-int InheritedOf(const char* text) {
+int ParseDescriptor(const char* text) {
   if (!text || !*text) return -1;
   const std::string_view digits(text);
   int number = -1;
@@ -82,19 +82,19 @@
   return number;
 }
 
-Config Read(const json& root, const Environment& env) {
+Config ReadConfig(const json& root, const Environment& env) {
   Config config;
   const char* name = env("ROUTER_NAME");
   config.name = name && *name ? name : root.value("name", "");
-  config.listen = Address(env("ROUTER_LISTEN"), root, "listen");
-  config.discovery = Address(env("ROUTER_DISCOVERY"), root, "discovery");
+  config.listen = ReadEndpoint(env("ROUTER_LISTEN"), root, "listen");
+  config.discovery = ReadEndpoint(env("ROUTER_DISCOVERY"), root, "discovery");
   const char* management = env("ROUTER_MGMT");
   if ((management && *management) || !root.value("mgmt", "").empty())
-    config.management = Address(management, root, "mgmt");
-  config.inherited_listener = InheritedOf(env("ROUTER_INHERITED_FD"));
+    config.management = ReadEndpoint(management, root, "mgmt");
+  config.inherited_listener = ParseDescriptor(env("ROUTER_INHERITED_FD"));
   if (const char* folder = env("TMPDIR"); folder && config.inherited_listener >= 0)
-    config.shared_folder = folder;
-  config.seed = SeedOf(root);
+    config.sibling_folder = folder;
+  config.seed = ReadSeed(root);
   if (const auto limits = root.find("limits"); limits != root.end()) {
     config.sockets = limits->value("sockets", config.sockets);
     config.memory_mb = limits->value("memory_mb", config.memory_mb);
@@ -106,10 +106,10 @@
   std::string lines;
   Flatten(settings, "", &lines);
   config.settings = adapter::ParseSettings(lines);
-  config.classes = Strings(settings, "classes");
-  config.tenants = Strings(settings, "tenants");
-  config.zones = Strings(settings, "zones");
-  config.kinds = Strings(settings, "kinds");
+  config.classes = ReadNames(settings, "classes");
+  config.tenants = ReadNames(settings, "tenants");
+  config.zones = ReadNames(settings, "zones");
+  config.kinds = ReadNames(settings, "kinds");
   if (const auto allowed = settings.find("permissions"); allowed != settings.end()) {
     if (const auto peers = allowed->find("peers"); peers != allowed->end())
       config.peers_allowed = peers->get<bool>();
@@ -137,7 +137,7 @@
   const json root = json::parse(text, nullptr, /*allow_exceptions=*/false);
   if (!root.is_object()) throw ConfigError("the configuration is no JSON object");
   try {
-    return Read(root, env);
+    return ReadConfig(root, env);
   } catch (const adapter::BadSettings& error) {
     throw ConfigError(error.what());
   } catch (const json::exception& error) {
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -28,15 +28,15 @@
 // How long things are waited for.
 struct Timeouts {
   using Ms = std::chrono::milliseconds;
-  Ms request_read{2500};   // from a connection's start to its first byte; from there to the end of a head
-  Ms kept{90000};          // for a client's next request
-  Ms spare{2000};          // after which a connection with no request open may make room for others
-  Ms silent{250};          // the same of one that never sent anything
-  Ms answer_taken{10000};  // for a client to take its answer
-  Ms drained{1000};        // for a client to close after its last answer
-  Ms response_read{100};   // from an answer's first byte to its last
-  Ms rest{2};              // before a connection to a backend is used again
-  Ms forgotten{900000};    // after which nothing is known of a backend that has gone
+  Ms request_read{2500};      // from a connection's start to its first byte; from there to the end of a head
+  Ms keep_alive{90000};       // for a client's next request
+  Ms evict_idle{2000};        // after which a connection with no request open may make room for others
+  Ms evict_unused{250};       // the same of one that never sent anything
+  Ms response_write{10000};   // for a client to take its answer
+  Ms linger{1000};            // for a client to close after its last answer
+  Ms response_read{100};      // from an answer's first byte to its last
+  Ms reuse_delay{2};          // before a connection to a backend is used again
+  Ms forget_backend{900000};  // after which nothing is known of a backend that has gone
 };
 
 struct Config {
@@ -44,7 +44,7 @@
   boost::asio::ip::tcp::endpoint listen, discovery;
   std::optional<boost::asio::ip::tcp::endpoint> management;  // the door's; none without it
   int inherited_listener = -1;  // a descriptor that listens for clients already; -1: there is none
-  std::string shared_folder;    // where processes of one proxy find each other; empty: nowhere
+  std::string sibling_folder;   // where processes of one proxy find each other; empty: nowhere
   std::uint64_t seed = 0;
   int sockets = 1024;       // descriptors that the process may hold
   double memory_mb = 2048;  // memory that it may use
--- a/src/proxy/connection.cpp
+++ b/src/proxy/connection.cpp
@@ -22,8 +22,8 @@
 using Error = boost::system::error_code;
 
 // For a server to take a piece of a body, or to send one.
-constexpr std::chrono::seconds kMostStall{10};
-constexpr int kMostInterim = 8;  // 1xx answers ahead of the final one
+constexpr std::chrono::seconds kStallTimeout{10};
+constexpr int kMaxInterimResponses = 8;  // 1xx answers ahead of the final one
 
 Steady::duration ToSteady(Duration d) { return std::chrono::ceil<Steady::duration>(d); }
 
@@ -37,12 +37,12 @@
   return Outcome::kError;
 }
 
-bool SaysClose(const http::response_header<>& header) {
+bool HasConnectionClose(const http::response_header<>& header) {
   return http::token_list(header[http::field::connection]).exists("close");
 }
 
 // No fault of a backend: this process, or this machine, has no more to give.
-bool IsLocal(const Error& failed) {
+bool IsLocalFailure(const Error& failed) {
   return failed == asio::error::no_descriptors || failed == asio::error::no_buffer_space ||
          failed == asio::error::no_memory || failed == boost::system::errc::too_many_files_open_in_system ||
          failed == boost::system::errc::address_not_available;
@@ -55,19 +55,19 @@
   socket_.open(address.protocol(), error);
   if (!error) socket_.set_option(Tcp::no_delay(true), error);
   if (!error) socket_.non_blocking(true, error);
-  if (error) return FinishSoon(Outcome::kMoot);
+  if (error) return PostFinish(Outcome::kMoot);
   SetTimer(std::min(deadline_, Steady::now() + ToSteady(connect_timeout)));
   socket_.async_connect(address, [self = shared_from_this()](const Error& failed) {
-    if (!self->done_) return;
+    if (!self->on_done_) return;
     if (failed) {
-      self->local_ = IsLocal(failed);
-      return self->Finish(self->local_ ? Outcome::kMoot : Outcome::kConnectFailed);
+      self->local_failure_ = IsLocalFailure(failed);
+      return self->Finish(self->local_failure_ ? Outcome::kMoot : Outcome::kConnectFailed);
     }
     if (!self->still_wanted_() || !self->owner_->IsCurrent(*self)) return self->Finish(Outcome::kMoot);
     self->SetTimer(self->deadline_);
     // What speaks before it is asked will not answer what it is asked.
-    if (!self->Quiet()) return self->Finish(Outcome::kConnectFailed);
-    self->Write();
+    if (!self->IsQuiet()) return self->Finish(Outcome::kConnectFailed);
+    self->WriteRequest();
   });
 }
 
@@ -77,39 +77,40 @@
   upload_ = std::move(upload);
   timeout_ = timeout;
   request_ = std::move(request);
-  head_.base() = request_->base();
-  head_.body() = {request_->body().data(), request_->body().size()};
-  done_ = std::move(done);
+  header_.base() = request_->base();
+  header_.body() = {request_->body().data(), request_->body().size()};
+  on_done_ = std::move(done);
   still_wanted_ = std::move(wanted);
   // Of a body that is still coming, the time counts from its last byte.
   deadline_ = Steady::now() + (upload_ ? Steady::duration(std::chrono::hours(1)) : ToSteady(timeout));
   hold_ = hold;
-  written_ = begun_ = holding_ = answered_ = reading_ = passing_ = broken_ = local_ = false;
-  interim_ = 0;
+  request_written_ = response_started_ = holding_last_byte_ = final_header_read_ = read_in_flight_ =
+      streaming_ = stream_broken_ = local_failure_ = false;
+  interim_responses_ = 0;
 }
 
 void Connection::Reuse() {
   Error ignored;
   socket_.cancel(ignored);  // the watch for its end
   SetTimer(deadline_);
-  Write();
+  WriteRequest();
 }
 
 void Connection::Abandon(std::uint64_t use) {
-  if (done_ && use == use_ && !written_) Finish(Outcome::kMoot);
+  if (on_done_ && use == use_ && !request_written_) Finish(Outcome::kMoot);
 }
 
 void Connection::AbandonUnwritten() {
-  if (!done_ || first_byte_ != Steady::time_point()) return;
+  if (!on_done_ || first_byte_at_ != Steady::time_point()) return;
   asio::post(owner_->io_, [self = shared_from_this(), use = use_] { self->Abandon(use); });
 }
 
-void Connection::FinishSoon(Outcome outcome) {
-  local_ = outcome == Outcome::kMoot;
+void Connection::PostFinish(Outcome outcome) {
+  local_failure_ = outcome == Outcome::kMoot;
   asio::post(owner_->io_, [self = shared_from_this(), outcome] { self->Finish(outcome); });
 }
 
-bool Connection::Quiet() {
+bool Connection::IsQuiet() {
   Error error;
   char byte;
   socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
@@ -130,12 +131,12 @@
   Error ignored;
   socket_.close(ignored);
   timer_.cancel();
-  if (owner_) owner_->Drop(this);
+  if (owner_) owner_->Remove(this);
 }
 
-void Connection::Orphan() {
+void Connection::Detach() {
   owner_ = nullptr;
-  done_ = nullptr;
+  on_done_ = nullptr;
   Close();
 }
 
@@ -143,99 +144,101 @@
   timer_.expires_at(at);
   timer_.async_wait([self = shared_from_this()](const Error& cancelled) {
     if (cancelled || self->closed_ || Steady::now() < self->timer_.expiry()) return;
-    if (self->passing_) return self->BreakAnswer();
-    if (!self->done_) return self->Close();  // idle for too long
-    if (self->holding_ && self->timer_.expiry() < self->deadline_) return self->WriteLast();
+    if (self->streaming_) return self->FailStream();
+    if (!self->on_done_) return self->Close();  // idle for too long
+    if (self->holding_last_byte_ && self->timer_.expiry() < self->deadline_) return self->WriteLastByte();
     // It comes too slowly to be gathered: what there is of it passes.
-    if (self->begun_ && self->reading_ && self->BeginToPass()) return;
+    if (self->response_started_ && self->read_in_flight_ && self->StartStreaming()) return;
     // Nothing has run unless the last byte was written.
-    self->Finish(!self->written_                                           ? Outcome::kConnectFailed
-                 : self->begun_ && self->timer_.expiry() < self->deadline_ ? Outcome::kReset
-                                                                           : Outcome::kTimeout);
+    self->Finish(!self->request_written_ ? Outcome::kConnectFailed
+                 : self->response_started_ && self->timer_.expiry() < self->deadline_ ? Outcome::kReset
+                                                                                      : Outcome::kTimeout);
   });
 }
 
-void Connection::Write() {
-  first_byte_ = Steady::now();
+void Connection::WriteRequest() {
+  first_byte_at_ = Steady::now();
   // What is left now: the connection may have taken its time to come up, and no part of a millisecond is
   // more.
-  const Duration left = upload_ ? timeout_ : deadline_ - first_byte_;
-  head_.set("Req-Deadline-Ms", std::to_string(static_cast<long long>(std::max(left.count(), 0.0))));
+  const Duration left = upload_ ? timeout_ : deadline_ - first_byte_at_;
+  header_.set("Req-Deadline-Ms", std::to_string(static_cast<long long>(std::max(left.count(), 0.0))));
   if (upload_) return WriteUpload();
-  if (hold_.count() > 0) return WriteButLast();
-  http::async_write(socket_, head_, [self = shared_from_this()](const Error& failed, std::size_t) {
-    if (!self->done_) return;
+  if (hold_.count() > 0) return WriteAllButLastByte();
+  http::async_write(socket_, header_, [self = shared_from_this()](const Error& failed, std::size_t) {
+    if (!self->on_done_) return;
     if (failed) return self->Finish(Outcome::kConnectFailed);
-    self->Written();
-    self->AwaitAnswer();
+    self->OnRequestWritten();
+    self->AwaitResponse();
   });
 }
 
-void Connection::WriteButLast() {
+void Connection::WriteAllButLastByte() {
   std::ostringstream text;
-  text << head_.base();
-  whole_ = std::move(text).str();
-  whole_.append(head_.body().data(), head_.body().size());
-  holding_ = true;
-  asio::async_write(socket_, asio::buffer(whole_.data(), whole_.size() - 1),
+  text << header_.base();
+  serialized_ = std::move(text).str();
+  serialized_.append(header_.body().data(), header_.body().size());
+  holding_last_byte_ = true;
+  asio::async_write(socket_, asio::buffer(serialized_.data(), serialized_.size() - 1),
                     [self = shared_from_this()](const Error& failed, std::size_t) {
-                      if (!self->done_) return;
+                      if (!self->on_done_) return;
                       if (failed) return self->Finish(Outcome::kConnectFailed);
-                      self->SetTimer(std::min(self->deadline_, self->first_byte_ + ToSteady(self->hold_)));
-                      self->WatchHeld();
+                      self->SetTimer(std::min(self->deadline_, self->first_byte_at_ + ToSteady(self->hold_)));
+                      self->WatchWhileHolding();
                     });
 }
 
-void Connection::Written() {
-  written_ = true;
-  last_byte_ = Steady::now();
+void Connection::OnRequestWritten() {
+  request_written_ = true;
+  last_byte_at_ = Steady::now();
   owner_->limits_.on_written();
 }
 
-void Connection::WatchHeld() {
+void Connection::WatchWhileHolding() {
   socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(), use = use_](const Error& failed) {
-    if (!self->done_ || use != self->use_ || !self->holding_ || failed == asio::error::operation_aborted)
+    if (!self->on_done_ || use != self->use_ || !self->holding_last_byte_ ||
+        failed == asio::error::operation_aborted)
       return;
     // An answer ahead of the last byte is one: it is read when that is written.
-    if (failed || self->PeerEnded()) return self->Finish(Outcome::kConnectFailed);
+    if (failed || self->PeerClosed()) return self->Finish(Outcome::kConnectFailed);
   });
 }
 
-void Connection::WriteLast() {
+void Connection::WriteLastByte() {
   // The server's end may have come in this very turn, and so may the client's.
-  if (PeerEnded()) return Finish(Outcome::kConnectFailed);
+  if (PeerClosed()) return Finish(Outcome::kConnectFailed);
   if (!still_wanted_()) return Finish(Outcome::kMoot);
-  holding_ = false;
+  holding_last_byte_ = false;
   SetTimer(deadline_);
   Error ignored;
   socket_.cancel(ignored);  // the watch
-  asio::async_write(socket_, asio::buffer(&whole_.back(), 1),
+  asio::async_write(socket_, asio::buffer(&serialized_.back(), 1),
                     [self = shared_from_this()](const Error& failed, std::size_t) {
-                      if (!self->done_) return;
+                      if (!self->on_done_) return;
                       if (failed) return self->Finish(Outcome::kConnectFailed);
-                      self->Written();
-                      self->AwaitAnswer();
+                      self->OnRequestWritten();
+                      self->AwaitResponse();
                     });
 }
 
-void Connection::AwaitAnswer() {
+void Connection::AwaitResponse() {
   socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(), use = use_](const Error& failed) {
-    if (!self->done_ || use != self->use_) return;
-    if (failed || (!self->written_ && self->PeerEnded())) return self->Finish(self->Broken());
-    self->begun_ = true;
+    if (!self->on_done_ || use != self->use_) return;
+    if (failed || (!self->request_written_ && self->PeerClosed()))
+      return self->Finish(self->OutcomeOfBreak());
+    self->response_started_ = true;
     self->SetTimer(std::min(self->deadline_, Steady::now() + self->owner_->limits_.timeouts.response_read));
-    self->Read();
+    self->ReadHeader();
   });
 }
 
-void Connection::Read() {
+void Connection::ReadHeader() {
   parser_.emplace();
   parser_->body_limit(boost::none);  // small ones are measured, others pass
-  parser_->header_limit(kMostAnswerHeader);
+  parser_->header_limit(kMaxResponseHeader);
   http::async_read_header(socket_, buffer_, *parser_,
                           [self = shared_from_this()](const Error& failed, std::size_t) {
-                            if (!self->done_) return;
-                            if (failed) return self->Finish(self->Broken());
+                            if (!self->on_done_) return;
+                            if (failed) return self->Finish(self->OutcomeOfBreak());
                             self->OnHeader();
                           });
 }
@@ -244,67 +247,69 @@
   const auto& header = parser_->get();
   if (header.result_int() < 200) {
     // The final answer is still to come; but nothing here asked to switch protocols.
-    if (header.result() == http::status::switching_protocols || ++interim_ > kMostInterim)
-      return Finish(Broken());
-    if (buffer_.size() > 0) return Read();
-    begun_ = false;  // it may take its time again
-    if (written_) SetTimer(deadline_);
-    return AwaitAnswer();
+    if (header.result() == http::status::switching_protocols || ++interim_responses_ > kMaxInterimResponses)
+      return Finish(OutcomeOfBreak());
+    if (buffer_.size() > 0) return ReadHeader();
+    response_started_ = false;  // it may take its time again
+    if (request_written_) SetTimer(deadline_);
+    return AwaitResponse();
   }
   // An answer that only the connection's end delimits cannot be told from one cut short, unless its server
   // says that it is to end so (RFC 9112, 6.3).
   const bool by_end = parser_->need_eof() && !parser_->chunked();
-  if (!FramingIsPlain(header, header.version()) || (by_end && header.version() >= 11 && !SaysClose(header)))
-    return Finish(Broken());
+  if (!FramingIsUnambiguous(header, header.version()) ||
+      (by_end && header.version() >= 11 && !HasConnectionClose(header)))
+    return Finish(OutcomeOfBreak());
   // What it says of a request that has not come whole is the answer all the same; nobody wants the rest.
-  answered_ = true;
-  if (!written_) {
+  final_header_read_ = true;
+  if (!request_written_) {
     upload_->Drop();
     SetTimer(Steady::now() + owner_->limits_.timeouts.response_read);
   }
-  if (!by_end && !parser_->chunked() && parser_->content_length().value_or(0) <= kMostBody)
-    return ReadWhole();
-  ReadPiece();
+  if (!by_end && !parser_->chunked() && parser_->content_length().value_or(0) <= kMaxBufferedBody)
+    return ReadWholeBody();
+  ReadBodyPiece();
 }
 
-void Connection::ReadWhole() {
+void Connection::ReadWholeBody() {
   http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](const Error& failed, std::size_t) {
-    if (self->done_) self->OnGathered(failed);
+    if (self->on_done_) self->OnBufferedRead(failed);
   });
 }
 
-void Connection::ReadPiece() {
-  reading_ = true;
-  if (passing_) {
+void Connection::ReadBodyPiece() {
+  read_in_flight_ = true;
+  if (streaming_) {
     FitBuffer(share_->Renew(), &buffer_);
-    SetTimer(Steady::now() + kMostStall);
+    SetTimer(Steady::now() + kStallTimeout);
   }
   http::async_read_some(socket_, buffer_, *parser_,
                         [self = shared_from_this()](const Error& failed, std::size_t) {
-                          self->reading_ = false;
-                          if (self->passing_) return self->OnPassed(failed);
-                          if (self->done_) self->OnGathered(failed);
+                          self->read_in_flight_ = false;
+                          if (self->streaming_) return self->OnStreamedRead(failed);
+                          if (self->on_done_) self->OnBufferedRead(failed);
                         });
 }
 
 // More of an answer that has not begun to pass.
-void Connection::OnGathered(const Error& failed) {
-  if (failed) return Finish(Broken());
+void Connection::OnBufferedRead(const Error& failed) {
+  if (failed) return Finish(OutcomeOfBreak());
   std::string& body = parser_->get().body();
-  if (parser_->is_done() && body.size() <= kMostBody) {
-    reusable_ = written_ && parser_->keep_alive() && !parser_->need_eof() && buffer_.size() == 0;
+  if (parser_->is_done() && body.size() <= kMaxBufferedBody) {
+    reusable_ = request_written_ && parser_->keep_alive() && !parser_->need_eof() && buffer_.size() == 0;
     const Outcome outcome = OutcomeOf(parser_->get());
     HttpResponse response;
     response.base() = std::move(parser_->get().base());
     response.body() = std::move(body);
     return Finish(outcome, std::move(response));
   }
-  const bool is_long = body.size() > kMostBody || parser_->content_length().value_or(0) > kMostBody;
-  if (is_long && BeginToPass()) return;
-  ReadPiece();
+  const bool is_long =
+      body.size() > kMaxBufferedBody || parser_->content_length().value_or(0) > kMaxBufferedBody;
+  if (is_long && StartStreaming()) return;
+  ReadBodyPiece();
 }
 
-bool Connection::BeginToPass() {
+bool Connection::StartStreaming() {
   const Outcome outcome = OutcomeOf(parser_->get());
   HttpResponse response;
   if (outcome != Outcome::kOk) {  // its body is of no use to anybody
@@ -318,46 +323,46 @@
     Finish(Outcome::kCancelled);
     return true;
   }
-  passing_ = true;
+  streaming_ = true;
   timer_.cancel();
-  const AttemptDone done = std::exchange(done_, nullptr);
+  const AttemptDone done = std::exchange(on_done_, nullptr);
   AttemptResult result;
   result.outcome = outcome;
-  result.written = Steady::now() - first_byte_;
-  result.answering = written_ ? Duration(Steady::now() - last_byte_) : Duration(0);
+  result.since_first_byte = Steady::now() - first_byte_at_;
+  result.since_last_byte = request_written_ ? Duration(Steady::now() - last_byte_at_) : Duration(0);
   if (const auto length = parser_->content_length()) result.length = *length;
   response.base() = parser_->get().base();  // the parser goes on
   response.body() = std::exchange(parser_->get().body(), {});
   result.response = std::move(response);
-  result.rest = shared_from_this();
-  first_byte_ = {};
+  result.rest_of_body = shared_from_this();
+  first_byte_at_ = {};
   done(std::move(result));
   return true;
 }
 
 void Connection::Next(OnPiece on_piece) {
-  if (broken_ || closed_) return on_piece({{}, false, true});
-  wanted_ = std::move(on_piece);
-  if (reading_) return;
-  if (parser_->is_done() || !parser_->get().body().empty()) return OnPassed({});
-  ReadPiece();
+  if (stream_broken_ || closed_) return on_piece({{}, false, true});
+  on_piece_ = std::move(on_piece);
+  if (read_in_flight_) return;
+  if (parser_->is_done() || !parser_->get().body().empty()) return OnStreamedRead({});
+  ReadBodyPiece();
 }
 
-void Connection::OnPassed(const Error& failed) {
-  if (failed) return BreakAnswer();
-  if (!wanted_) return;  // it is asked for later
+void Connection::OnStreamedRead(const Error& failed) {
+  if (failed) return FailStream();
+  if (!on_piece_) return;  // it is asked for later
   std::string& body = parser_->get().body();
   const bool last = parser_->is_done();
-  if (body.empty() && !last) return ReadPiece();
+  if (body.empty() && !last) return ReadBodyPiece();
   timer_.cancel();
-  const OnPiece wanted = std::exchange(wanted_, nullptr);
+  const OnPiece wanted = std::exchange(on_piece_, nullptr);
   Piece piece{std::exchange(body, {}), last, false};
   if (last) {
-    passing_ = false;
+    streaming_ = false;
     share_.reset();
-    if (written_ && parser_->keep_alive() && !parser_->need_eof() && buffer_.size() == 0 && owner_) {
-      Rest();
-      owner_->Keep(shared_from_this());
+    if (request_written_ && parser_->keep_alive() && !parser_->need_eof() && buffer_.size() == 0 && owner_) {
+      ReleaseMemory();
+      owner_->ReturnIdle(shared_from_this());
     } else {
       Close();
     }
@@ -365,34 +370,34 @@
   wanted(std::move(piece));
 }
 
-void Connection::BreakAnswer() {
-  broken_ = true;
-  passing_ = false;
+void Connection::FailStream() {
+  stream_broken_ = true;
+  streaming_ = false;
   share_.reset();
   Close();
-  if (const OnPiece wanted = std::exchange(wanted_, nullptr)) wanted({{}, false, true});
+  if (const OnPiece wanted = std::exchange(on_piece_, nullptr)) wanted({{}, false, true});
 }
 
 void Connection::Drop() {
-  wanted_ = nullptr;
-  if (!passing_) return;
-  passing_ = false;
+  on_piece_ = nullptr;
+  if (!streaming_) return;
+  streaming_ = false;
   share_.reset();
   Close();
 }
 
 // What stands idle keeps no memory.
-void Connection::Rest() {
+void Connection::ReleaseMemory() {
   request_ = {};
   upload_ = {};
-  whole_ = piece_ = {};
-  head_ = {};
+  serialized_ = upload_piece_ = {};
+  header_ = {};
   parser_.reset();
   buffer_.clear();
   buffer_.shrink_to_fit();
 }
 
-bool Connection::PeerEnded() {
+bool Connection::PeerClosed() {
   Error error;
   char byte;
   const std::size_t n = socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
@@ -401,75 +406,77 @@
 
 void Connection::WriteUpload() {
   if (!upload_->Begin()) {
-    local_ = true;
+    local_failure_ = true;
     return Finish(Outcome::kMoot);
   }
   std::ostringstream text;
-  text << head_.base();
-  whole_ = std::move(text).str();
-  SetTimer(Steady::now() + kMostStall);
-  AwaitAnswer();
-  asio::async_write(socket_, asio::buffer(whole_),
+  text << header_.base();
+  serialized_ = std::move(text).str();
+  SetTimer(Steady::now() + kStallTimeout);
+  AwaitResponse();
+  asio::async_write(socket_, asio::buffer(serialized_),
                     [self = shared_from_this()](const Error& failed, std::size_t) {
-                      if (!self->done_) return;
-                      if (failed) return self->OnWriteFailed();
-                      self->Pump();
+                      if (!self->on_done_) return;
+                      if (failed) return self->OnUploadWriteFailed();
+                      self->PumpUpload();
                     });
 }
 
-void Connection::Pump() {
-  if (answered_) return;
+void Connection::PumpUpload() {
+  if (final_header_read_) return;
   timer_.cancel();  // the client has a time limit of its own
   upload_->Next([self = shared_from_this(), use = use_](Piece piece) {
-    if (self->done_ && use == self->use_ && !self->answered_) self->WritePiece(std::move(piece));
+    if (self->on_done_ && use == self->use_ && !self->final_header_read_)
+      self->WriteUploadPiece(std::move(piece));
   });
 }
 
-void Connection::WritePiece(Piece piece) {
+void Connection::WriteUploadPiece(Piece piece) {
   if (piece.broken) return Finish(Outcome::kCancelled);
-  if (head_.chunked()) {
-    piece_.clear();
-    AppendChunk(piece.bytes, piece.last, &piece_);
+  if (header_.chunked()) {
+    upload_piece_.clear();
+    AppendChunk(piece.bytes, piece.last, &upload_piece_);
   } else {
-    piece_ = std::move(piece.bytes);
+    upload_piece_ = std::move(piece.bytes);
   }
-  SetTimer(Steady::now() + kMostStall);
-  asio::async_write(socket_, asio::buffer(piece_),
+  SetTimer(Steady::now() + kStallTimeout);
+  asio::async_write(socket_, asio::buffer(upload_piece_),
                     [self = shared_from_this(), last = piece.last](const Error& failed, std::size_t) {
-                      if (!self->done_) return;
-                      if (failed) return self->OnWriteFailed();
-                      if (!last) return self->Pump();
-                      self->Written();
+                      if (!self->on_done_) return;
+                      if (failed) return self->OnUploadWriteFailed();
+                      if (!last) return self->PumpUpload();
+                      self->OnRequestWritten();
                       self->deadline_ =
                           std::min(self->upload_->due(), Steady::now() + ToSteady(self->timeout_));
-                      if (!self->answered_) self->SetTimer(self->deadline_);
+                      if (!self->final_header_read_) self->SetTimer(self->deadline_);
                     });
 }
 
 // A server that reads no further may have answered: what there is to read is looked at first.
-void Connection::OnWriteFailed() {
+void Connection::OnUploadWriteFailed() {
   Error error;
-  if (!answered_ && socket_.available(error) == 0) return Finish(Outcome::kConnectFailed);
+  if (!final_header_read_ && socket_.available(error) == 0) return Finish(Outcome::kConnectFailed);
   SetTimer(Steady::now() + owner_->limits_.timeouts.response_read);
 }
 
 void Connection::Finish(Outcome outcome, HttpResponse response) {
-  if (!done_) return;
+  if (!on_done_) return;
   const auto self = shared_from_this();
-  const AttemptDone done = std::exchange(done_, nullptr);
+  const AttemptDone done = std::exchange(on_done_, nullptr);
   // Where the attempt was given up, a write or a read may be on its way, and have its bytes already: what
   // it uses goes with the connection.
-  const bool broke = (outcome == Outcome::kReset || outcome == Outcome::kConnectFailed) &&
-                     first_byte_ != Steady::time_point() && !(parser_ && parser_->got_some());
-  const Duration written = first_byte_ == Steady::time_point() ? Duration(0) : Steady::now() - first_byte_;
-  first_byte_ = {};
-  holding_ = false;
-  const Duration answering = written_ ? Duration(Steady::now() - last_byte_) : Duration(0);
+  const bool connection_broke = (outcome == Outcome::kReset || outcome == Outcome::kConnectFailed) &&
+                                first_byte_at_ != Steady::time_point() && !(parser_ && parser_->got_some());
+  const Duration since_first_byte =
+      first_byte_at_ == Steady::time_point() ? Duration(0) : Steady::now() - first_byte_at_;
+  first_byte_at_ = {};
+  holding_last_byte_ = false;
+  const Duration since_last_byte = request_written_ ? Duration(Steady::now() - last_byte_at_) : Duration(0);
   if (upload_) upload_->Drop();
-  if (reusable_) Rest();
+  if (reusable_) ReleaseMemory();
   // Closed before anybody hears of the end: the next attempt must not find this one on an open connection.
   if (std::exchange(reusable_, false) && owner_) {
-    owner_->Keep(self);
+    owner_->ReturnIdle(self);
   } else {
     Close();
   }
@@ -478,10 +485,10 @@
   AttemptResult result;
   result.outcome = outcome;
   result.response = std::move(response);
-  result.local = local_;
-  result.broke = broke;
-  result.written = written;
-  result.answering = answering;
+  result.local_failure = local_failure_;
+  result.connection_broke = connection_broke;
+  result.since_first_byte = since_first_byte;
+  result.since_last_byte = since_last_byte;
   done(std::move(result));
 }
 
--- a/src/proxy/descriptors.h
+++ b/src/proxy/descriptors.h
@@ -24,20 +24,20 @@
 
   // The most connections of clients while `open` lead to backends, and the other way round.
   constexpr std::size_t ForClients(std::size_t open_to_backends) const {
-    return Most(clients_, backends_, open_to_backends);
+    return Limit(clients_, backends_, open_to_backends);
   }
   constexpr std::size_t ForBackends(std::size_t open_of_clients) const {
-    return Most(backends_, clients_, open_of_clients);
+    return Limit(backends_, clients_, open_of_clients);
   }
 
  private:
-  static constexpr std::size_t Most(std::size_t own, std::size_t others, std::size_t used_by_others) {
+  static constexpr std::size_t Limit(std::size_t own, std::size_t others, std::size_t used_by_others) {
     if (used_by_others > others) {
       const std::size_t lent = used_by_others - others;
       return lent < own ? own - lent : 0;
     }
-    const std::size_t spare = others - used_by_others, kept = others / 4;
-    return own + (spare > kept ? (spare - kept) / 2 : 0);
+    const std::size_t spare = others - used_by_others, reserve = others / 4;
+    return own + (spare > reserve ? (spare - reserve) / 2 : 0);
   }
 
   std::size_t clients_, backends_;
--- a/src/proxy/discovery.h
+++ b/src/proxy/discovery.h
@@ -20,16 +20,16 @@
  public:
   using OnList = std::function<void(const MemberList&)>;
   using OnFailure = std::function<void()>;
-  enum class Reconnect { kByItself, kWhenAsked };
+  enum class Reconnect { kAutomatic, kOnRequest };
 
   struct Options {
     boost::asio::ip::tcp::endpoint address;
     std::uint64_t revision = 0;  // of the list that is known already
-    Reconnect reconnect = Reconnect::kByItself;
-    std::chrono::milliseconds silence{4500};  // two of its heartbeats, and some
+    Reconnect reconnect = Reconnect::kAutomatic;
+    std::chrono::milliseconds silence_timeout{4500};  // two of its heartbeats, and some
     // For a call to come up and be answered: the service lets one wait for 2 s. Up to the first byte of what
     // it says it has `silence`. What changes while a call hangs is to be known 6 s later.
-    std::chrono::milliseconds call{2500};
+    std::chrono::milliseconds call_timeout{2500};
     std::uint64_t seed = 0;
   };
 
@@ -60,13 +60,13 @@
   Options options_;
   OnList on_list_;
   OnFailure on_failure_;
-  boost::asio::steady_timer again_;
-  std::shared_ptr<Stream> stream_, next_;  // the watch; the one that is to take its place after a move
+  boost::asio::steady_timer retry_timer_;
+  std::shared_ptr<Stream> stream_, next_stream_;  // the watch; the one that is to take its place after a move
   bool moving_ = false;
   boost::asio::ip::tcp::endpoint next_address_;
   std::chrono::milliseconds backoff_{0};
   std::uint64_t jitter_;
-  bool told_ = false;  // that discovery is away
+  bool outage_logged_ = false;  // that discovery is away
 };
 
 }  // namespace kestrelline::proxy
--- a/src/proxy/framing.h
+++ b/src/proxy/framing.h
@@ -25,12 +25,12 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-inline constexpr std::size_t kMostBody = 64 * 1024;  // of the protocol, either way
+inline constexpr std::size_t kMaxBufferedBody = 64 * 1024;  // of the protocol, either way
 
 // True if every reader takes the same bytes for the body: at most one Content-Length, which is a number, or
 // one Transfer-Encoding, which is `chunked`, never both. The parser lets unknown codings pass beside a
 // length.
-bool FramingIsPlain(const boost::beast::http::fields& fields, unsigned version);
+bool FramingIsUnambiguous(const boost::beast::http::fields& fields, unsigned version);
 
 // A body that is taken out of its message piece by piece: room is made for what comes, never for what a
 // length announces.
@@ -73,23 +73,24 @@
 };
 
 // What a request is about, as a number; 0 for none.
-std::uint64_t KeyOf(std::string_view name);
+std::uint64_t HashKey(std::string_view name);
 
-struct Complaint {
+struct Rejection {
   boost::beast::http::status status = boost::beast::http::status::bad_request;
   std::string text;
 };
 
 // The class that a path names; -1 if none.
-int ClassOf(std::string_view target, const Config& config);
+int ClassOfTarget(std::string_view target, const Config& config);
 
 // What is wrong with the header of a request whose body is still to come; nothing if it may.
-std::optional<Complaint> CheckHeader(const boost::beast::http::request_header<>& header);
+std::optional<Rejection> CheckHeader(const boost::beast::http::request_header<>& header);
 
 // Understands the headers of a request whose last byte was read at `read_at`; a complaint if it can't. Where
 // the body is passed on, its framing stays as the client announced it: a length, or chunks.
-std::optional<Complaint> Understand(HttpRequest message, Steady::time_point read_at, const Config& config,
-                                    ClientRequest* request, bool body_follows = false);
+std::optional<Rejection> ParseClientRequest(HttpRequest message, Steady::time_point read_at,
+                                            const Config& config, ClientRequest* request,
+                                            bool body_follows = false);
 
 }  // namespace kestrelline::proxy
 
--- a/src/proxy/members.cpp
+++ b/src/proxy/members.cpp
@@ -15,7 +15,7 @@
 using nlohmann::json;
 using Tcp = boost::asio::ip::tcp;
 
-std::optional<ServerState> StateOf(std::string_view phase) {
+std::optional<ServerState> ParsePhase(std::string_view phase) {
   if (phase == "in_service") return ServerState::kReady;
   if (phase == "terminating") return ServerState::kDraining;
   if (phase == "terminated") return ServerState::kGone;
@@ -23,11 +23,11 @@
 }
 
 // Throws json::exception on a field that is absent or of another type.
-Member ReadMember(const json& entry, std::string* why) {
+Member ParseMember(const json& entry, std::string* why) {
   Member m;
   m.id = entry.at("id").get<std::string>();
   if (m.id.empty()) *why = "an entry has an empty id";
-  const auto state = StateOf(entry.at("phase").get<std::string>());
+  const auto state = ParsePhase(entry.at("phase").get<std::string>());
   if (!state) *why = "an entry has an unknown phase";
   m.state = state.value_or(ServerState::kGone);
   const auto address = ParseEndpoint(entry.value("host_port", ""));
@@ -52,7 +52,7 @@
     list.revision = json.at("revision").get<std::uint64_t>();
     list.complete = json.value("complete", false);
     for (const auto& entry : json.at("members")) {
-      list.members.push_back(ReadMember(entry, why));
+      list.members.push_back(ParseMember(entry, why));
       if (!why->empty()) return std::nullopt;
     }
   } catch (const json::exception& error) {
@@ -91,13 +91,13 @@
 }
 
 void ServerNumbers::Learn(const std::vector<Member>& members) {
-  std::vector<std::string> fresh;
+  std::vector<std::string> new_ids;
   for (const Member& m : members) {
-    if (!numbers_.contains(m.id)) fresh.push_back(m.id);
+    if (!numbers_.contains(m.id)) new_ids.push_back(m.id);
   }
   // Guards against two proxies that see one list in another order numbering a collision differently.
-  std::sort(fresh.begin(), fresh.end());
-  for (const std::string& id : fresh) {
+  std::sort(new_ids.begin(), new_ids.end());
+  for (const std::string& id : new_ids) {
     if (numbers_.contains(id)) continue;
     ServerId number = hash_(id);
     for (int salt = 1; taken_.contains(number); ++salt) {
@@ -110,10 +110,10 @@
 }
 
 void ServerNumbers::Forget(const std::string& id) {
-  const auto found = numbers_.find(id);
-  if (found == numbers_.end()) return;
-  taken_.erase(found->second);
-  numbers_.erase(found);
+  const auto number = numbers_.find(id);
+  if (number == numbers_.end()) return;
+  taken_.erase(number->second);
+  numbers_.erase(number);
 }
 
 }  // namespace kestrelline::proxy
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -18,8 +18,8 @@
 constexpr double kClientShare = 0.6;  // half of the rest may be borrowed: see descriptors.h
 constexpr TimePoint kUnarmed{Duration(1e300)};
 // A process that takes over from another waits this long for a fresh list, and then serves by the known one.
-constexpr std::chrono::milliseconds kListWait{1500};
-constexpr std::chrono::milliseconds kShareEvery{20};  // two processes look at each other's usage
+constexpr std::chrono::milliseconds kFreshListTimeout{1500};
+constexpr std::chrono::milliseconds kShareInterval{20};  // two processes look at each other's usage
 
 // `all`: those that this process may have open.
 DescriptorShares SharesOf(const Config& config, int all) {
@@ -35,7 +35,7 @@
   options.address = config.discovery;
   options.revision = config.known.revision;
   options.reconnect =
-      config.settings.must_ask_for_list ? Discovery::Reconnect::kWhenAsked : Discovery::Reconnect::kByItself;
+      config.settings.must_ask_for_list ? Discovery::Reconnect::kOnRequest : Discovery::Reconnect::kAutomatic;
   options.seed = config.seed;
   return options;
 }
@@ -53,8 +53,8 @@
       bodies_(kestrelline::bodies::Budget::OfMemory(config_.memory_mb)),
       armed_for_(kUnarmed),
       timer_(io),
-      list_wait_(io),
-      sharing_(io) {
+      list_timer_(io),
+      sharing_timer_(io) {
   Backends::Limits limits{config_.connect_timeout, config_.conn_idle, {}, config_.timeouts};
   limits.bodies = &bodies_;
   limits.connections = [this] { return shares_.ForBackends(clients_ ? clients_->connections() : 0); };
@@ -64,7 +64,7 @@
       io, DiscoveryOptions(config_),
       [this](const MemberList& list) {
         OnList(list, list.complete ? ListKind::kFull : ListKind::kDelta);
-        if (!list.members.empty()) OnListed();
+        if (!list.members.empty()) OnListReceived();
       },
       [this] {
         Feed(ListUpdate{ListKind::kFailed, {}});
@@ -73,15 +73,16 @@
   if (!config_.settings.must_ask_for_list) discovery_->Watch();
   clients_ = std::make_unique<Clients>(
       io, config_,
-      Clients::Places{[this] { return shares_.clients(); },
-                      [this] { return shares_.ForClients(backends_->connections()); }},
+      Clients::ConnectionLimits{[this] { return shares_.clients(); },
+                                [this] { return shares_.ForClients(backends_->connections()); }},
       life_, figures_, bodies_, *this);
-  if (!config_.known.members.empty()) AwaitList();
-  if (!config_.shared_folder.empty()) {
-    companions_ = std::make_unique<kestrelline::pair::Registry>(config_.shared_folder, config_.name);
-    if (!companions_->joined()) {
-      std::fprintf(stderr, "kestrelline: no look at other processes: %s\n", companions_->why().c_str());
-      companions_.reset();
+  if (!config_.known.members.empty()) AwaitFreshList();
+  if (!config_.sibling_folder.empty()) {
+    sibling_processes_ = std::make_unique<kestrelline::pair::Registry>(config_.sibling_folder, config_.name);
+    if (!sibling_processes_->joined()) {
+      std::fprintf(stderr, "kestrelline: no look at other processes: %s\n",
+                   sibling_processes_->why().c_str());
+      sibling_processes_.reset();
     } else {
       ShareLimits();
     }
@@ -92,50 +93,51 @@
 Proxy::~Proxy() = default;
 
 // With a list that is known from before. Beside another process there is time to hear a fresh one first.
-void Proxy::AwaitList() {
-  if (config_.inherited_listener < 0) return OnListed();
-  list_wait_.expires_after(kListWait);
-  list_wait_.async_wait([this](const boost::system::error_code& cancelled) {
-    if (!cancelled) OnListed();
+void Proxy::AwaitFreshList() {
+  if (config_.inherited_listener < 0) return OnListReceived();
+  list_timer_.expires_after(kFreshListTimeout);
+  list_timer_.async_wait([this](const boost::system::error_code& cancelled) {
+    if (!cancelled) OnListReceived();
   });
 }
 
-void Proxy::OnListed() {
-  if (life_.Listed()) OnLife();
+void Proxy::OnListReceived() {
+  if (life_.Listed()) OnLifecycleChange();
 }
 
 void Proxy::OnReplicaReady() {
-  if (life_.CopiesCame()) OnLife();
+  if (life_.CopiesCame()) OnLifecycleChange();
 }
 
 void Proxy::OnShare(double share, Steady::time_point until, double after) {
   constexpr double kNothing = 1e-9;  // the module divides by it
-  Feed(Share{std::max(share, kNothing), until == Steady::time_point() ? TimePoint() : clock_.At(until),
+  Feed(Share{std::max(share, kNothing),
+             until == Steady::time_point() ? TimePoint() : clock_.FromSteady(until),
              std::max(after, kNothing)});
 }
 
 void Proxy::OnClassLimit(int request_class, double per_s) { Feed(ClassLimit{request_class, per_s}); }
 
-void Proxy::OnLife() { clients_->OnLife(); }
+void Proxy::OnLifecycleChange() { clients_->OnLifecycleChange(); }
 
 kestrelline::lifecycle::Done Proxy::Drain() {
   const auto done = life_.Drain(Steady::now());
   if (done == kestrelline::lifecycle::Done::kDone) std::fprintf(stderr, "kestrelline: draining\n");
   if (done == kestrelline::lifecycle::Done::kDone && peers_.leave) peers_.leave();
-  OnLife();
+  OnLifecycleChange();
   return done;
 }
 
 kestrelline::lifecycle::Done Proxy::Resume() {
   const auto done = life_.Resume();
   if (done == kestrelline::lifecycle::Done::kDone) std::fprintf(stderr, "kestrelline: no longer draining\n");
-  if (done == kestrelline::lifecycle::Done::kDone && peers_.stay) peers_.stay();
-  OnLife();
+  if (done == kestrelline::lifecycle::Done::kDone && peers_.rejoin) peers_.rejoin();
+  OnLifecycleChange();
   return done;
 }
 
 std::string Proxy::FiguresText() const {
-  return figures_.Text({numbers_.all().size() - gone_since_.size(), balancer_.Ejected()}) +
+  return figures_.Text({numbers_.all().size() - removed_since_.size(), balancer_.Ejected()}) +
          (peers_.figures ? peers_.figures() : std::string());
 }
 
@@ -145,14 +147,14 @@
   own.descriptors = static_cast<int>(clients_->connections() + backends_->connections()) + kOtherDescriptors +
                     (door_ ? static_cast<int>(door_->callers()) : 0);
   own.leaving = life_.Stopping();
-  companions_->Publish(own);
-  const auto allowance = kestrelline::pair::AllowanceOf(config_.sockets, own, companions_->Others());
+  sibling_processes_->Publish(own);
+  const auto allowance = kestrelline::pair::AllowanceOf(config_.sockets, own, sibling_processes_->Others());
   shares_ = SharesOf(config_, allowance.descriptors);
-  backends_->Trim();
+  backends_->TrimIdle();
   clients_->SetMemoryShare(allowance.memory);
   bodies_.SetTotal(kestrelline::bodies::Budget::OfMemory(config_.memory_mb * allowance.memory));
-  sharing_.expires_after(kShareEvery);
-  sharing_.async_wait([this](const boost::system::error_code& cancelled) {
+  sharing_timer_.expires_after(kShareInterval);
+  sharing_timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (!cancelled) ShareLimits();
   });
 }
@@ -164,8 +166,8 @@
   if (peers_.leave) {
     // Another process of this proxy goes on under its name: then nobody has left.
     bool taken_over = false;
-    if (companions_)
-      for (const auto& other : companions_->Others()) taken_over |= !other.leaving;
+    if (sibling_processes_)
+      for (const auto& other : sibling_processes_->Others()) taken_over |= !other.leaving;
     if (taken_over) {
       peers_.hand_over();
       done = [this, done = std::move(done)] { peers_.await_handover(done); };
@@ -173,14 +175,14 @@
       peers_.leave();
       done = [this, done = std::move(done)] {
         peers_.await_handover([this, done] {
-          peers_.gone();
+          peers_.departed();
           done();
         });
       };
     }
   }
-  clients_->WhenOver(std::move(done));
-  OnLife();
+  clients_->SetDrainedCallback(std::move(done));
+  OnLifecycleChange();
 }
 
 // The only caller of Handle. An action may bring about an event at once: it waits its turn here, so that
@@ -216,7 +218,7 @@
     events_.pop_front();
     actions.clear();
     balancer_.Handle(clock_.Now(), next, &actions);
-    for (const Action& action : actions) std::visit([this](const auto& a) { Do(a); }, action);
+    for (const Action& action : actions) std::visit([this](const auto& a) { Execute(a); }, action);
   }
 }
 
@@ -225,7 +227,7 @@
   if (kind != ListKind::kDelta) {
     std::unordered_set<ServerId> named;
     for (const Member& m : list.members) named.insert(numbers_.Of(m.id));
-    backends_->RetireOthers(named);
+    backends_->RetireAllExcept(named);
   }
   ListUpdate update;
   update.kind = kind;
@@ -249,29 +251,30 @@
   std::unordered_set<std::string_view> here;
   for (const Member& m : list.members) {
     if (m.state == ServerState::kGone) {
-      gone_since_.try_emplace(m.id, Steady::now());
+      removed_since_.try_emplace(m.id, Steady::now());
     } else {
       here.insert(m.id);
-      gone_since_.erase(m.id);
+      removed_since_.erase(m.id);
     }
   }
   if (kind != ListKind::kDelta) {
     for (const auto& [id, number] : numbers_.all()) {
-      if (!here.contains(id)) gone_since_.try_emplace(id, Steady::now());
+      if (!here.contains(id)) removed_since_.try_emplace(id, Steady::now());
     }
   }
   Feed(std::move(update));
-  ForgetLongGone();
+  ForgetOldBackends();
 }
 
 // Ids are ever new: what has been gone for longer than the module remembers it has no number any more.
-void Proxy::ForgetLongGone() {
-  std::erase_if(gone_since_, [this, until = Steady::now() - config_.timeouts.forgotten](const auto& gone) {
-    if (gone.second > until) return false;
-    backends_->Forget(numbers_.Of(gone.first));
-    numbers_.Forget(gone.first);
-    return true;
-  });
+void Proxy::ForgetOldBackends() {
+  std::erase_if(removed_since_,
+                [this, until = Steady::now() - config_.timeouts.forget_backend](const auto& departed) {
+                  if (departed.second > until) return false;
+                  backends_->Forget(numbers_.Of(departed.first));
+                  numbers_.Forget(departed.first);
+                  return true;
+                });
 }
 
 // A zone that the settings don't name is a zone of its own, none of those that they do.
@@ -281,13 +284,13 @@
   return static_cast<int>(0x10000 + (kestrelline::hashing::Fnv1a(name) & 0x3fffffff));
 }
 
-void Proxy::Do(const SetTimer& action) { timers_.emplace(action.at, action.token); }
+void Proxy::Execute(const SetTimer& action) { timers_.emplace(action.at, action.token); }
 
-void Proxy::Do(const Subscribe&) { discovery_->Watch(); }
+void Proxy::Execute(const Subscribe&) { discovery_->Watch(); }
 
-void Proxy::Do(const struct CloseIdle& action) { backends_->CloseIdle(action.server); }
+void Proxy::Execute(const struct CloseIdle& action) { backends_->CloseIdle(action.server); }
 
-void Proxy::Do(const Log& action) { std::fprintf(stderr, "%s\n", action.text.c_str()); }
+void Proxy::Execute(const Log& action) { std::fprintf(stderr, "%s\n", action.text.c_str()); }
 
 // Guards against a timer that the module thinks has not come yet: rounding may wake this a moment early, and
 // the module would not ask again.
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -50,8 +50,8 @@
   struct Peers {
     std::function<std::string()> report, figures;
     std::function<std::string()> replica;  // a report of what is shared; empty where nothing is
-    std::function<void()> leave, stay;     // a drain, and its end
-    std::function<void()> gone;            // nothing is held any more
+    std::function<void()> leave, rejoin;   // a drain, and its end
+    std::function<void()> departed;        // nothing is held any more
     std::function<void()> hand_over;       // to another process of this proxy
     // After `leave` or `hand_over`, with nothing open: calls back once others have all that is shared.
     std::function<void(std::function<void()>)> await_handover;
@@ -101,7 +101,7 @@
 
  private:
   // From its Submit until it has its answer and no attempt is out.
-  struct Keyed {
+  struct ClaimState {
     kestrelline::replica::Claims::Key key;
     std::vector<std::uint64_t> groups;  // by attempt
   };
@@ -113,12 +113,12 @@
     std::shared_ptr<Responder> responder;  // null once answered
     std::size_t request_class = 0;
     int attempts = 0;
-    int attempts_out = 0;                         // two where a second copy is out
+    int attempts_in_flight = 0;                   // two where a second copy is out
     kestrelline::plugin::Tagger::Ticket tagging;  // null once the module has the request
-    std::unique_ptr<Keyed> keyed;                 // null where nothing is claimed
+    std::unique_ptr<ClaimState> claim_state;      // null where nothing is claimed
     boost::container::small_vector<AttemptHandle, 2> sent;
   };
-  struct Arrival;  // a request that is with its plug-ins
+  struct TaggingRequest;  // a request that is with its plug-ins
 
   // What operators call for.
   kestrelline::lifecycle::State state() const override { return life_.state(); }
@@ -128,40 +128,46 @@
   std::string PeersText() const override { return peers_.report ? peers_.report() : std::string(); }
   std::string ReplicaText() const override { return peers_.replica ? peers_.replica() : std::string(); }
 
-  void AwaitList();
-  void OnListed();
-  void OnLife();
+  void AwaitFreshList();
+  void OnListReceived();
+  void OnLifecycleChange();
   void ShareLimits();
 
   void Feed(Event event);
   void HandleQueued();
   void OnList(const MemberList& list, ListKind kind);
-  void ForgetLongGone();
+  void ForgetOldBackends();
   int ZoneOf(const std::string& name) const;
-  int MostOut() const { return config_.settings.parallel_tries ? 2 : 1; }  // attempts of one request
+  int MaxAttemptsInFlight() const {
+    return config_.settings.parallel_tries ? 2 : 1;
+  }  // attempts of one request
 
-  void TagFirst(RequestId id, const std::shared_ptr<const Arrival>& arrival, std::uint32_t route);
-  void OnUploadNews(RequestId id);
-  void OnTagged(RequestId id, const Arrival& arrival, const kestrelline::plugin::Verdict& verdict);
+  void RunPlugins(RequestId id, const std::shared_ptr<const TaggingRequest>& tagging_request,
+                  std::uint32_t route);
+  void OnUploadProgress(RequestId id);
+  void OnPluginVerdict(RequestId id, const TaggingRequest& tagging_request,
+                       const kestrelline::plugin::Verdict& verdict);
 
-  void GiveToModule(Submit submit);
+  void SubmitToBalancer(Submit submit);
   // Whether an attempt may begin: its request has no answer yet, and somebody still waits for one.
-  static bool Wanted(const Pending& pending) { return pending.responder && !pending.responder->Gone(); }
+  static bool IsWanted(const Pending& pending) {
+    return pending.responder && !pending.responder->ClientClosed();
+  }
   void SendAttempt(const Dispatch& action, int attempt);
-  void OnClaimed(const Dispatch& action, int attempt, kestrelline::replica::Claims::Go go);
+  void OnClaimResult(const Dispatch& action, int attempt, kestrelline::replica::Claims::Go go);
 
-  void Do(const Dispatch& action);
-  void Do(const Refuse& action);
-  void Do(const Fail& action);
-  void Do(const SetTimer& action);
-  void Do(const Subscribe& action);
-  void Do(const struct CloseIdle& action);
-  void Do(const Log& action);
+  void Execute(const Dispatch& action);
+  void Execute(const Refuse& action);
+  void Execute(const Fail& action);
+  void Execute(const SetTimer& action);
+  void Execute(const Subscribe& action);
+  void Execute(const struct CloseIdle& action);
+  void Execute(const Log& action);
 
   void OnAttemptDone(RequestId request, int attempt, ServerId server, Steady::time_point sent,
                      AttemptResult result);
-  std::shared_ptr<Responder> Conclude(RequestId request);
-  void ForgetIfOver(RequestId request);
+  std::shared_ptr<Responder> TakeResponder(RequestId request);
+  void EraseIfDone(RequestId request);
   void ArmTimer();
 
   Config config_;
@@ -171,13 +177,13 @@
   Tagger tagger_;
   Peers peers_;
   kestrelline::replica::Claims* claims_ = nullptr;
-  ModuleClock clock_;
+  BalancerClock clock_;
   Balancer balancer_;
   kestrelline::handover::LastByte last_byte_;
   ServerNumbers numbers_;
   std::unordered_map<RequestId, Pending> pending_;
   std::unordered_set<std::string> open_ids_;  // Req-Id of those pending
-  std::unordered_map<std::string, Steady::time_point> gone_since_;
+  std::unordered_map<std::string, Steady::time_point> removed_since_;
   RequestId last_request_ = 0;
   std::deque<Event> events_;
   bool handling_ = false;
@@ -189,9 +195,9 @@
   std::unique_ptr<Backends> backends_;
   std::unique_ptr<Clients> clients_;
   std::unique_ptr<Discovery> discovery_;
-  std::unique_ptr<kestrelline::management::Door> door_;      // null: none
-  std::unique_ptr<kestrelline::pair::Registry> companions_;  // null: this process is the only one
-  boost::asio::steady_timer list_wait_, sharing_;
+  std::unique_ptr<kestrelline::management::Door> door_;             // null: none
+  std::unique_ptr<kestrelline::pair::Registry> sibling_processes_;  // null: this process is the only one
+  boost::asio::steady_timer list_timer_, sharing_timer_;
 };
 
 }  // namespace kestrelline::proxy
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -22,20 +22,21 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-constexpr std::size_t kCopies = 2;  // of a body while it is read
+constexpr std::size_t kBodyCopies = 2;  // of a body while it is read
 // Bytes a second that a client's body has to come at on the whole; the platform's slowest send at 64,000.
-constexpr double kLeastRate = 40000;
-constexpr std::chrono::seconds kMostStall{30};          // for a client to take any of an answer that passes
-constexpr std::size_t kMostEmptyLines = 16;             // bytes of them before a request line
-constexpr std::size_t kMostDrained = 64 * 1024 * 1024;  // of a request that was answered before it had come
-constexpr std::size_t kMostDrainedAtOnce = 4096;
-constexpr std::size_t kMostAheadAtOnce = 256 * 1024;  // read at one sweep of what comes behind a held request
-constexpr const char* kText = "text/plain";
-constexpr const char* kNothingNew = "this proxy takes nothing new; trying again is harmless";
+constexpr double kMinUploadRate = 40000;
+constexpr std::chrono::seconds kStallTimeout{30};        // for a client to take any of an answer that passes
+constexpr std::size_t kMaxEmptyLineBytes = 16;           // bytes of them before a request line
+constexpr std::size_t kMaxDiscarded = 64 * 1024 * 1024;  // of a request that was answered before it had come
+constexpr std::size_t kDiscardBuffer = 4096;
+constexpr std::size_t kMaxReadAheadPerSweep =
+    256 * 1024;  // read at one sweep of what comes behind a held request
+constexpr const char* kTextType = "text/plain";
+constexpr const char* kNotAccepting = "this proxy takes nothing new; trying again is harmless";
 
 HttpResponse Plain(http::status status, std::string text) {
   HttpResponse response{status, 11};
-  response.set(http::field::content_type, kText);
+  response.set(http::field::content_type, kTextType);
   response.body() = std::move(text);
   return response;
 }
@@ -60,36 +61,36 @@
   Error ignored;
   socket_.set_option(Tcp::no_delay(true), ignored);
   socket_.non_blocking(true, ignored);
-  Wait(timeouts().request_read);
+  AwaitRequest(timeouts().request_read);
 }
 
 bool Session::Idle() const {
   Error error;
-  return state_ == State::kWaiting && socket_.available(error) == 0;
+  return state_ == State::kAwaitingRequest && socket_.available(error) == 0;
 }
-void Session::EndIfDue(Steady::time_point now) {
-  if (now < until_) return;
-  if (state_ == State::kHeld) return GiveUpload(http::status::request_timeout, "too slow");
+void Session::EnforceTimeout(Steady::time_point now) {
+  if (now < deadline_) return;
+  if (state_ == State::kAwaitingResponse) return AbortUpload(http::status::request_timeout, "too slow");
   if (state_ != State::kReading) return Close();
   Error ignored;
   socket_.cancel(ignored);
-  TurnAway(http::status::request_timeout, "too slow");
+  Reject(http::status::request_timeout, "too slow");
 }
 
-void Session::EndIfLeaving(Steady::time_point now) {
+void Session::CloseIfDraining(Steady::time_point now) {
   const auto& life = owner_->life_;
-  if (state_ == State::kWaiting) {
-    if (life.EndsIdle(now, since_, serial_) && Idle()) Close();
-  } else if (state_ == State::kReading && life.EndsHalfRead(now, since_)) {
+  if (state_ == State::kAwaitingRequest) {
+    if (life.EndsIdle(now, state_since_, serial_) && Idle()) Close();
+  } else if (state_ == State::kReading && life.EndsHalfRead(now, state_since_)) {
     Error ignored;
     socket_.cancel(ignored);
-    TurnAway(http::status::service_unavailable, kNothingNew);
+    Reject(http::status::service_unavailable, kNotAccepting);
   }
 }
 
 // The request has been answered, or nobody is left to answer.
-void Session::Over() {
-  if (std::exchange(taken_, false) && owner_) owner_->figures_.OnOver();
+void Session::FinishRequest() {
+  if (std::exchange(counted_active_, false) && owner_) owner_->figures_.OnOver();
   class_ = -1;
 }
 
@@ -98,85 +99,85 @@
   state_ = State::kClosed;
   if (const auto upload = std::exchange(upload_, nullptr)) upload->Break();
   if (const auto source = std::exchange(source_, nullptr)) source->Drop();
-  Over();
-  Release();
+  FinishRequest();
+  ReleaseMemory();
   Error ignored;
   socket_.close(ignored);
   if (owner_) owner_->Remove(this);
 }
 
-void Session::Orphan() {
+void Session::Detach() {
   owner_ = nullptr;
   Close();
 }
 
 void Session::Served(HttpResponse answer, std::shared_ptr<BodySource> rest,
                      std::optional<std::uint64_t> length) {
-  if (!Holds()) return rest ? rest->Drop() : void();
-  HttpResponse mine{http::status::ok, 11};
+  if (!AwaitsResponse()) return rest ? rest->Drop() : void();
+  HttpResponse reply{http::status::ok, 11};
   if (const auto type = answer.find(http::field::content_type); type != answer.end())
-    mine.set(http::field::content_type, type->value());
-  mine.body() = std::move(answer.body());
-  if (rest) return Pass(std::move(mine), std::move(rest), length);
-  Write(std::move(mine));
+    reply.set(http::field::content_type, type->value());
+  reply.body() = std::move(answer.body());
+  if (rest) return StreamResponse(std::move(reply), std::move(rest), length);
+  Write(std::move(reply));
 }
 void Session::Refused(Duration retry_after) {
-  if (!Holds()) return;
-  HttpResponse mine = Plain(http::status::service_unavailable, "refused; trying again is harmless\n");
+  if (!AwaitsResponse()) return;
+  HttpResponse reply = Plain(http::status::service_unavailable, "refused; trying again is harmless\n");
   if (retry_after.count() > 0) {
     char seconds[32];
     std::snprintf(seconds, sizeof seconds, "%.3f", retry_after.count() / 1000);
-    mine.set(http::field::retry_after, seconds);
+    reply.set(http::field::retry_after, seconds);
   }
-  Write(std::move(mine));
+  Write(std::move(reply));
 }
 void Session::Failed() {
-  if (Holds()) Write(Plain(http::status::bad_gateway, "failed\n"));
+  if (AwaitsResponse()) Write(Plain(http::status::bad_gateway, "failed\n"));
 }
 void Session::Rejected(http::status status) {
-  if (Holds()) TurnAway(status, "found faulty");
+  if (AwaitsResponse()) Reject(status, "found faulty");
 }
 
 const Timeouts& Session::timeouts() const { return owner_->config_.timeouts; }
 
 // Each state has one time limit: it does not begin anew with each byte.
-void Session::Enter(State state, std::optional<Steady::duration> at_most) {
+void Session::EnterState(State state, std::optional<Steady::duration> timeout) {
   state_ = state;
-  since_ = Steady::now();
-  until_ = at_most ? since_ + *at_most : Steady::time_point::max();
-  owner_->sessions_.splice(owner_->sessions_.end(), owner_->sessions_, place);
+  state_since_ = Steady::now();
+  deadline_ = timeout ? state_since_ + *timeout : Steady::time_point::max();
+  owner_->sessions_.splice(owner_->sessions_.end(), owner_->sessions_, position);
 }
 
-void Session::Wait(Steady::duration at_most) {
-  Enter(State::kWaiting, at_most);
-  Release();
+void Session::AwaitRequest(Steady::duration timeout) {
+  EnterState(State::kAwaitingRequest, timeout);
+  ReleaseMemory();
   parser_.reset();
-  if (buffer_.size() > 0) return Begin();  // the next request came right behind the last
-  buffer_.shrink_to_fit();                 // what stands idle keeps no memory
+  if (buffer_.size() > 0) return BeginRequest();  // the next request came right behind the last
+  buffer_.shrink_to_fit();                        // what stands idle keeps no memory
   socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this()](const Error& failed) {
-    if (self->state_ != State::kWaiting) return;
+    if (self->state_ != State::kAwaitingRequest) return;
     if (failed) return self->Close();
-    self->Begin();
+    self->BeginRequest();
   });
 }
 
-void Session::Begin() {
-  Enter(State::kReading, timeouts().request_read);
-  empty_lines_ = 0;
+void Session::BeginRequest() {
+  EnterState(State::kReading, timeouts().request_read);
+  empty_line_bytes_ = 0;
   ReadHeader();
 }
 
 void Session::ReadHeader() {
-  head_only_ = old_ = false;
+  head_only_ = http_1_0_ = false;
   parser_.emplace();
-  parser_->header_limit(kMostRequestHeader);
+  parser_->header_limit(kMaxRequestHeader);
   parser_->body_limit(boost::none);  // long ones pass, in pieces
   http::async_read_header(socket_, buffer_, *parser_,
                           [self = shared_from_this()](const Error& failed, std::size_t) {
                             if (self->state_ != State::kReading) return;
                             if (failed == http::error::bad_method && self->SkipEmptyLines())
                               return self->ReadHeader();
-                            if (failed) return self->OnUnreadable(failed);
+                            if (failed) return self->OnReadError(failed);
                             self->OnHeader();
                           });
 }
@@ -187,77 +188,79 @@
   const std::string_view text(static_cast<const char*>(bytes.data()), bytes.size());
   const std::size_t n = std::min(text.find_first_not_of("\r\n"), text.size());
   buffer_.consume(n);
-  empty_lines_ += n;
-  return n > 0 && empty_lines_ <= kMostEmptyLines;
+  empty_line_bytes_ += n;
+  return n > 0 && empty_line_bytes_ <= kMaxEmptyLineBytes;
 }
 
 void Session::OnHeader() {
   // Taken out now: trailers are not to be mistaken for what the header said (RFC 9110, 6.5.1).
-  head_ = std::move(parser_->get().base());
-  head_only_ = head_.method() == http::verb::head;
-  old_ = head_.version() < 11;
-  last_ = old_ || !parser_->keep_alive();
-  if (const auto complaint = CheckHeader(head_)) return TurnAway(complaint->status, complaint->text);
-  pace_ = kestrelline::bodies::Pace(timeouts().request_read, kLeastRate);
+  header_ = std::move(parser_->get().base());
+  head_only_ = header_.method() == http::verb::head;
+  http_1_0_ = header_.version() < 11;
+  close_after_response_ = http_1_0_ || !parser_->keep_alive();
+  if (const auto rejection = CheckHeader(header_)) return Reject(rejection->status, rejection->text);
+  pace_ = kestrelline::bodies::Pace(timeouts().request_read, kMinUploadRate);
   const std::uint64_t length = parser_->content_length().value_or(0);
-  const bool may_be_long = parser_->chunked() || length > kMostBody;
-  if (!ReserveFor(may_be_long ? 0 : static_cast<std::size_t>(length))) return NoMemory();
-  if (boost::beast::iequals(head_[http::field::expect], "100-continue") && !old_) return Continue();
+  const bool may_be_long = parser_->chunked() || length > kMaxBufferedBody;
+  if (!ReserveFor(may_be_long ? 0 : static_cast<std::size_t>(length))) return RejectForMemory();
+  if (boost::beast::iequals(header_[http::field::expect], "100-continue") && !http_1_0_)
+    return SendContinue();
   ReadBody();
 }
 
 bool Session::ReserveFor(std::size_t body) {
-  const std::size_t needed = body * kCopies;
-  if (needed <= reserved_) return true;
-  if (!owner_->Reserve(needed - reserved_)) return false;
-  reserved_ = needed;
+  const std::size_t needed = body * kBodyCopies;
+  if (needed <= reserved_bytes_) return true;
+  if (!owner_->Reserve(needed - reserved_bytes_)) return false;
+  reserved_bytes_ = needed;
   return true;
 }
 
-void Session::Release() {
-  if (owner_) owner_->reserved_ -= std::exchange(reserved_, 0);
+void Session::ReleaseMemory() {
+  if (owner_) owner_->reserved_ -= std::exchange(reserved_bytes_, 0);
 }
 
-void Session::Continue() {
-  const auto go_on = std::make_shared<http::response<http::empty_body>>(http::status::continue_, 11);
-  http::async_write(socket_, *go_on, [self = shared_from_this(), go_on](const Error& failed, std::size_t) {
-    if (self->state_ != State::kReading) return;
-    if (failed) return self->Close();
-    self->ReadBody();
-  });
+void Session::SendContinue() {
+  const auto interim = std::make_shared<http::response<http::empty_body>>(http::status::continue_, 11);
+  http::async_write(socket_, *interim,
+                    [self = shared_from_this(), interim](const Error& failed, std::size_t) {
+                      if (self->state_ != State::kReading) return;
+                      if (failed) return self->Close();
+                      self->ReadBody();
+                    });
 }
 
 void Session::ReadBody() {
   const std::uint64_t length = parser_->content_length().value_or(0);
-  if (parser_->chunked() || length > kMostBody) return ReadFirst();
+  if (parser_->chunked() || length > kMaxBufferedBody) return ReadBodyStart();
   if (length > 0) {
     pace_.OnRead({}, static_cast<std::size_t>(length));
-    Enter(State::kReading, pace_.Left());
+    EnterState(State::kReading, pace_.Remaining());
   }
   http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](const Error& failed, std::size_t) {
     if (self->state_ != State::kReading) return;
-    if (failed) return self->OnUnreadable(failed);
+    if (failed) return self->OnReadError(failed);
     const auto now = Steady::now();
-    if (auto request = self->Take(std::move(self->parser_->get().body()), true, now))
-      self->Hold(std::move(*request));
+    if (auto request = self->ParseRequest(std::move(self->parser_->get().body()), true, now))
+      self->SubmitRequest(std::move(*request));
   });
 }
 
-void Session::ReadFirst() {
-  Enter(State::kReading, pace_.Left());
+void Session::ReadBodyStart() {
+  EnterState(State::kReading, pace_.Remaining());
   http::async_read_some(socket_, buffer_, *parser_,
                         [self = shared_from_this()](const Error& failed, std::size_t n) {
                           if (self->state_ != State::kReading) return;
-                          if (failed) return self->OnUnreadable(failed);
+                          if (failed) return self->OnReadError(failed);
                           const auto now = Steady::now();
-                          self->pace_.OnRead(now - self->since_, n);
+                          self->pace_.OnRead(now - self->state_since_, n);
                           std::string& body = self->parser_->get().body();
-                          if (!self->ReserveFor(body.size())) return self->NoMemory();
-                          if (self->parser_->is_done() && body.size() <= kMostBody) {
-                            if (auto request = self->Take(std::move(body), true, now))
-                              self->Hold(std::move(*request));
-                          } else if (body.size() < kestrelline::bodies::Passage::kMostKept) {
-                            self->ReadFirst();
+                          if (!self->ReserveFor(body.size())) return self->RejectForMemory();
+                          if (self->parser_->is_done() && body.size() <= kMaxBufferedBody) {
+                            if (auto request = self->ParseRequest(std::move(body), true, now))
+                              self->SubmitRequest(std::move(*request));
+                          } else if (body.size() < kestrelline::bodies::Passage::kMaxBuffered) {
+                            self->ReadBodyStart();
                           } else {
                             self->BeginUpload();
                           }
@@ -267,136 +270,136 @@
 // The rest is read when an attempt asks for it.
 void Session::BeginUpload() {
   auto share = owner_->bodies_.Join();
-  if (!share) return NoMemory();
+  if (!share) return RejectForMemory();
   const auto now = Steady::now();
   const std::uint64_t length = parser_->content_length().value_or(0);
   const bool whole = parser_->is_done();
   std::string first = std::exchange(parser_->get().body(), {});
   const std::uint64_t left = length > first.size() ? length - first.size() : 0;
-  auto request = Take({}, whole, now);
+  auto request = ParseRequest({}, whole, now);
   if (!request) return;
   const auto deadline = request->due - now;
   request->upload = upload_ =
       std::make_shared<Upload>(std::move(first), whole, now, deadline, std::move(share));
   if (!whole) {
-    const auto guess = length > 0 ? std::chrono::duration<double>(static_cast<double>(left) / kLeastRate)
+    const auto guess = length > 0 ? std::chrono::duration<double>(static_cast<double>(left) / kMinUploadRate)
                                   : std::chrono::duration<double>(3600);
     request->due += std::chrono::duration_cast<Steady::duration>(guess) + timeouts().request_read;
   }
-  upload_->OnWant([this] { ReadMore(); });
-  Hold(std::move(*request));
+  upload_->SetReadCallback([this] { ReadUploadPiece(); });
+  SubmitRequest(std::move(*request));
 }
 
-void Session::ReadMore() {
-  asked_at_ = Steady::now();
-  until_ = asked_at_ + pace_.Left();
-  FitBuffer(upload_->Room(), &buffer_);
+void Session::ReadUploadPiece() {
+  read_started_ = Steady::now();
+  deadline_ = read_started_ + pace_.Remaining();
+  FitBuffer(upload_->NextPieceSize(), &buffer_);
   http::async_read_some(socket_, buffer_, *parser_,
                         [self = shared_from_this(), upload = upload_](const Error& failed, std::size_t n) {
-                          if (!self->Holds() || self->upload_ != upload) return;
-                          self->pace_.OnRead(Steady::now() - self->asked_at_, n);
-                          self->until_ = Steady::time_point::max();
-                          self->OnMore(failed);
+                          if (!self->AwaitsResponse() || self->upload_ != upload) return;
+                          self->pace_.OnRead(Steady::now() - self->read_started_, n);
+                          self->deadline_ = Steady::time_point::max();
+                          self->OnUploadPiece(failed);
                         });
 }
 
-void Session::OnMore(const Error& failed) {
+void Session::OnUploadPiece(const Error& failed) {
   if (failed) {
-    if (IsMalformed(failed)) return GiveUpload(http::status::bad_request, "malformed");
-    return OnGone();
+    if (IsMalformed(failed)) return AbortUpload(http::status::bad_request, "malformed");
+    return OnDisconnect();
   }
   std::string& body = parser_->get().body();
   const bool last = parser_->is_done();
-  if (body.empty() && !last) return ReadMore();
+  if (body.empty() && !last) return ReadUploadPiece();
   const auto upload = upload_;
   const auto now = Steady::now();
   // Its server has never had the whole of it.
   if (last && !owner_->life_.Takes(now, now + upload->deadline()))
-    return GiveUpload(http::status::service_unavailable, kNothingNew);
-  read_whole_ = last;
+    return AbortUpload(http::status::service_unavailable, kNotAccepting);
+  body_complete_ = last;
   upload->Add(std::exchange(body, {}), last, now);
-  if (!Holds() || upload_ != upload) return;
-  if (upload->bound()) Release();  // what was kept is not any more
-  if (last) WatchClient();
+  if (!AwaitsResponse() || upload_ != upload) return;
+  if (upload->body_dropped()) ReleaseMemory();  // what was kept is not any more
+  if (last) WatchForDisconnect();
 }
 
 // A client that does not send what it began to send is not served; its request has not run.
-void Session::GiveUpload(http::status status, const char* text) {
-  const auto of = request_;
+void Session::AbortUpload(http::status status, const char* text) {
+  const auto id = request_;
   const auto self = shared_from_this();
-  owner_->handler_.OnClientGone(of);  // first: what becomes of its attempt is nobody's any more
+  owner_->handler_.OnClientGone(id);  // first: what becomes of its attempt is nobody's any more
   upload_->Break();
-  if (Holds()) TurnAway(status, text);
+  if (AwaitsResponse()) Reject(status, text);
 }
 
-void Session::OnUnreadable(const Error& failed) {
+void Session::OnReadError(const Error& failed) {
   if (!IsMalformed(failed)) return Close();
-  if (failed == http::error::body_limit) return TurnAway(http::status::payload_too_large, "too large");
+  if (failed == http::error::body_limit) return Reject(http::status::payload_too_large, "too large");
   if (failed == http::error::header_limit || failed == http::error::buffer_overflow)
-    return TurnAway(http::status::request_header_fields_too_large, "header too large");
-  TurnAway(http::status::bad_request, "malformed");
+    return Reject(http::status::request_header_fields_too_large, "header too large");
+  Reject(http::status::bad_request, "malformed");
 }
 
 // Nothing, and the client has been told why, if it cannot be understood.
-std::optional<ClientRequest> Session::Take(std::string body, bool whole, Steady::time_point at) {
-  asked_ = true;
-  read_whole_ = whole;
+std::optional<ClientRequest> Session::ParseRequest(std::string body, bool whole, Steady::time_point at) {
+  has_sent_request_ = true;
+  body_complete_ = whole;
   HttpRequest message;
-  message.base() = std::move(head_);
+  message.base() = std::move(header_);
   message.body() = std::move(body);
-  const bool asks_ready = message.method() == http::verb::get || message.method() == http::verb::head;
-  if (asks_ready && message.target() == "/ready") {
+  const bool may_be_probe = message.method() == http::verb::get || message.method() == http::verb::head;
+  if (may_be_probe && message.target() == "/ready") {
     Write(owner_->life_.Ready() ? Plain(http::status::ok, "ready\n")
                                 : Plain(http::status::service_unavailable, "not ready\n"));
     return std::nullopt;
   }
   ClientRequest request;
-  const auto complaint =
-      Understand(std::move(message), at, owner_->config_, &request, /*body_follows=*/!whole);
+  const auto rejection =
+      ParseClientRequest(std::move(message), at, owner_->config_, &request, /*body_follows=*/!whole);
   class_ = request.request_class;
-  if (complaint) {
-    TurnAway(complaint->status, complaint->text);
+  if (rejection) {
+    Reject(rejection->status, rejection->text);
     return std::nullopt;
   }
   const auto id = request.message["Req-Id"];
   if (owner_->handler_.IsOpen({id.data(), id.size()})) {
-    TurnAway(http::status::conflict, "Req-Id is that of an open request");
+    Reject(http::status::conflict, "Req-Id is that of an open request");
     return std::nullopt;
   }
   // When a body that is still coming will be over is not known.
   if (!owner_->life_.Takes(at, whole ? request.due : Steady::time_point::max())) {
-    TurnAway(http::status::service_unavailable, kNothingNew);
+    Reject(http::status::service_unavailable, kNotAccepting);
     return std::nullopt;
   }
   return request;
 }
 
-void Session::Hold(ClientRequest request) {
-  Enter(State::kHeld, std::nullopt);
-  taken_ = true;
-  unwatched_ = true;
+void Session::SubmitRequest(ClientRequest request) {
+  EnterState(State::kAwaitingResponse, std::nullopt);
+  counted_active_ = true;
+  poll_for_disconnect_ = true;
   owner_->figures_.OnTaken();
   request_ = 0;
   const auto id = owner_->handler_.OnRequest(std::move(request), shared_from_this());
-  if (state_ != State::kHeld) return;
+  if (state_ != State::kAwaitingResponse) return;
   request_ = id;
-  if (!upload_) WatchClient();
+  if (!upload_) WatchForDisconnect();
 }
 
 // A client that closes its connection while its request is held has gone. What it sent ahead waits for this
 // request's answer and is not read before: from then on its end is looked for at each sweep.
-void Session::WatchClient() {
-  unwatched_ = false;
-  socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(), of = request_](const Error& failed) {
-    if (failed || !self->Holds() || self->request_ != of) return;
-    if (self->Gone()) return self->OnGone();
-    self->unwatched_ = true;
+void Session::WatchForDisconnect() {
+  poll_for_disconnect_ = false;
+  socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(), id = request_](const Error& failed) {
+    if (failed || !self->AwaitsResponse() || self->request_ != id) return;
+    if (self->ClientClosed()) return self->OnDisconnect();
+    self->poll_for_disconnect_ = true;
   });
 }
 
-void Session::LookForEnd() {
-  if (!Holds() || !unwatched_) return;
-  if (Gone()) return OnGone();
+void Session::CheckForDisconnect() {
+  if (!AwaitsResponse() || !poll_for_disconnect_) return;
+  if (ClientClosed()) return OnDisconnect();
   if (!upload_) ReadAhead();
 }
 
@@ -405,17 +408,17 @@
 // ends with the answer that it waits for.
 void Session::ReadAhead() {
   Error error;
-  for (std::size_t left = kMostAheadAtOnce; left > 0 && !error;) {
+  for (std::size_t left = kMaxReadAheadPerSweep; left > 0 && !error;) {
     const std::size_t ahead = std::min(socket_.available(error), left);
     if (ahead == 0) return;
-    const std::size_t room = last_ ? 0 : std::min(buffer_.max_size() - buffer_.size(), ahead);
+    const std::size_t room = close_after_response_ ? 0 : std::min(buffer_.max_size() - buffer_.size(), ahead);
     if (room == 0 || !owner_->Reserve(room)) {
-      last_ = true;
-      rest_.resize(kMostDrainedAtOnce);
-      left -= std::min(left, socket_.read_some(asio::buffer(rest_), error));
+      close_after_response_ = true;
+      discard_buffer_.resize(kDiscardBuffer);
+      left -= std::min(left, socket_.read_some(asio::buffer(discard_buffer_), error));
       continue;
     }
-    reserved_ += room;
+    reserved_bytes_ += room;
     const std::size_t n = socket_.read_some(buffer_.prepare(room), error);
     buffer_.commit(n);
     left -= n;
@@ -423,118 +426,119 @@
 }
 
 // First the request is over, then its connection: a body that breaks off must not be sent anew.
-void Session::OnGone() {
+void Session::OnDisconnect() {
   const auto self = shared_from_this();
   owner_->handler_.OnClientGone(request_);
   Close();
 }
 
-bool Session::Gone() const {
+bool Session::ClientClosed() const {
   if (state_ == State::kClosed) return true;
-  pollfd look{const_cast<Tcp::socket&>(socket_).native_handle(), POLLRDHUP, 0};
-  return ::poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR));
+  pollfd query{const_cast<Tcp::socket&>(socket_).native_handle(), POLLRDHUP, 0};
+  return ::poll(&query, 1, 0) > 0 && (query.revents & (POLLRDHUP | POLLHUP | POLLERR));
 }
 
 // A client in error is not listened to any further: what follows may be the rest of what could not be read.
-void Session::TurnAway(http::status status, std::string text) {
-  last_ = true;
+void Session::Reject(http::status status, std::string text) {
+  close_after_response_ = true;
   Write(Plain(status, std::move(text) + '\n'));
 }
 
-void Session::BeginAnswer(Steady::duration at_most) {
-  Enter(State::kWriting, at_most);
-  const bool whole = std::exchange(read_whole_, false);
-  if (const auto upload = std::exchange(upload_, nullptr)) upload->OnWant(nullptr);
-  if (!whole) last_ = true;  // what follows is the rest of what nobody wants
+void Session::BeginResponse(Steady::duration timeout) {
+  EnterState(State::kWriting, timeout);
+  const bool whole = std::exchange(body_complete_, false);
+  if (const auto upload = std::exchange(upload_, nullptr)) upload->SetReadCallback(nullptr);
+  if (!whole) close_after_response_ = true;  // what follows is the rest of what nobody wants
   // A client that keeps its connection and asks no more would hold the place for `spare`, against ever-new
   // clients that wait in the kernel's queue until their time is up (incident rf19165).
-  last_ |= owner_->life_.Leaving() || owner_->PlacesRunShort();
+  close_after_response_ |= owner_->life_.Leaving() || owner_->NearConnectionLimit();
   Error ignored;
   socket_.cancel(ignored);  // the watch for the client's end
 }
 
-void Session::NoMemory() {
-  TurnAway(http::status::service_unavailable, "no memory for this now; trying again is harmless");
+void Session::RejectForMemory() {
+  Reject(http::status::service_unavailable, "no memory for this now; trying again is harmless");
 }
 
 void Session::Write(HttpResponse response) {
   response_ = std::move(response);
   // Of one that is turned away before it was understood, its path may tell.
-  if (const auto target = head_.target(); class_ < 0 && !target.empty())
-    class_ = ClassOf({target.data(), target.size()}, owner_->config_);
+  if (const auto target = header_.target(); class_ < 0 && !target.empty())
+    class_ = ClassOfTarget({target.data(), target.size()}, owner_->config_);
   owner_->figures_.OnEnded(class_, EndingOf(response_.result()));
-  BeginAnswer(timeouts().answer_taken);
-  response_.keep_alive(!last_);
+  BeginResponse(timeouts().response_write);
+  response_.keep_alive(!close_after_response_);
   response_.prepare_payload();
   if (head_only_) response_.body().clear();  // its length stays said (RFC 9110, 9.3.2)
   http::async_write(socket_, response_, [self = shared_from_this()](const Error& failed, std::size_t) {
     if (self->state_ != State::kWriting) return;
     self->response_ = {};
-    self->AfterAnswer(static_cast<bool>(failed));
+    self->AfterResponse(static_cast<bool>(failed));
   });
 }
 
-void Session::AfterAnswer(bool failed) {
-  Over();
+void Session::AfterResponse(bool failed) {
+  FinishRequest();
   if (failed) return Close();
-  if (last_) return CloseGently();
-  Wait(timeouts().kept);
-  if (owner_->waiting_for_room_) owner_->Accept();
+  if (close_after_response_) return LingeringClose();
+  AwaitRequest(timeouts().keep_alive);
+  if (owner_->accept_blocked_) owner_->Accept();
 }
 
-void Session::Pass(HttpResponse head, std::shared_ptr<BodySource> rest, std::optional<std::uint64_t> length) {
-  BeginAnswer(kMostStall);
+void Session::StreamResponse(HttpResponse head, std::shared_ptr<BodySource> rest,
+                             std::optional<std::uint64_t> length) {
+  BeginResponse(kStallTimeout);
   source_ = std::move(rest);
-  chunked_ = !length && !old_;
+  chunked_ = !length && !http_1_0_;
   if (length) {
     head.content_length(*length);
   } else {
     head.chunked(chunked_);  // to a client of 1.0 it ends with the connection
   }
-  head.keep_alive(!last_);
+  head.keep_alive(!close_after_response_);
   std::ostringstream text;
   text << head.base();
-  out_ = std::move(text).str();
-  AddPiece(head.body(), false);
-  WritePassing();
+  stream_buffer_ = std::move(text).str();
+  AppendPiece(head.body(), false);
+  WriteStream();
 }
 
-void Session::AddPiece(std::string_view bytes, bool last) {
-  out_last_ = last;
-  if (chunked_) return AppendChunk(bytes, last, &out_);
-  out_.append(bytes);
+void Session::AppendPiece(std::string_view bytes, bool last) {
+  stream_ends_ = last;
+  if (chunked_) return AppendChunk(bytes, last, &stream_buffer_);
+  stream_buffer_.append(bytes);
 }
 
 // As fast as the client takes it: its time begins anew with each byte that it does.
-void Session::WritePassing() {
-  until_ = Steady::now() + kMostStall;
+void Session::WriteStream() {
+  deadline_ = Steady::now() + kStallTimeout;
   socket_.async_write_some(
-      asio::buffer(out_.data() + written_, out_.size() - written_),
+      asio::buffer(stream_buffer_.data() + stream_written_, stream_buffer_.size() - stream_written_),
       [self = shared_from_this()](const Error& failed, std::size_t n) {
         if (self->state_ != State::kWriting) return;
-        if (failed) return self->BreakOff();
-        self->written_ += n;
-        if (self->written_ < self->out_.size()) return self->WritePassing();
-        self->out_.clear();
-        self->written_ = 0;
-        if (self->out_last_) {
+        if (failed) return self->ResetConnection();
+        self->stream_written_ += n;
+        if (self->stream_written_ < self->stream_buffer_.size()) return self->WriteStream();
+        self->stream_buffer_.clear();
+        self->stream_written_ = 0;
+        if (self->stream_ends_) {
           self->source_ = nullptr;
-          self->out_ = {};
+          self->stream_buffer_ = {};
           self->owner_->figures_.OnEnded(self->class_, kestrelline::management::Ending::kServed);
-          return self->AfterAnswer(false);
+          return self->AfterResponse(false);
         }
-        self->until_ = Steady::time_point::max();  // its server has a time limit of its own
+        self->deadline_ = Steady::time_point::max();  // its server has a time limit of its own
         self->source_->Next([self](BodySource::Piece piece) {
           if (self->state_ != State::kWriting) return;
-          if (piece.broken) return self->BreakOff();
-          self->AddPiece(piece.bytes, piece.last);
-          self->WritePassing();
+          if (piece.broken) return self->ResetConnection();
+          self->AppendPiece(piece.bytes, piece.last);
+          self->WriteStream();
         });
       });
 }
 
 // The client must not take what it has for whole: a reset, not an end.
-void Session::BreakOff() {
+void Session::ResetConnection() {
   owner_->figures_.OnEnded(class_, kestrelline::management::Ending::kFailed);
   Error ignored;
   socket_.set_option(asio::socket_base::linger(true, 0), ignored);
@@ -543,21 +547,21 @@
 
 // Guards against a reset overtaking the answer: with unread input left, or input that comes later, a plain
 // close would send one.
-void Session::CloseGently() {
-  Enter(State::kDraining, timeouts().drained);
+void Session::LingeringClose() {
+  EnterState(State::kLingering, timeouts().linger);
   Error ignored;
   socket_.shutdown(Tcp::socket::shutdown_send, ignored);
-  Drain();
+  DiscardInput();
 }
-void Session::Drain() {
+void Session::DiscardInput() {
   // Not into the buffer of requests: a read of one may be on its way, and have its bytes already.
-  rest_.resize(kMostDrainedAtOnce);
-  socket_.async_read_some(asio::buffer(rest_),
+  discard_buffer_.resize(kDiscardBuffer);
+  socket_.async_read_some(asio::buffer(discard_buffer_),
                           [self = shared_from_this()](const Error& failed, std::size_t n) {
-                            if (self->state_ != State::kDraining) return;
-                            self->drained_ += n;
-                            if (failed || self->drained_ > kMostDrained) return self->Close();
-                            self->Drain();
+                            if (self->state_ != State::kLingering) return;
+                            self->discarded_bytes_ += n;
+                            if (failed || self->discarded_bytes_ > kMaxDiscarded) return self->Close();
+                            self->DiscardInput();
                           });
 }
 
--- a/src/proxy/upload.cpp
+++ b/src/proxy/upload.cpp
@@ -6,19 +6,19 @@
 using Step = kestrelline::bodies::Passage::Step;
 
 bool Upload::Begin() {
-  waiting_ = nullptr;
+  on_piece_ = nullptr;
   return passage_.Begin();
 }
 
 void Upload::Next(OnPiece on_piece) {
   switch (passage_.Next()) {
-    case Step::kKept:
-      return on_piece({kept_.substr(passage_.GiveKept()), passage_.whole(), false});
-    case Step::kAwait:
-      waiting_ = std::move(on_piece);
-      if (!std::exchange(wanting_, true) && want_) want_();
+    case Step::kSendBuffered:
+      return on_piece({buffered_.substr(passage_.TakeBuffered()), passage_.complete(), false});
+    case Step::kAwaitClient:
+      on_piece_ = std::move(on_piece);
+      if (!std::exchange(read_requested_, true) && on_read_) on_read_();
       return;
-    case Step::kNothing:
+    case Step::kEnd:
       return on_piece({{}, true, false});
     case Step::kBroken:
       return on_piece({{}, false, true});
@@ -26,24 +26,24 @@
 }
 
 void Upload::Add(std::string piece, bool last, Steady::time_point at) {
-  wanting_ = false;
+  read_requested_ = false;
   if (last) due_ = at + deadline_;
-  const auto waiting = std::exchange(waiting_, nullptr);
+  const auto waiting = std::exchange(on_piece_, nullptr);
   bool first = false;
   if (!waiting) {
     passage_.Keep(piece.size(), last);
-    kept_ += piece;
+    buffered_ += piece;
   } else if ((first = passage_.Pass(last))) {
-    kept_ = {};
+    buffered_ = {};
   }
-  if ((first || last) && news_) news_();
+  if ((first || last) && on_progress_) on_progress_();
   if (waiting) waiting({std::move(piece), last, false});
 }
 
 void Upload::Break() {
   passage_.Break();
-  want_ = nullptr;
-  if (const auto waiting = std::exchange(waiting_, nullptr)) waiting({{}, false, true});
+  on_read_ = nullptr;
+  if (const auto waiting = std::exchange(on_piece_, nullptr)) waiting({{}, false, true});
 }
 
 }  // namespace kestrelline::proxy
--- a/tests/bodies/bodies_test.cpp
+++ b/tests/bodies/bodies_test.cpp
@@ -18,7 +18,7 @@
 TEST(Budget, AllPipesTogetherNeverPassTheTotalAndEachCanAlwaysGoOn) {
   for (unsigned seed = 0; seed < 200; ++seed) {
     std::mt19937 random(seed);
-    const std::size_t total = Budget::kLeast * (1 + random() % 100);
+    const std::size_t total = Budget::kMinPiece * (1 + random() % 100);
     Budget budget(total);
     std::vector<std::unique_ptr<Budget::Share>> shares;
     std::map<Budget::Share*, std::size_t> held;
@@ -28,7 +28,7 @@
           held[share.get()] = 0;
           shares.push_back(std::move(share));
         } else {
-          EXPECT_GT((shares.size() + 1) * Budget::kLeast, total / 4);  // never for what others hold
+          EXPECT_GT((shares.size() + 1) * Budget::kMinPiece, total / 4);  // never for what others hold
         }
       } else if (!shares.empty()) {
         const std::size_t i = random() % shares.size();
@@ -37,8 +37,8 @@
           shares.erase(shares.begin() + static_cast<std::ptrdiff_t>(i));
         } else {
           const std::size_t piece = shares[i]->Renew();
-          EXPECT_GE(piece, Budget::kLeast);
-          EXPECT_LE(piece, Budget::kMost);
+          EXPECT_GE(piece, Budget::kMinPiece);
+          EXPECT_LE(piece, Budget::kMaxPiece);
           held[shares[i].get()] = piece;
         }
       }
@@ -46,34 +46,34 @@
       for (const auto& [share, piece] : held) all += piece;
       ASSERT_LE(all, total) << "seed " << seed;
       ASSERT_LE(budget.used(), total);
-      ASSERT_EQ(budget.pipes(), shares.size());
+      ASSERT_EQ(budget.streams(), shares.size());
     }
   }
 }
 
 TEST(Budget, IsSharedFairlyAndSpeedsUpAgainWhenOthersAreDone) {
-  Budget budget(16 * Budget::kLeast);
+  Budget budget(16 * Budget::kMinPiece);
   auto first = budget.Join();
-  EXPECT_EQ(first->Renew(), 12 * Budget::kLeast);  // a quarter is kept for newcomers
+  EXPECT_EQ(first->Renew(), 12 * Budget::kMinPiece);  // a quarter is kept for newcomers
   std::vector<std::unique_ptr<Budget::Share>> others;
   for (int i = 0; i < 4; ++i) others.push_back(budget.Join());
   EXPECT_EQ(budget.Join(), nullptr);  // the first holds the rest, until its piece is passed on
   first->Release();
   for (int i = 0; i < 11; ++i) others.push_back(budget.Join());
-  EXPECT_EQ(first->Renew(), Budget::kLeast);
+  EXPECT_EQ(first->Renew(), Budget::kMinPiece);
   EXPECT_EQ(budget.Join(), nullptr);
   others.resize(3);
-  EXPECT_EQ(first->Renew(), 4 * Budget::kLeast);
+  EXPECT_EQ(first->Renew(), 4 * Budget::kMinPiece);
 }
 
 TEST(Budget, ASmallerTotalIsKeptToAsPiecesArePassedOnAndSharesOutliveIt) {
   auto budget = std::make_unique<Budget>(1 << 20);
   auto share = budget->Join();
-  EXPECT_EQ(share->Renew(), Budget::kMost);
-  budget->SetTotal(4 * Budget::kLeast);
-  EXPECT_EQ(share->Renew(), 3 * Budget::kLeast);
+  EXPECT_EQ(share->Renew(), Budget::kMaxPiece);
+  budget->SetTotal(4 * Budget::kMinPiece);
+  EXPECT_EQ(share->Renew(), 3 * Budget::kMinPiece);
   budget.reset();
-  EXPECT_GE(share->Renew(), Budget::kLeast);
+  EXPECT_GE(share->Renew(), Budget::kMinPiece);
 }
 
 using std::chrono::milliseconds;
@@ -81,7 +81,7 @@
 TEST(Pace, AnUploadAtThePlatformsSlowestRateIsNeverLate) {
   Pace pace(milliseconds(2500), 40000);
   for (int i = 0; i < 5000; ++i) {  // 32 MB at 64 kB/s, a piece each 0.1 s
-    ASSERT_GT(pace.Left(), milliseconds(100)) << i;
+    ASSERT_GT(pace.Remaining(), milliseconds(100)) << i;
     pace.OnRead(milliseconds(100), 6400);
   }
 }
@@ -89,11 +89,11 @@
 TEST(Pace, ACrawlEndsAndAFastStartBuysNoLongSilence) {
   Pace crawl(milliseconds(2500), 40000);
   int seconds = 0;
-  for (; crawl.Left().count() > 0 && seconds < 100; ++seconds) crawl.OnRead(std::chrono::seconds(1), 10);
+  for (; crawl.Remaining().count() > 0 && seconds < 100; ++seconds) crawl.OnRead(std::chrono::seconds(1), 10);
   EXPECT_LE(seconds, 4);
   Pace fast(milliseconds(2500), 40000);
   fast.OnRead(milliseconds(1), 1 << 30);
-  EXPECT_LE(fast.Left(), std::chrono::seconds(10));
+  EXPECT_LE(fast.Remaining(), std::chrono::seconds(10));
 }
 
 TEST(Passage, IsBoundByTheFirstPieceBeyondWhatIsKept) {
@@ -101,46 +101,46 @@
   Passage p(100);
   for (int attempt = 0; attempt < 4; ++attempt) {  // as often as the module permits
     ASSERT_TRUE(p.Begin());
-    EXPECT_EQ(p.Next(), Step::kKept);
-    EXPECT_EQ(p.GiveKept(), 0u);
-    EXPECT_EQ(p.Next(), Step::kAwait);
+    EXPECT_EQ(p.Next(), Step::kSendBuffered);
+    EXPECT_EQ(p.TakeBuffered(), 0u);
+    EXPECT_EQ(p.Next(), Step::kAwaitClient);
   }
   EXPECT_TRUE(p.Pass(false));
-  EXPECT_TRUE(p.bound());
+  EXPECT_TRUE(p.dropped());
   EXPECT_FALSE(p.Pass(true));
-  EXPECT_EQ(p.Next(), Step::kNothing);
+  EXPECT_EQ(p.Next(), Step::kEnd);
   EXPECT_FALSE(p.Begin());
 }
 
 TEST(Passage, WhatIsBrokenIsNeverGivenForWholeAndWhatIsWholeCannotBreak) {
   Passage p(100);
   p.Begin();
-  EXPECT_EQ(p.GiveKept(), 0u);
+  EXPECT_EQ(p.TakeBuffered(), 0u);
   p.Break();
   EXPECT_EQ(p.Next(), Passage::Step::kBroken);
   EXPECT_FALSE(p.Begin());
   Passage whole(100, true);
   whole.Break();
   EXPECT_TRUE(whole.Begin());
-  EXPECT_EQ(whole.Next(), Passage::Step::kKept);
-  whole.GiveKept();
-  EXPECT_EQ(whole.Next(), Passage::Step::kNothing);
+  EXPECT_EQ(whole.Next(), Passage::Step::kSendBuffered);
+  whole.TakeBuffered();
+  EXPECT_EQ(whole.Next(), Passage::Step::kEnd);
 }
 
 TEST(Passage, WhatComesWhenNobodyWaitsIsKeptForTheNextAttempt) {
   Passage p(100);
   p.Begin();
-  p.GiveKept();
-  EXPECT_EQ(p.Next(), Passage::Step::kAwait);  // and then that attempt fails
+  p.TakeBuffered();
+  EXPECT_EQ(p.Next(), Passage::Step::kAwaitClient);  // and then that attempt fails
   p.Keep(50, false);
-  EXPECT_FALSE(p.bound());
+  EXPECT_FALSE(p.dropped());
   EXPECT_TRUE(p.Begin());
-  EXPECT_EQ(p.Next(), Passage::Step::kKept);
-  EXPECT_EQ(p.GiveKept(), 0u);
+  EXPECT_EQ(p.Next(), Passage::Step::kSendBuffered);
+  EXPECT_EQ(p.TakeBuffered(), 0u);
   p.Keep(25, true);  // it was there before this attempt asked
-  EXPECT_EQ(p.Next(), Passage::Step::kKept);
-  EXPECT_EQ(p.GiveKept(), 150u);
-  EXPECT_EQ(p.Next(), Passage::Step::kNothing);
+  EXPECT_EQ(p.Next(), Passage::Step::kSendBuffered);
+  EXPECT_EQ(p.TakeBuffered(), 150u);
+  EXPECT_EQ(p.Next(), Passage::Step::kEnd);
 }
 
 // ---- what the module makes of it ----------------------------------------------------------------------
--- a/tests/proxy/departures_test.cpp
+++ b/tests/proxy/departures_test.cpp
@@ -121,7 +121,7 @@
   TakeTime(site);
   constexpr std::chrono::milliseconds kPause{500};
   site.operator_text = "version = 1\n[class.book]\npause = \"500ms\"\n";
-  site.timeouts.rest = {};
+  site.timeouts.reuse_delay = {};
   site.Start();
   Client here(site.proxy->address), there(site.proxy->address);
   here.Send(WithId(Look(), "1"));
@@ -209,7 +209,7 @@
 TEST(Departures, AConnectionThatComesUpForNobodyIsNotWrittenTo) {
   const auto ended = Attempt(Duration(0), [] { return false; });
   EXPECT_EQ(ended.result.outcome, Outcome::kMoot);  // it has not run
-  EXPECT_FALSE(ended.result.local);
+  EXPECT_FALSE(ended.result.local_failure);
   EXPECT_EQ(ended.received, "");
 }
 
@@ -253,7 +253,7 @@
   });
   while (!result) io.run_one();
   EXPECT_EQ(result->outcome, Outcome::kConnectFailed);  // known not to have run
-  EXPECT_TRUE(result->broke);
+  EXPECT_TRUE(result->connection_broke);
 }
 
 // How long its client will wait is told as of when the request goes out.
--- a/tests/proxy/drain_takes_test.cpp
+++ b/tests/proxy/drain_takes_test.cpp
@@ -128,8 +128,8 @@
     Backend backend(HoldsBookings(release));
     Site site(ServersInCells(kHeld, backend));
     site.config["limits"]["sockets"] = 64;
-    site.timeouts.spare = site.timeouts.drained = std::chrono::minutes(1);
-    site.timeouts.silent = kRipe;
+    site.timeouts.evict_idle = site.timeouts.linger = std::chrono::minutes(1);
+    site.timeouts.evict_unused = kRipe;
     site.Start();
     std::vector<std::unique_ptr<Client>> clients;
     const auto connect = [&] { clients.push_back(std::make_unique<Client>(site.proxy->address)); };
@@ -167,7 +167,7 @@
   Backend backend(HoldsBookings(release));
   Site site(ServersInCells(kHeld, backend));
   site.config["limits"]["sockets"] = 64;
-  site.timeouts.silent = site.timeouts.spare = site.timeouts.drained = std::chrono::minutes(1);
+  site.timeouts.evict_unused = site.timeouts.evict_idle = site.timeouts.linger = std::chrono::minutes(1);
   site.Start();
   std::vector<std::unique_ptr<Client>> held, ending, waiting;
   const auto connect = [&](auto& clients) {
--- a/tests/proxy/endings_test.cpp
+++ b/tests/proxy/endings_test.cpp
@@ -50,7 +50,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.drained = std::chrono::minutes(1);
+  site.timeouts.linger = std::chrono::minutes(1);
   site.Start();
   auto client = std::make_unique<Client>(site.proxy->address);
   client->Send(Look());
@@ -73,7 +73,7 @@
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
-  site.timeouts.drained = std::chrono::minutes(1);
+  site.timeouts.linger = std::chrono::minutes(1);
   site.Start();
   std::vector<std::unique_ptr<Client>> idle;
   for (int i = 0; i < 20; ++i) idle.push_back(std::make_unique<Client>(site.proxy->address));
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -177,7 +177,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.rest = {};
+  site.timeouts.reuse_delay = {};
   site.Start();
   {
     Client client(site.proxy->address);
@@ -196,7 +196,7 @@
 TEST(Proxy, RequestsOneAfterTheOtherShareAConnection) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.rest = {};
+  site.timeouts.reuse_delay = {};
   site.Start();
   Client client(site.proxy->address);
   for (int i = 0; i < 5; ++i) EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -302,7 +302,7 @@
   proxy::Discovery::Options options;
   options.address = fake.address();
   options.revision = 7;
-  options.silence = std::chrono::milliseconds(50);
+  options.silence_timeout = std::chrono::milliseconds(50);
   proxy::Discovery discovery(
       io, options, [](const proxy::MemberList&) {}, [] {});
   discovery.Watch();
@@ -327,8 +327,8 @@
   asio::io_context io(1);
   proxy::Discovery::Options options;
   options.address = hangs.address;
-  options.silence = std::chrono::hours(1);
-  options.call = std::chrono::milliseconds(50);
+  options.silence_timeout = std::chrono::hours(1);
+  options.call_timeout = std::chrono::milliseconds(50);
   proxy::Discovery discovery(
       io, options, [](const proxy::MemberList&) {}, [] {});
   discovery.Watch();
@@ -343,8 +343,8 @@
 TEST(DiscoveryWatch, ItsTimesLeaveRoomForTheNextCall) {
   using std::chrono::milliseconds;
   const proxy::Discovery::Options options;
-  EXPECT_LE(options.call + milliseconds(500) + milliseconds(2000), milliseconds(6000));
-  EXPECT_LT(options.silence + milliseconds(500), milliseconds(6000));
+  EXPECT_LE(options.call_timeout + milliseconds(500) + milliseconds(2000), milliseconds(6000));
+  EXPECT_LT(options.silence_timeout + milliseconds(500), milliseconds(6000));
   for (const double within : {500.0, 4000.0, 60000.0}) {
     kestrelline::fleet::SubscriptionTimer asking{Duration(within)};
     const TimePoint now{Duration(1000)};
@@ -368,7 +368,7 @@
   asio::io_context io(1);
   proxy::Discovery::Options options;
   options.address = nobody;
-  options.reconnect = proxy::Discovery::Reconnect::kWhenAsked;
+  options.reconnect = proxy::Discovery::Reconnect::kOnRequest;
   int failures = 0;
   proxy::Discovery discovery(
       io, options, [](const proxy::MemberList&) {}, [&] { ++failures; });
@@ -401,15 +401,15 @@
   EXPECT_EQ(distinct.size(), 3u);
 }
 
-TEST(ModuleClock, LongAgoStaysLongAgoAndTimesKeepTheirDistance) {
-  const proxy::ModuleClock clock;
+TEST(BalancerClock, LongAgoStaysLongAgoAndTimesKeepTheirDistance) {
+  const proxy::BalancerClock clock;
   EXPECT_EQ(clock.FromUnix(0), TimePoint{});
   const double unix_now = Duration(std::chrono::system_clock::now().time_since_epoch()).count();
   EXPECT_GT(clock.FromUnix(unix_now - 3000), TimePoint{});
   EXPECT_NEAR((clock.FromUnix(unix_now) - clock.FromUnix(unix_now - 3000)).count(), 3000, 1e-2);
   EXPECT_EQ(clock.FromUnix(unix_now), clock.FromUnix(unix_now));
   const auto at = clock.Now();
-  EXPECT_GE(clock.At(clock.ToSteady(at)), at - Duration(1e-3));
+  EXPECT_GE(clock.FromSteady(clock.ToSteady(at)), at - Duration(1e-3));
 }
 
 // ---- refusals, start and stop -------------------------------------------------------------------------
@@ -570,7 +570,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.rest = {};
+  site.timeouts.reuse_delay = {};
   site.Start();
   Client client(site.proxy->address);
   for (const char* id : {"a1", "a2", "a3"}) EXPECT_EQ(client.Ask(WithId(Book(), id)).body(), id);
@@ -580,7 +580,7 @@
 TEST(Proxy, AConnectionRestsBeforeItIsUsedAgain) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.rest = std::chrono::hours(1);
+  site.timeouts.reuse_delay = std::chrono::hours(1);
   site.Start();
   Client client(site.proxy->address);
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -632,7 +632,7 @@
   backends.Send(1, message, Duration(60000), Duration(0), keep, kWanted);
   while (results.size() < 2) io.run_one();
   EXPECT_EQ(results[0].outcome, Outcome::kMoot);  // never ran, and says nothing of the backend
-  EXPECT_TRUE(results[0].local);
+  EXPECT_TRUE(results[0].local_failure);
   EXPECT_EQ(results[1].outcome, Outcome::kOk);
 }
 
@@ -669,10 +669,10 @@
   for (const std::string body : {"", "deed"}) {
     const auto held = Attempted(reset, Duration(20000), body);
     EXPECT_EQ(held.outcome, Outcome::kConnectFailed);
-    EXPECT_TRUE(held.broke);
+    EXPECT_TRUE(held.connection_broke);
     const auto at_once = Attempted(reset, Duration(0), body);
     EXPECT_EQ(at_once.outcome, Outcome::kReset);  // it may have run
-    EXPECT_TRUE(at_once.broke);
+    EXPECT_TRUE(at_once.connection_broke);
   }
 }
 
@@ -694,7 +694,7 @@
       const auto result = Attempted(serve, hold, body);
       EXPECT_EQ(result.outcome, Outcome::kOk);
       EXPECT_EQ(result.response.body(), "once");
-      EXPECT_FALSE(result.broke);
+      EXPECT_FALSE(result.connection_broke);
     }
     EXPECT_TRUE(read.ends_with(last)) << read;
   }
@@ -723,7 +723,7 @@
   });
   asio::io_context io(1);
   proxy::Backends::Limits limits;
-  kestrelline::bodies::Budget bodies(kestrelline::bodies::Budget::kLeast);  // for one answer at a time
+  kestrelline::bodies::Budget bodies(kestrelline::bodies::Budget::kMinPiece);  // for one answer at a time
   limits.bodies = &bodies;
   proxy::Backends backends(io, limits);
   backends.Set(1, listener.address, 0);
@@ -764,7 +764,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.rest = std::chrono::hours(1);  // so that each request opens a connection
+  site.timeouts.reuse_delay = std::chrono::hours(1);  // so that each request opens a connection
   site.Start();
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -776,7 +776,7 @@
 TEST(Proxy, BackendsLongGoneAreForgotten) {
   Backend backend;
   Site site(Members(MemberJson("s-0", backend.address())));
-  site.timeouts.forgotten = {};
+  site.timeouts.forget_backend = {};
   site.Start();
   for (int i = 1; i <= 20; ++i) {
     site.discovery.Push(
@@ -943,7 +943,7 @@
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;  // 24 places of clients, 32 with all that may be borrowed
-  site.timeouts.spare = site.timeouts.kept = std::chrono::minutes(10);
+  site.timeouts.evict_idle = site.timeouts.keep_alive = std::chrono::minutes(10);
   site.Start();
   constexpr int kClients = 200;
   std::vector<std::unique_ptr<Client>> clients;
@@ -1014,7 +1014,7 @@
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
   site.timeouts.request_read = std::chrono::hours(1);
-  site.timeouts.silent = std::chrono::milliseconds(10);
+  site.timeouts.evict_unused = std::chrono::milliseconds(10);
   site.Start();
   std::vector<std::unique_ptr<Client>> silent;
   for (int i = 0; i < 80; ++i) silent.push_back(std::make_unique<Client>(site.proxy->address));
@@ -1056,7 +1056,7 @@
       200u);
 }
 
-TEST(Understand, ReadsWhatTheModuleIsTold) {
+TEST(ParseClientRequest, ReadsWhatTheModuleIsTold) {
   Backend backend;
   auto json = ConfigJson(backend.address(), {});
   json["settings"]["tenants"] = {{{"name", "acme"}, {"quotaPerS", 5.0}},
@@ -1074,7 +1074,7 @@
   message.set("X-End", "1");
   const auto at = proxy::Steady::now();
   proxy::ClientRequest request;
-  EXPECT_FALSE(proxy::Understand(message, at, config, &request));
+  EXPECT_FALSE(proxy::ParseClientRequest(message, at, config, &request));
   EXPECT_EQ(request.request_class, 0);
   EXPECT_EQ(request.tenant, 1);
   EXPECT_TRUE(request.has_hint);
@@ -1088,20 +1088,20 @@
 
   proxy::ClientRequest other;
   message.set("Cookie", "obj=7f3a9c21e0b4d655");
-  EXPECT_FALSE(proxy::Understand(message, at, config, &other));
+  EXPECT_FALSE(proxy::ParseClientRequest(message, at, config, &other));
   EXPECT_EQ(other.key, request.key);
   message.erase("Cookie");
-  EXPECT_FALSE(proxy::Understand(message, at, config, &other));
+  EXPECT_FALSE(proxy::ParseClientRequest(message, at, config, &other));
   EXPECT_EQ(other.key, 0u);
   message.set("Req-Owner", "nobody");
-  EXPECT_TRUE(proxy::Understand(message, at, config, &other));
+  EXPECT_TRUE(proxy::ParseClientRequest(message, at, config, &other));
 }
 
 TEST(Proxy, MoreClientsThanItMayHoldTakeThePlacesOfIdleOnes) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
-  site.timeouts.spare = std::chrono::milliseconds(10);
+  site.timeouts.evict_idle = std::chrono::milliseconds(10);
   site.Start();
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 60; ++i) {
