--- a/src/bodies/budget.h
+++ b/src/bodies/budget.h
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Memory for bodies that pass through in pieces: one total, shared fairly. No I/O, no clock.
+// Memory budget for streamed bodies: one total, divided fairly. No I/O, no clock.
 //
-// Each pipe may hold one piece at a time. How limit it may be is asked before each is read: an even part of
-// the total, within bounds. The least of each is set aside when it joins, so that whatever the others hold, a
-// pipe that is open can always go on, and all together never pass the total.
-// A quarter is never given out as more than the least: peers that stand still with limit pieces must not keep
-// newcomers out.
+// Each stream holds one piece at a time, whose size is decided before each read: an even part of the total,
+// within bounds. The minimum size is reserved for each stream when it joins, so that an open stream can
+// always continue and all streams together never exceed the total. A quarter of the total is never used for
+// pieces above the minimum: stalled peers with large pieces must not keep new streams out.
 #ifndef KESTRELLINE_BODIES_BUDGET_H_
 #define KESTRELLINE_BODIES_BUDGET_H_
 
@@ -19,17 +18,17 @@
 
 class Budget {
  public:
-  static constexpr std::size_t kMinPiece = 4 * 1024, kMaxPiece = 64 * 1024;  // of one piece
-  // Of the process's memory. A byte of a piece is held up to three times: as read, as taken out of its
-  // framing, as it is written.
+  static constexpr std::size_t kMinPiece = 4 * 1024, kMaxPiece = 64 * 1024;  // size of one piece, in bytes
+  // Of the memory of the process. Each byte of a piece may be held three times: as read, without its framing,
+  // and as written.
   static constexpr double kMemoryShare = 0.12;
 
-  // `total`: bytes for all pieces.
+  // `total`: bytes for the pieces of all streams.
   explicit Budget(std::size_t total) : state_(std::make_shared<State>()) { state_->total = total; }
   static std::size_t OfMemory(double memory_mb) {
     return static_cast<std::size_t>(memory_mb * kMemoryShare * 1024 * 1024);
   }
-  // What is held beyond a smaller total is given back as pieces are passed on.
+  // After a reduction, streams shrink to the new total as their pieces are sent.
   void SetTotal(std::size_t total) { state_->total = total; }
 
   std::size_t used() const { return state_->held + state_->streams * kMinPiece; }
@@ -38,11 +37,11 @@
  private:
   struct State {
     std::size_t total = 0, streams = 0;
-    std::size_t held = 0;  // beyond the least of each pipe
+    std::size_t held = 0;  // beyond the minimum of each stream
   };
 
  public:
-  // One pipe's, from its first byte to its last. May outlive the Budget.
+  // The share of one stream, for its lifetime. May outlive the Budget.
   class Share {
    public:
     explicit Share(std::shared_ptr<State> state) : state_(std::move(state)) { ++state_->streams; }
@@ -53,8 +52,8 @@
     Share(const Share&) = delete;
     Share& operator=(const Share&) = delete;
 
-    // How limit the next piece may be, which is set aside until the next call.
-    std::size_t Renew() {
+    // Returns the size of the next piece, which stays reserved until the next call.
+    std::size_t ReservePiece() {
       Release();
       const std::size_t fair = state_->total / std::max<std::size_t>(state_->streams, 1);
       const std::size_t in_use = state_->held + state_->streams * kMinPiece;
@@ -71,7 +70,7 @@
     std::size_t extra_ = 0;
   };
 
-  // Null if there is no room for one more.
+  // Returns null if not even the minimum is left.
   std::unique_ptr<Share> Join() {
     if (used() + kMinPiece > state_->total) return nullptr;
     return std::make_unique<Share>(state_);
--- a/src/bodies/passage.h
+++ b/src/bodies/passage.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A request's body on its way from a client to a server, and what its state means for another attempt. No
+// Progress of a streamed request body from a client to a backend, and whether another attempt is possible. No
 // I/O, no clock.
 //
-// The first bytes are kept. As long as nothing that came after them has been given away, an attempt that
-// could not be made costs nothing: the next one begins at the first byte. The first piece beyond them binds
-// the request to the attempt that takes it.
+// The first bytes are buffered. Until a later piece is passed on, a failed attempt can be repeated from the
+// first byte. The first piece that is passed on without being buffered binds the request to its attempt: the
+// buffer is dropped.
 #ifndef KESTRELLINE_BODIES_PASSAGE_H_
 #define KESTRELLINE_BODIES_PASSAGE_H_
 
@@ -14,22 +14,23 @@
 
 namespace kestrelline::bodies {
 
-class Passage {
+class UploadProgress {
  public:
   static constexpr std::size_t kMaxBuffered = 64 * 1024;
 
-  // What an attempt that asks for more gets.
+  // What an attempt gets when it asks for the next piece.
   enum class Step {
-    kSendBuffered,  // the kept bytes that it has not had
-    kAwaitClient,   // what the client sends next
-    kEnd,           // all has been given
-    kBroken,        // the rest will never come
+    kSendBuffered,  // the buffered bytes that it has not sent yet
+    kAwaitClient,   // the next piece from the client
+    kEnd,           // nothing: the body is complete
+    kBroken,        // nothing: the body was cut off
   };
 
-  // `kept`: bytes that have come already; `whole`: they are all.
-  explicit Passage(std::size_t buffered, bool complete = false) : buffered_(buffered), complete_(complete) {}
+  // `buffered`: bytes already read; `complete`: they are the whole body.
+  explicit UploadProgress(std::size_t buffered, bool complete = false)
+      : buffered_(buffered), complete_(complete) {}
 
-  // Another attempt, from the first byte. False if there can be none.
+  // Starts another attempt from the first byte. False if that is not possible.
   bool Begin() {
     if (dropped_ || broken_) return false;
     sent_ = 0;
@@ -40,16 +41,16 @@
     if (sent_ < buffered_) return Step::kSendBuffered;
     return complete_ ? Step::kEnd : Step::kAwaitClient;
   }
-  // The attempt has all of the kept bytes; how many of them it had before.
+  // The attempt takes all buffered bytes. Returns how many of them it had before.
   std::size_t TakeBuffered() { return std::exchange(sent_, buffered_); }
-  // A piece has come that nobody waits for: whoever asked for it has failed since. It is kept too; no other
-  // is asked for before there is an attempt again.
-  void Keep(std::size_t bytes, bool last) {
+  // A piece was read after the attempt that requested it had failed. It is buffered as well; the next one is
+  // read only when another attempt asks for it.
+  void AppendBuffered(std::size_t bytes, bool last) {
     buffered_ += bytes;
     complete_ |= last;
   }
-  // A piece beyond the kept bytes has come and goes to the attempt that waits. True if it is the first.
-  bool Pass(bool last) {
+  // A piece beyond the buffered bytes goes to the waiting attempt. True if it is the first such piece.
+  bool PassOn(bool last) {
     const bool first = !dropped_;
     dropped_ = true;
     buffered_ = sent_ = 0;
--- a/src/proxy/backends.cpp
+++ b/src/proxy/backends.cpp
@@ -13,7 +13,8 @@
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
-constexpr double kIdleTimeoutShare = 0.8;  // of the time after which backends close: ours must come first
+constexpr double kIdleTimeoutShare =
+    0.8;  // of the time after which backends close idle connections: the proxy must close them first
 
 }  // namespace
 
@@ -90,8 +91,8 @@
   ++backend.live;
   connection->Assign(std::move(request), std::move(upload), timeout, hold, std::move(done),
                      std::move(wanted));
-  // A backend that never had an address could not be connected to; a pool full of attempts is no backend's
-  // fault.
+  // Without a known address the backend counts as unreachable. A pool in which every connection carries an
+  // attempt is not the fault of a backend.
   if (backend.address.port() == 0) {
     connection->PostFinish(Outcome::kConnectFailed);
   } else if (open_ > limits_.connections() && !CloseOldestIdle()) {
@@ -107,8 +108,8 @@
   if (const auto connection = connection_.lock()) connection->Abandon(use_);
 }
 
-// The most recently used of those that have rested. A backend may close just after an answer, or send more
-// than belongs to it: what has rested has shown that.
+// Returns the most recently used connection that has been idle for reuse_delay. A backend may close a
+// connection right after a response, or send excess bytes; after the delay both are visible.
 std::shared_ptr<Connection> Backends::TakeIdle(Backend& backend) {
   const auto rested_since = Steady::now() - limits_.timeouts.reuse_delay;
   auto end = backend.idle.end();
--- a/src/proxy/backends.h
+++ b/src/proxy/backends.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Attempts at backends and the pool of connections that carries them. It decides nothing: each Send is one
-// attempt on one connection and ends in exactly one result.
+// Connection pool to the backends, and the attempts that it carries.
+//
+// The pool makes no decisions: each Send is one attempt on one connection and ends in exactly one result.
 #ifndef KESTRELLINE_PROXY_BACKENDS_H_
 #define KESTRELLINE_PROXY_BACKENDS_H_
 
@@ -26,44 +27,50 @@
 
 struct AttemptResult {
   Outcome outcome = Outcome::kUnknown;
-  HttpResponse response;  // of kOk; of kUnknown, where the backend turned the request away as faulty
-  // Of kOk: what follows the body in `response`, which is its beginning then. Null where it is whole.
+  HttpResponse response;  // for kOk, and for kUnknown if the backend rejected the request
+  // For kOk: the part of the body that follows response.body(). Null if response.body() is complete.
   std::shared_ptr<BodySource> rest_of_body;
-  std::optional<std::uint64_t> length;  // of the whole body, where it was announced
-  bool local_failure = false;           // of kMoot: it could not begin for want of descriptors or places here
-  bool connection_broke = false;  // its connection broke before any byte of an answer, after some of its own
-  Duration since_first_byte{0};   // since its first byte was
-  Duration since_last_byte{0};    // since its last byte was
+  std::optional<std::uint64_t> length;  // of the complete body, if the backend announced it
+  bool local_failure =
+      false;  // for kMoot: descriptors or pool connections ran out, so the attempt never began
+  bool connection_broke =
+      false;  // the connection failed after part of the request was sent and before any byte of the response
+  Duration since_first_byte{0};  // since the first byte of the request was written
+  Duration since_last_byte{0};   // since the last byte of the request was written
 };
 using AttemptDone = std::function<void(AttemptResult)>;
 
 class Connection;
 
-// An attempt that is out, or was.
+// Refers to one attempt, also after it has ended.
 class AttemptHandle {
  public:
   AttemptHandle(std::weak_ptr<Connection> connection, std::uint64_t use)
       : connection_(std::move(connection)), use_(use) {}
-  // Nobody wants it any more. If its last byte is not written it never is, and the attempt is over at once.
+  // Cancels the attempt if the last byte of its request has not been written yet; it then ends at once as
+  // kMoot. Has no effect otherwise.
   void Abandon() const;
 
  private:
   std::weak_ptr<Connection> connection_;
-  std::uint64_t use_;  // of the connection, which others use later
+  std::uint64_t use_;  // which use of the connection: it carries other attempts later
 };
 
 class Backends {
  public:
-  // Asked right before the server could begin with an attempt that has waited since its Send.
+  // Called before the backend could start executing an attempt that was delayed after Send. If it returns
+  // false, the attempt ends as kMoot.
   using Wanted = std::function<bool()>;
 
   struct Limits {
     Duration connect_timeout{250};
     Duration conn_idle{15000};
-    std::function<std::size_t()> connections = [] { return std::size_t{300}; };  // over all backends, now
+    std::function<std::size_t()> connections = [] {
+      return std::size_t{300};
+    };  // current limit over all backends
     Timeouts timeouts{};
-    kestrelline::bodies::Budget* bodies = nullptr;  // for answers that pass in pieces
-    std::function<void()> on_written = [] {};       // the last byte of an attempt is
+    kestrelline::bodies::Budget* bodies = nullptr;  // memory for streamed responses; null refuses to stream
+    std::function<void()> on_written = [] {};       // called when a request was written completely
   };
 
   Backends(boost::asio::io_context& io, Limits limits);
@@ -71,31 +78,34 @@
   Backends(const Backends&) = delete;
   Backends& operator=(const Backends&) = delete;
 
-  // Where a backend listens now, and since when it runs. Idle connections to what has moved or restarted go.
+  // Sets the address and the start time of a backend. If either has changed, its idle connections are closed.
   void Set(ServerId server, const boost::asio::ip::tcp::endpoint& address, double up_since);
-  // Nothing new will go there: idle connections go, attempts with nothing written are over, and connections
-  // in use go when their answers are in.
+  // Stops using a backend: closes its idle connections, cancels attempts of which nothing was written, and
+  // closes connections in use after their response.
   void Retire(ServerId server);
-  // All but those that a complete list names.
+  // Retires every backend that a full list does not contain.
   void RetireAllExcept(const std::unordered_set<ServerId>& named);
   void CloseIdle(ServerId server);
 
-  // Closes idle connections, the oldest first, while there are more than may be now.
+  // Closes idle connections, longest idle first, while the number of connections exceeds the limit.
   void TrimIdle();
 
-  // Drops what is known of a backend that is retired.
+  // Erases the entry of a retired backend that has no connections.
   void Forget(ServerId server);
 
-  // One attempt with the request as it came, but for how long its answer will be waited for. `hold`: its last
-  // byte is written this much after the others, or never, if the connection breaks first; that attempt has
-  // not run then. `upload`: its body, where that is passed on as it comes; `timeout` counts from its last
-  // byte then. `done` is called once, never from within this call, and not after the destructor.
+  // Makes one attempt. The request is sent as received, except that Req-Deadline-Ms becomes the time that is
+  // left.
+  //
+  // `hold`: delays the last byte of the request by this time. If the connection fails first, that byte is
+  // never written, and so the attempt cannot have been executed. `upload`: the request body, if it is
+  // streamed; `timeout` then counts from its last byte. `done` is called exactly once, never from within
+  // Send, and not after the destructor.
   AttemptHandle Send(ServerId server, std::shared_ptr<const HttpRequest> request, Duration timeout,
                      Duration hold, AttemptDone done, Wanted wanted,
                      std::shared_ptr<Upload> upload = nullptr);
 
   std::size_t connections() const { return open_; }
-  std::size_t opened() const { return opened_; }  // since the start
+  std::size_t opened() const { return opened_; }  // connections since the start of the process
   std::size_t known() const { return backends_.size(); }
 
  private:
@@ -103,13 +113,13 @@
   struct Backend {
     boost::asio::ip::tcp::endpoint address;
     double up_since = 0;
-    std::uint64_t generation = 0;  // connections of an older one are not kept
+    std::uint64_t generation = 0;  // connections of an earlier generation are closed after use
     bool usable = false;
-    std::vector<std::shared_ptr<Connection>> idle;  // the most recently used last
-    std::size_t live = 0;                           // connections, in use and idle
+    std::vector<std::shared_ptr<Connection>> idle;  // most recently used last
+    std::size_t live = 0;                           // number of connections, in use and idle
   };
 
-  // Whether it leads to what the list says of its server now.
+  // Whether the connection was opened to the current address and incarnation of its backend.
   bool IsCurrent(const Connection& connection) const;
   std::shared_ptr<Connection> TakeIdle(Backend& backend);
   bool CloseOldestIdle();
--- a/src/proxy/body_source.h
+++ b/src/proxy/body_source.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A body that comes in pieces, each asked for: who takes them slowly slows their sender and nobody else.
+// A message body that is pulled piece by piece. A slow consumer slows down its own producer only.
 #ifndef KESTRELLINE_PROXY_BODY_SOURCE_H_
 #define KESTRELLINE_PROXY_BODY_SOURCE_H_
 
@@ -13,16 +13,16 @@
  public:
   struct Piece {
     std::string bytes;
-    bool last = false;    // none follows
-    bool broken = false;  // the rest will never come
+    bool last = false;    // the body ends with this piece
+    bool broken = false;  // the body was cut off; `bytes` is empty
   };
   using OnPiece = std::function<void(Piece)>;
 
   virtual ~BodySource() = default;
-  // Asks for the next piece, one at a time; `on_piece` is called once, perhaps within this call, unless Drop
-  // is called first.
+  // Requests the next piece; only one request may be outstanding. `on_piece` is called once, possibly from
+  // within this call, unless Drop is called first.
   virtual void Next(OnPiece on_piece) = 0;
-  // Nobody asks for the rest any more.
+  // Abandons the rest of the body.
   virtual void Drop() = 0;
 };
 
--- a/src/proxy/clients.cpp
+++ b/src/proxy/clients.cpp
@@ -17,14 +17,16 @@
 using Tcp = asio::ip::tcp;
 using Error = boost::system::error_code;
 
-constexpr std::chrono::milliseconds kAcceptRetryDelay{50};  // after a failed accept
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
 constexpr std::chrono::milliseconds kDrainCheckInterval{10};
-constexpr double kBodyMemoryShare = 0.25;  // of the memory, for clients' bodies
+constexpr double kBodyMemoryShare = 0.25;  // of the memory of the process, for buffered request bodies
 constexpr std::chrono::milliseconds kSweepInterval{50};
-constexpr double kIdleEvictionShare = 0.4;  // of the own share, up to which those that stand idle are kept
-constexpr double kNearLimitShare = 0.7;     // of the own share, from which on each answer ends its connection
+constexpr double kIdleEvictionShare =
+    0.4;  // of the client side's own share: up to this, idle connections are not evicted
+constexpr double kNearLimitShare =
+    0.7;  // of the own share: from this on, each response closes its connection
 
-// Whether the system has accepted connections that have not been taken.
+// Whether the kernel's queue holds connections that were not accepted yet.
 bool HasBacklog(Tcp::acceptor& acceptor) {
   pollfd query{acceptor.native_handle(), POLLIN, 0};
   return ::poll(&query, 1, 0) > 0;
@@ -64,14 +66,14 @@
   accept_blocked_ = false;
   if (accepting_ || !acceptor_.is_open() || !life_.Accepts(Steady::now())) return;
   if (sessions_.size() >= limits_.max() && !EvictConnection()) {
-    accept_blocked_ = true;  // the next connections wait in the kernel's queue
+    accept_blocked_ = true;  // further connections wait in the kernel's queue
     return;
   }
   accepting_ = true;
   acceptor_.async_accept([this](const Error& failed, Tcp::socket socket) {
     if (failed == asio::error::operation_aborted) return;
     accepting_ = false;
-    // Guards against spinning when descriptors run out: the queue stays readable all the while.
+    // When descriptors run out the queue stays readable, so an immediate retry would spin.
     if (failed) return RetryAccept();
     AddSession(std::move(socket));
     Accept();
@@ -86,8 +88,8 @@
   session->Start();
 }
 
-// Connections that the system has accepted may have their requests on them; the listener's end would reset
-// them.
+// Accepts the connections in the kernel's queue: they may carry requests, and closing the listener would
+// reset them.
 void Clients::AcceptBacklog() {
   Error none_left;
   acceptor_.non_blocking(true, none_left);
@@ -111,16 +113,16 @@
          static_cast<double>(sessions_.size()) >= static_cast<double>(limits_.own()) * kNearLimitShare;
 }
 
-// Bodies that are being read, or are held, must not fill the memory: what comes beyond is turned away.
+// Limits the memory of buffered request bodies. Requests beyond the limit are rejected.
 bool Clients::Reserve(std::size_t bytes) {
   if (reserved_ + bytes > max_body_bytes_) return false;
   reserved_ += bytes;
   return true;
 }
 
-// Gives up the connection whose client has been slowest to close after its last answer; failing that, the one
-// that has stood idle for the longest, or the oldest of those that never said anything. Those that are fresh
-// stay, since their request may be on its way.
+// Closes one connection: the one whose client has been slowest to close after its last response, else the one
+// that has been idle longest, else the oldest one that never sent a request. Recent connections are spared,
+// since their request may be in transit.
 bool Clients::EvictConnection() {
   const auto now = Steady::now();
   const auto& timeouts = config_.timeouts;
@@ -134,21 +136,21 @@
   find([&](const auto& s) { return s->IdleSince(now - timeouts.evict_idle); });
   find([&](const auto& s) { return s->UnusedSince(now - timeouts.evict_unused); });
   if (!session) return false;
-  const bool waiting = std::exchange(accept_blocked_, false);  // whoever asks goes on by itself
+  const bool waiting = std::exchange(accept_blocked_, false);  // the caller continues to accept by itself
   session->Close();
   accept_blocked_ = waiting;
   return true;
 }
 
-// Ends what has taken too long, and makes room ahead of need.
+// Enforces timeouts, and evicts idle connections before the limit is reached.
 void Clients::Sweep() {
   sweep_timer_.expires_after(kSweepInterval);
   sweep_timer_.async_wait([this](const Error& cancelled) {
     if (cancelled) return;
     const auto now = Steady::now();
     const auto idle_limit = static_cast<std::size_t>(static_cast<double>(limits_.own()) * kIdleEvictionShare);
-    // A close may let another client in, and that one may make room: any of the others may be gone by its
-    // turn.
+    // Closing a connection may accept another client, which may evict any other connection: iterate over a
+    // copy.
     const std::vector<std::shared_ptr<Session>> present(sessions_.begin(), sessions_.end());
     for (const auto& session : present) {
       if (session->Closed()) continue;
@@ -175,9 +177,9 @@
   if (life_.Stopping()) CheckDrained();
 }
 
-// Looks again until nothing is accepted, no answer is owed or on its way to a client that has not closed yet,
-// and no request is half read. The end of the process closes what is open, and a close over unread bytes
-// resets it.
+// Polls until no connections are accepted, no request is half read, and no response is outstanding or not yet
+// acknowledged by the client's close. The exit of the process closes open sockets, and closing one with
+// unread bytes resets it, which could destroy the response.
 void Clients::CheckDrained() {
   const auto now = Steady::now();
   const bool accepts = life_.Accepts(now);
@@ -185,12 +187,13 @@
     const bool own = config_.inherited_listener < 0;
     if (own) AcceptBacklog();
     Error ignored;
-    // Those for whom there is no place wait until a connection has ended.
+    // Connections over the limit stay in the queue until another one has ended.
     if (!own || sessions_.empty() || !HasBacklog(acceptor_))
-      acceptor_.close(ignored);  // never shut down: where it was inherited, its queue is others' too
+      acceptor_.close(
+          ignored);  // no shutdown(): the queue of an inherited listener is shared with other processes
   }
   bool wait = accepts || acceptor_.is_open();
-  // As in Sweep: a close may let another client in, which may make room by closing any of the others.
+  // As in Sweep: closing a connection may evict others, so iterate over a copy.
   const std::vector<std::shared_ptr<Session>> present(sessions_.begin(), sessions_.end());
   for (const auto& session : present) {
     session->CloseIfDraining(now);
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The side of the clients: accepts connections, reads requests, writes the one answer to each.
+// The client side of the proxy: accepts connections, hands their requests to a RequestHandler and writes one
+// response to each request.
 #ifndef KESTRELLINE_PROXY_CLIENTS_H_
 #define KESTRELLINE_PROXY_CLIENTS_H_
 
@@ -23,29 +24,30 @@
 
 namespace kestrelline::proxy {
 
-// Where the one answer to a request goes.
+// Sends the final response to a request. The first call is the response; later calls are ignored.
 class Responder {
  public:
   virtual ~Responder() = default;
-  // `rest`: what follows the body in `answer`, null if that is whole. `length`: of the whole, if it is known.
+  // `rest`: the part of the body that follows answer.body(), or null if that is complete. `length`: of the
+  // complete body, if known.
   virtual void Served(HttpResponse answer, std::shared_ptr<BodySource> rest,
                       std::optional<std::uint64_t> length) = 0;
   virtual void Refused(Duration retry_after) = 0;
   virtual void Failed() = 0;
-  // A backend found the request itself faulty.
+  // A backend rejected the request itself with this 4xx status.
   virtual void Rejected(boost::beast::http::status status) = 0;
-  // Whether the client has closed its connection by now, whatever it sent ahead and whether or not anybody
-  // has heard of it.
+  // Whether the client has closed its connection. Asks the system, so that it is also true before the event
+  // loop has noticed, and when pipelined bytes are still unread.
   virtual bool ClientClosed() const = 0;
 };
 
-// What is done with requests. Neither call may throw.
+// Receives the requests. No call may throw.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
   virtual RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) = 0;
   virtual void OnClientGone(RequestId request) = 0;
-  // Whether a request of this Req-Id has no answer yet, or an attempt of it is out.
+  // Whether a request with this Req-Id has no response yet, or still has an attempt in flight.
   virtual bool IsOpen(std::string_view id) const = 0;
 };
 
@@ -55,14 +57,15 @@
  public:
   using Count = std::function<std::size_t()>;
 
-  // How many connections there may be now: those that are its own, near which places run short, and all, with
-  // what is borrowed.
+  // Current limits on client connections: the client side's own share, and the maximum including borrowed
+  // descriptors (see descriptors.h).
   struct ConnectionLimits {
     Count own, max;
   };
 
-  // Listens at once, or takes over the listener that the configuration names; throws ConfigError or
-  // boost::system::system_error if it cannot. Accepts when `life` says so. `figures` are told of each end.
+  // Starts to listen, or takes over the inherited listener; throws ConfigError or boost::system::system_error
+  // on failure. `life` decides when connections are accepted; `figures` counts the outcome of each request.
+  // All references must outlive this object.
   Clients(boost::asio::io_context& io, const Config& config, ConnectionLimits places,
           const kestrelline::lifecycle::Life& life, kestrelline::management::Figures& figures,
           kestrelline::bodies::Budget& bodies, RequestHandler& handler);
@@ -70,11 +73,11 @@
   Clients(const Clients&) = delete;
   Clients& operator=(const Clients&) = delete;
 
-  // To be called after each change of `life`. Once it stops, `done` is called when nothing is owed to anybody
-  // any more.
+  // Must be called after each change of `life`. Once the process is stopping, the drained callback is called
+  // when no client is owed a response any more.
   void OnLifecycleChange();
   void SetDrainedCallback(std::function<void()> done) { on_drained_ = std::move(done); }
-  // Of the memory of the configuration, where other processes have the rest.
+  // Sets this process's fraction of the configured memory; other processes of this proxy use the rest.
   void SetMemoryShare(double share);
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
@@ -100,11 +103,11 @@
   const kestrelline::lifecycle::Life& life_;
   kestrelline::management::Figures& figures_;
   kestrelline::bodies::Budget& bodies_;
-  std::size_t max_body_bytes_ = 0, reserved_ = 0;  // of bodies that are held whole
+  std::size_t max_body_bytes_ = 0, reserved_ = 0;  // bytes, for buffered bodies
   RequestHandler& handler_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer accept_retry_timer_, drain_timer_, sweep_timer_;
-  std::list<std::shared_ptr<Session>> sessions_;  // in the order of their last change of state
+  std::list<std::shared_ptr<Session>> sessions_;  // ordered by their last change of state
   std::uint64_t last_serial_ = 0;
   bool accept_blocked_ = false, accepting_ = false;
   std::function<void()> on_drained_;
--- a/src/proxy/clock.h
+++ b/src/proxy/clock.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The module's clock on this machine's steady one.
+// Maps the steady clock of this machine, and Unix times, to the balancer's clock.
 #ifndef KESTRELLINE_PROXY_CLOCK_H_
 #define KESTRELLINE_PROXY_CLOCK_H_
 
@@ -14,7 +14,7 @@
 
 using Steady = std::chrono::steady_clock;
 
-// Both origins are taken once, at the start: a step of the wall clock later on must not make a backend look
+// Both origins are read once, at the start: a later step of the wall clock must not make a backend look
 // restarted.
 class BalancerClock {
  public:
@@ -25,7 +25,7 @@
     const Duration capped = std::min(at - kStart, kMaxAhead);
     return steady_origin_ + std::chrono::ceil<Steady::duration>(capped);
   }
-  // 0, for long ago, stays 0; what would come out before the clock's origin is as long ago.
+  // 0 means "long ago" and stays 0; so do times that would precede the origin of the balancer's clock.
   TimePoint FromUnix(double unix_ms) const {
     if (!(unix_ms > 0)) return TimePoint{};
     return std::max(TimePoint{}, kStart + Duration(unix_ms) - unix_origin_);
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -16,7 +16,7 @@
 using nlohmann::json;
 using Tcp = boost::asio::ip::tcp;
 
-// A value as the simulator's first message writes it: no blanks, no line ends.
+// A value in the form of the simulator's protocol: without blanks and line ends.
 std::string ScalarText(const json& value) {
   std::string text = value.is_string() ? value.get<std::string>() : value.dump();
   std::replace_if(
@@ -24,7 +24,8 @@
   return text;
 }
 
-// The path=value lines of the simulator's wire, so that one parser of settings serves both.
+// Converts JSON to the path=value lines of the simulator's protocol, so that one parser of settings serves
+// both.
 void Flatten(const json& value, const std::string& path, std::string* lines) {
   const std::string under = path.empty() ? "" : path + ".";
   if (value.is_object()) {
@@ -47,7 +48,7 @@
 Tcp::endpoint ReadEndpoint(const char* from_env, const json& root, const char* name) {
   const std::string text = from_env && *from_env ? from_env : root.value(name, "");
   const auto endpoint = ParseEndpoint(text);
-  if (!endpoint) throw ConfigError(std::string(name) + " is no address: '" + text + "'");
+  if (!endpoint) throw ConfigError(std::string(name) + " is not an address: '" + text + "'");
   return *endpoint;
 }
 
@@ -67,18 +68,18 @@
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (text.empty() || error != std::errc() || end != text.data() + text.size())
-    throw ConfigError("seed is no hexadecimal number");
+    throw ConfigError("seed is not a hexadecimal number");
   return seed;
 }
 
-// The number of a descriptor; -1 where the variable is not set.
+// Returns -1 if the variable is not set.
 int ParseDescriptor(const char* text) {
   if (!text || !*text) return -1;
   const std::string_view digits(text);
   int number = -1;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), number);
   if (error != std::errc() || end != digits.data() + digits.size() || number < 0)
-    throw ConfigError("ROUTER_INHERITED_FD is no descriptor: '" + std::string(digits) + "'");
+    throw ConfigError("ROUTER_INHERITED_FD is not a descriptor: '" + std::string(digits) + "'");
   return number;
 }
 
@@ -115,8 +116,8 @@
       config.peers_allowed = peers->get<bool>();
     config.connect_timeout = Duration(allowed->value("connectTimeoutMs", config.connect_timeout.count()));
     config.conn_idle = Duration(allowed->value("connIdleMs", config.conn_idle.count()));
-    // The simulator's clients may not be listening, but an HTTP refusal always has a place for the advice: a
-    // client that is not told comes back at once, over and over, to a fleet that is full.
+    // The simulator may disable Retry-After, but an HTTP response can always carry it: without it, clients
+    // retry immediately, over and over, against a fleet that is full.
     config.settings.max_retry_after = std::max(Duration(0), Duration(allowed->value("maxRetryAfterMs", 0.0)));
   }
   if (!(config.connect_timeout.count() > 0) || !(config.conn_idle.count() > 0))
@@ -125,7 +126,7 @@
   if (const auto known = root.find("known"); known != root.end() && !known->is_null()) {
     std::string why;
     auto list = ParseMembers(*known, &why);
-    if (!list) throw ConfigError("known is no list: " + why);
+    if (!list) throw ConfigError("known is not a valid list: " + why);
     config.known = std::move(*list);
   }
   return config;
@@ -135,7 +136,7 @@
 
 Config ParseConfig(std::string_view text, const Environment& env) {
   const json root = json::parse(text, nullptr, /*allow_exceptions=*/false);
-  if (!root.is_object()) throw ConfigError("the configuration is no JSON object");
+  if (!root.is_object()) throw ConfigError("the configuration is not a JSON object");
   try {
     return ReadConfig(root, env);
   } catch (const adapter::BadSettings& error) {
--- a/src/proxy/connection.cpp
+++ b/src/proxy/connection.cpp
@@ -21,18 +21,19 @@
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
 
-// For a server to take a piece of a body, or to send one.
+// For a backend to accept a piece of a request body, or to send a piece of a response.
 constexpr std::chrono::seconds kStallTimeout{10};
-constexpr int kMaxInterimResponses = 8;  // 1xx answers ahead of the final one
+constexpr int kMaxInterimResponses = 8;  // 1xx responses before the final one
 
 Steady::duration ToSteady(Duration d) { return std::chrono::ceil<Steady::duration>(d); }
 
-// 503 and 504 alone may come from anything on the way; only the backend's own word proves that it never ran.
+// 503 and 504 alone may come from any intermediary; only the backend's Srv-Declined header proves that the
+// request was not executed.
 Outcome OutcomeOf(const http::response_header<>& response) {
   const unsigned status = response.result_int();
   if (status == 200) return Outcome::kOk;
   if ((status == 503 || status == 504) && response["Srv-Declined"] == "1") return Outcome::kFull;
-  // What a backend says of the request is no failure of the backend's, and no other would say otherwise.
+  // A rejected request is not a failure of the backend, and other backends would reject it as well.
   if (status >= 400 && status < 500 && status != 408 && status != 429) return Outcome::kUnknown;
   return Outcome::kError;
 }
@@ -41,7 +42,7 @@
   return http::token_list(header[http::field::connection]).exists("close");
 }
 
-// No fault of a backend: this process, or this machine, has no more to give.
+// Whether the error is an exhausted resource of this process or machine, and not the fault of a backend.
 bool IsLocalFailure(const Error& failed) {
   return failed == asio::error::no_descriptors || failed == asio::error::no_buffer_space ||
          failed == asio::error::no_memory || failed == boost::system::errc::too_many_files_open_in_system ||
@@ -65,7 +66,7 @@
     }
     if (!self->still_wanted_() || !self->owner_->IsCurrent(*self)) return self->Finish(Outcome::kMoot);
     self->SetTimer(self->deadline_);
-    // What speaks before it is asked will not answer what it is asked.
+    // Bytes that arrive before the request is sent cannot be its response.
     if (!self->IsQuiet()) return self->Finish(Outcome::kConnectFailed);
     self->WriteRequest();
   });
@@ -81,7 +82,7 @@
   header_.body() = {request_->body().data(), request_->body().size()};
   on_done_ = std::move(done);
   still_wanted_ = std::move(wanted);
-  // Of a body that is still coming, the time counts from its last byte.
+  // For a streamed request body, the timeout counts from its last byte; see WriteUploadPiece.
   deadline_ = Steady::now() + (upload_ ? Steady::duration(std::chrono::hours(1)) : ToSteady(timeout));
   hold_ = hold;
   request_written_ = response_started_ = holding_last_byte_ = final_header_read_ = read_in_flight_ =
@@ -91,7 +92,7 @@
 
 void Connection::Reuse() {
   Error ignored;
-  socket_.cancel(ignored);  // the watch for its end
+  socket_.cancel(ignored);  // the wait of WatchIdle
   SetTimer(deadline_);
   WriteRequest();
 }
@@ -121,7 +122,7 @@
   idle_since_ = Steady::now();
   SetTimer(idle_since_ + ToSteady(at_most));
   socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(), use = use_](const Error&) {
-    if (use == self->use_) self->Close();  // its end, or an answer that nobody asked for
+    if (use == self->use_) self->Close();  // closed by the backend, or unexpected bytes
   });
 }
 
@@ -145,11 +146,11 @@
   timer_.async_wait([self = shared_from_this()](const Error& cancelled) {
     if (cancelled || self->closed_ || Steady::now() < self->timer_.expiry()) return;
     if (self->streaming_) return self->FailStream();
-    if (!self->on_done_) return self->Close();  // idle for too long
+    if (!self->on_done_) return self->Close();  // idle timeout
     if (self->holding_last_byte_ && self->timer_.expiry() < self->deadline_) return self->WriteLastByte();
-    // It comes too slowly to be gathered: what there is of it passes.
+    // The response arrives too slowly to be buffered: stream what was read so far.
     if (self->response_started_ && self->read_in_flight_ && self->StartStreaming()) return;
-    // Nothing has run unless the last byte was written.
+    // The request cannot have been executed unless its last byte was written.
     self->Finish(!self->request_written_ ? Outcome::kConnectFailed
                  : self->response_started_ && self->timer_.expiry() < self->deadline_ ? Outcome::kReset
                                                                                       : Outcome::kTimeout);
@@ -158,8 +159,7 @@
 
 void Connection::WriteRequest() {
   first_byte_at_ = Steady::now();
-  // What is left now: the connection may have taken its time to come up, and no part of a millisecond is
-  // more.
+  // Send the time that is left now, since connecting may have taken long. Rounded down.
   const Duration left = upload_ ? timeout_ : deadline_ - first_byte_at_;
   header_.set("Req-Deadline-Ms", std::to_string(static_cast<long long>(std::max(left.count(), 0.0))));
   if (upload_) return WriteUpload();
@@ -198,19 +198,19 @@
     if (!self->on_done_ || use != self->use_ || !self->holding_last_byte_ ||
         failed == asio::error::operation_aborted)
       return;
-    // An answer ahead of the last byte is one: it is read when that is written.
+    // A response may arrive before the last byte; it is read after that is written.
     if (failed || self->PeerClosed()) return self->Finish(Outcome::kConnectFailed);
   });
 }
 
 void Connection::WriteLastByte() {
-  // The server's end may have come in this very turn, and so may the client's.
+  // Check again: the backend or the client may have disconnected in this iteration of the event loop.
   if (PeerClosed()) return Finish(Outcome::kConnectFailed);
   if (!still_wanted_()) return Finish(Outcome::kMoot);
   holding_last_byte_ = false;
   SetTimer(deadline_);
   Error ignored;
-  socket_.cancel(ignored);  // the watch
+  socket_.cancel(ignored);  // the wait of WatchWhileHolding
   asio::async_write(socket_, asio::buffer(&serialized_.back(), 1),
                     [self = shared_from_this()](const Error& failed, std::size_t) {
                       if (!self->on_done_) return;
@@ -233,7 +233,7 @@
 
 void Connection::ReadHeader() {
   parser_.emplace();
-  parser_->body_limit(boost::none);  // small ones are measured, others pass
+  parser_->body_limit(boost::none);  // small bodies are limited while buffering, others are streamed
   parser_->header_limit(kMaxResponseHeader);
   http::async_read_header(socket_, buffer_, *parser_,
                           [self = shared_from_this()](const Error& failed, std::size_t) {
@@ -246,21 +246,21 @@
 void Connection::OnHeader() {
   const auto& header = parser_->get();
   if (header.result_int() < 200) {
-    // The final answer is still to come; but nothing here asked to switch protocols.
+    // An interim response. The proxy never asks to switch protocols.
     if (header.result() == http::status::switching_protocols || ++interim_responses_ > kMaxInterimResponses)
       return Finish(OutcomeOfBreak());
     if (buffer_.size() > 0) return ReadHeader();
-    response_started_ = false;  // it may take its time again
+    response_started_ = false;  // response_read starts again with the next response
     if (request_written_) SetTimer(deadline_);
     return AwaitResponse();
   }
-  // An answer that only the connection's end delimits cannot be told from one cut short, unless its server
-  // says that it is to end so (RFC 9112, 6.3).
+  // A response that is delimited by the end of the connection cannot be told from a truncated one, unless the
+  // backend announces the close (RFC 9112, 6.3).
   const bool by_end = parser_->need_eof() && !parser_->chunked();
   if (!FramingIsUnambiguous(header, header.version()) ||
       (by_end && header.version() >= 11 && !HasConnectionClose(header)))
     return Finish(OutcomeOfBreak());
-  // What it says of a request that has not come whole is the answer all the same; nobody wants the rest.
+  // A response before the end of the request body is final; the rest of the body is not sent.
   final_header_read_ = true;
   if (!request_written_) {
     upload_->Drop();
@@ -280,7 +280,7 @@
 void Connection::ReadBodyPiece() {
   read_in_flight_ = true;
   if (streaming_) {
-    FitBuffer(share_->Renew(), &buffer_);
+    FitBuffer(share_->ReservePiece(), &buffer_);
     SetTimer(Steady::now() + kStallTimeout);
   }
   http::async_read_some(socket_, buffer_, *parser_,
@@ -291,7 +291,7 @@
                         });
 }
 
-// More of an answer that has not begun to pass.
+// Handles more of a response that is not streamed yet.
 void Connection::OnBufferedRead(const Error& failed) {
   if (failed) return Finish(OutcomeOfBreak());
   std::string& body = parser_->get().body();
@@ -312,14 +312,14 @@
 bool Connection::StartStreaming() {
   const Outcome outcome = OutcomeOf(parser_->get());
   HttpResponse response;
-  if (outcome != Outcome::kOk) {  // its body is of no use to anybody
+  if (outcome != Outcome::kOk) {  // the body of an error response is not forwarded
     response.base() = std::move(parser_->get().base());
     Finish(outcome, std::move(response));
     return true;
   }
   if (parser_->get().body().empty()) return false;
   share_ = owner_->limits_.bodies ? owner_->limits_.bodies->Join() : nullptr;
-  if (!share_) {  // for want of room here the server is not to blame: as if it had been given up
+  if (!share_) {  // out of memory for streams: not the fault of the backend, so treated as cancelled
     Finish(Outcome::kCancelled);
     return true;
   }
@@ -331,7 +331,7 @@
   result.since_first_byte = Steady::now() - first_byte_at_;
   result.since_last_byte = request_written_ ? Duration(Steady::now() - last_byte_at_) : Duration(0);
   if (const auto length = parser_->content_length()) result.length = *length;
-  response.base() = parser_->get().base();  // the parser goes on
+  response.base() = parser_->get().base();  // the parser still needs its own
   response.body() = std::exchange(parser_->get().body(), {});
   result.response = std::move(response);
   result.rest_of_body = shared_from_this();
@@ -350,7 +350,7 @@
 
 void Connection::OnStreamedRead(const Error& failed) {
   if (failed) return FailStream();
-  if (!on_piece_) return;  // it is asked for later
+  if (!on_piece_) return;  // delivered with the next call of Next
   std::string& body = parser_->get().body();
   const bool last = parser_->is_done();
   if (body.empty() && !last) return ReadBodyPiece();
@@ -386,7 +386,7 @@
   Close();
 }
 
-// What stands idle keeps no memory.
+// Idle connections hold no buffers.
 void Connection::ReleaseMemory() {
   request_ = {};
   upload_ = {};
@@ -424,7 +424,7 @@
 
 void Connection::PumpUpload() {
   if (final_header_read_) return;
-  timer_.cancel();  // the client has a time limit of its own
+  timer_.cancel();  // the session limits the time of the client
   upload_->Next([self = shared_from_this(), use = use_](Piece piece) {
     if (self->on_done_ && use == self->use_ && !self->final_header_read_)
       self->WriteUploadPiece(std::move(piece));
@@ -452,7 +452,7 @@
                     });
 }
 
-// A server that reads no further may have answered: what there is to read is looked at first.
+// A backend that stops reading may have responded already: read what is available first.
 void Connection::OnUploadWriteFailed() {
   Error error;
   if (!final_header_read_ && socket_.available(error) == 0) return Finish(Outcome::kConnectFailed);
@@ -463,8 +463,8 @@
   if (!on_done_) return;
   const auto self = shared_from_this();
   const AttemptDone done = std::exchange(on_done_, nullptr);
-  // Where the attempt was given up, a write or a read may be on its way, and have its bytes already: what
-  // it uses goes with the connection.
+  // A write or read that is in flight for a cancelled attempt may already have transferred bytes, so its
+  // buffers live as long as the connection.
   const bool connection_broke = (outcome == Outcome::kReset || outcome == Outcome::kConnectFailed) &&
                                 first_byte_at_ != Steady::time_point() && !(parser_ && parser_->got_some());
   const Duration since_first_byte =
@@ -474,13 +474,13 @@
   const Duration since_last_byte = request_written_ ? Duration(Steady::now() - last_byte_at_) : Duration(0);
   if (upload_) upload_->Drop();
   if (reusable_) ReleaseMemory();
-  // Closed before anybody hears of the end: the next attempt must not find this one on an open connection.
+  // Close before reporting the result: the next attempt must not find this one on an open connection.
   if (std::exchange(reusable_, false) && owner_) {
     owner_->ReturnIdle(self);
   } else {
     Close();
   }
-  // Where one answer stays away, the idle connections may lead nowhere too.
+  // After a timeout the idle connections to the same backend may be dead as well.
   if (outcome == Outcome::kTimeout && owner_) owner_->CloseIdle(server_);
   AttemptResult result;
   result.outcome = outcome;
--- a/src/proxy/connection.h
+++ b/src/proxy/connection.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One connection to a backend and the attempt on it, if any. Once closed it is never used again, so that an
-// answer which comes after its attempt's time-out has nowhere to go.
+// One connection to a backend and the attempt on it, if any. A closed connection is never reused, so that a
+// response that arrives after its attempt timed out cannot be taken for another one.
 #ifndef KESTRELLINE_PROXY_CONNECTION_H_
 #define KESTRELLINE_PROXY_CONNECTION_H_
 
@@ -35,21 +35,22 @@
               Duration hold, AttemptDone done, Backends::Wanted wanted);
   std::uint64_t use() const { return use_; }
   void Abandon(std::uint64_t use);
-  // Its server is to get nothing new. The result comes from the event loop: the news go first.
+  // Cancels the attempt if nothing of it was written, because its backend was retired. The result is posted
+  // to the event loop, so that the list update that caused it is handled first.
   void AbandonUnwritten();
   void Reuse();
-  // An attempt that ends before it has begun; its result still comes from the event loop.
+  // Ends an attempt that could not start. The result is posted to the event loop.
   void PostFinish(Outcome outcome);
-  // Open, with nothing to read. Guards against writing to a connection that the backend has closed in the
-  // meantime, which would end as a reset that may have run, and against taking for an answer what was sent
-  // before the request.
+  // Whether the connection is open with nothing to read. Writing to a connection that the backend has closed
+  // would end as a reset, after which the request may have been executed; and bytes that were sent before the
+  // request must not be taken for its response.
   bool IsQuiet();
   void WatchIdle(Duration at_most);
   void Close();
-  // The owner goes: nothing may be reported any more.
+  // Called when the owner is destroyed: closes the connection without reporting a result.
   void Detach();
 
-  // Of an answer that passes in pieces.
+  // The body of a streamed response.
   void Next(OnPiece on_piece) override;
   void Drop() override;
 
@@ -58,33 +59,38 @@
 
   void SetTimer(Steady::time_point at);
   void WriteRequest();
-  // All but the last byte: no backend can have begun with it, whatever becomes of the connection.
+  // Writes the request without its last byte. No backend can have started to execute it, whatever happens to
+  // the connection.
   void WriteAllButLastByte();
   void OnRequestWritten();
   void WatchWhileHolding();
   void WriteLastByte();
-  // An answer that has begun comes whole soon, or not at all: its connection may stay open and silent.
+  // Waits for the response. Once it has begun, it must be complete within response_read: a backend may stall
+  // in the middle of a response and keep its connection open.
   void AwaitResponse();
   void ReadHeader();
   void OnHeader();
   void ReadWholeBody();
-  // The answer in pieces: as long as it may be small it is gathered, and then passes.
+  // Reads more of a body of unknown or large size. It is buffered up to kMaxBufferedBody and streamed from
+  // then on.
   void ReadBodyPiece();
   void OnBufferedRead(const Error& failed);
-  // From here on the answer is the client's, piece by piece. False if there is nothing of it to pass.
+  // Reports the result with what was read so far; the rest follows as a BodySource. False if no body byte was
+  // read yet.
   bool StartStreaming();
   void OnStreamedRead(const Error& failed);
   void FailStream();
   void Finish(Outcome outcome, HttpResponse response = {});
   void ReleaseMemory();
 
-  // The request's body as it comes; meanwhile the server may say something.
+  // Writes the header and then the streamed request body, while the backend may already respond.
   void WriteUpload();
   void PumpUpload();
   void WriteUploadPiece(Piece piece);
   void OnUploadWriteFailed();
   bool PeerClosed();
-  // What a break proves, by whether the request's last byte was written.
+  // The outcome of a broken connection: only if the last byte of the request was written may it have been
+  // executed.
   Outcome OutcomeOfBreak() const { return request_written_ ? Outcome::kReset : Outcome::kConnectFailed; }
 
   Backends* owner_;
@@ -95,26 +101,26 @@
   boost::beast::flat_buffer buffer_{kMaxBufferedBody + kMaxResponseHeader};
   std::optional<boost::beast::http::response_parser<PieceBody>> parser_;
   std::shared_ptr<const HttpRequest> request_;
-  // The request as it is written; its body is request_'s.
+  // The request as written; its body refers to that of request_.
   boost::beast::http::request<boost::beast::http::span_body<const char>> header_;
-  std::shared_ptr<Upload> upload_;                             // null: the body is request_'s
-  std::string upload_piece_;                                   // of it, that is being written
-  std::unique_ptr<kestrelline::bodies::Budget::Share> share_;  // of an answer that passes
-  OnPiece on_piece_;                                           // its next piece
-  AttemptDone on_done_;                                        // set while an attempt is out
+  std::shared_ptr<Upload> upload_;                             // null: the body is in request_
+  std::string upload_piece_;                                   // the part of it that is being written
+  std::unique_ptr<kestrelline::bodies::Budget::Share> share_;  // of a streamed response
+  OnPiece on_piece_;                                           // set while its next piece is requested
+  AttemptDone on_done_;                                        // set while an attempt is in flight
   Backends::Wanted still_wanted_;
-  std::string serialized_;  // the same as bytes, where its last one is held back
+  std::string serialized_;  // the request, or the header of an upload, as bytes
   Steady::time_point deadline_{}, idle_since_{}, first_byte_at_{}, last_byte_at_{};
   Duration hold_{0}, timeout_{0};
   std::uint64_t use_ = 0;
   int interim_responses_ = 0;
   bool request_written_ = false, response_started_ = false, holding_last_byte_ = false, reusable_ = false,
        closed_ = false;
-  bool final_header_read_ = false;  // the head of the final answer has come
-  bool read_in_flight_ = false;     // a piece of it is on its way
-  bool streaming_ = false;          // it is the client's by now, and its attempt is over
-  bool stream_broken_ = false;      // the rest of it will not come
-  bool local_failure_ = false;      // no server is to blame for the end, but this process
+  bool final_header_read_ = false;  // the header of the final response was read
+  bool read_in_flight_ = false;     // a read of its body is in flight
+  bool streaming_ = false;          // the attempt is over; its body is being streamed
+  bool stream_broken_ = false;      // the streamed body was cut off
+  bool local_failure_ = false;      // the attempt failed because of this process, not the backend
 };
 
 }  // namespace kestrelline::proxy
--- a/src/proxy/descriptors.h
+++ b/src/proxy/descriptors.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How the descriptors of the process are shared out between connections of clients and to backends. It
-// decides from counts alone: no I/O, no clock.
+// Divides the descriptors of the process between client and backend connections. Works on counts only: no
+// I/O, no clock.
 //
-// Each side has a share of its own. Half of what the other side neither uses nor is likely to need soon (a
-// quarter of its share is kept for it) may be borrowed; what is borrowed counts against the lender, so that
-// the two together never hold more than the sum of the shares. The lender gets it back as connections end:
-// clients are sent away after each answer while their places run short.
+// Each side has its own share. Half of what the other side neither uses nor is likely to need soon (a quarter
+// of its share is reserved) may be borrowed. Borrowed descriptors count against the lender, so that both
+// sides together never hold more than the sum of the shares. The lender gets them back as connections end:
+// near their limit, client connections are closed after each response.
 #ifndef KESTRELLINE_PROXY_DESCRIPTORS_H_
 #define KESTRELLINE_PROXY_DESCRIPTORS_H_
 
@@ -16,13 +16,13 @@
 
 class DescriptorShares {
  public:
-  // `clients` and `backends`: the shares, in descriptors.
+  // `clients` and `backends`: the shares, as numbers of descriptors.
   constexpr DescriptorShares(std::size_t clients, std::size_t backends)
       : clients_(clients), backends_(backends) {}
 
-  constexpr std::size_t clients() const { return clients_; }  // its own share
+  constexpr std::size_t clients() const { return clients_; }  // without what may be borrowed
 
-  // The most connections of clients while `open` lead to backends, and the other way round.
+  // The maximum of one side, given the number of open connections of the other side.
   constexpr std::size_t ForClients(std::size_t open_to_backends) const {
     return Limit(clients_, backends_, open_to_backends);
   }
--- a/src/proxy/discovery.cpp
+++ b/src/proxy/discovery.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-// One watch, from its connection to its end. It may take the whole list before it begins.
+// One watch, from connecting to its end. Optionally fetches the full list first.
 class Discovery::Stream : public std::enable_shared_from_this<Stream> {
  public:
   Stream(Discovery& owner, const asio::ip::tcp::endpoint& address, bool fetch_full_list)
@@ -78,16 +78,16 @@
           if (!self->owner_) return;
           if (failed) return self->End(failed.message());
           if (self->parser_->get().result() != http::status::ok)
-            return self->End("answer " + std::to_string(self->parser_->get().result_int()));
+            return self->End("status " + std::to_string(self->parser_->get().result_int()));
           self->ReadSome();
         });
   }
 
   void ReadSome() {
-    if (parser_->is_done()) return fetch_full_list_ ? ApplyFullList() : End("the watch ended");
+    if (parser_->is_done()) return fetch_full_list_ ? ApplyFullList() : End("the service ended the watch");
     parser_->get().body().data = piece_.data();
     parser_->get().body().size = piece_.size();
-    // Its heartbeat is data too; before the first byte it is a call yet.
+    // Heartbeats count as data. The first byte must arrive within silence_timeout of the start of the call.
     const auto& silence_timeout = owner_->options_.silence_timeout;
     body_started_ ? stream_.expires_after(silence_timeout)
                   : stream_.expires_at(started_at_ + silence_timeout);
@@ -102,11 +102,11 @@
     });
   }
 
-  // The list came as one answer; the watch goes on from it, on the same connection if that stays open.
+  // The full list was one response. The watch continues from it, on the same connection if that stays open.
   void ApplyFullList() {
     const bool open = parser_->keep_alive();
     const std::string list = std::exchange(line_, {});
-    if (!owner_->OnLine(this, list)) return End("a garbled list");
+    if (!owner_->OnLine(this, list)) return End("malformed list");
     fetch_full_list_ = false;
     if (open) {
       started_at_ = std::chrono::steady_clock::now();
@@ -118,28 +118,28 @@
     Start();
   }
 
-  // False when the watch is over.
+  // Returns false if the watch has ended.
   bool ConsumePiece(std::string_view piece) {
     line_ += piece;
-    std::size_t from = fetch_full_list_ ? line_.size() : 0;  // a whole list may hold line ends
+    std::size_t from = fetch_full_list_ ? line_.size() : 0;  // a full list may contain line ends
     for (std::size_t end; (end = line_.find('\n', from)) != std::string::npos; from = end + 1) {
       const bool good = owner_->OnLine(this, std::string_view(line_).substr(from, end - from));
       if (!owner_) return false;
       if (!good) {
-        End("a garbled line");
+        End("malformed line");
         return false;
       }
     }
     if (!fetch_full_list_) line_.erase(0, from);
     if (line_.size() <= kMaxLine) return true;
-    End("a line without end");
+    End("line too long");
     return false;
   }
 
   Discovery* owner_;
   const asio::ip::tcp::endpoint address_;
-  bool fetch_full_list_;       // is to be taken first
-  bool body_started_ = false;  // something of the answer's body has come
+  bool fetch_full_list_;       // before the watch
+  bool body_started_ = false;  // a byte of the response body was received
   std::chrono::steady_clock::time_point started_at_{};
   beast::tcp_stream stream_;
   beast::flat_buffer buffer_;
@@ -191,7 +191,7 @@
   std::string why;
   const auto list = ParseMembers(line, &why);
   if (!list) {
-    std::fprintf(stderr, "discovery: garbled line: %s\n", why.c_str());
+    std::fprintf(stderr, "discovery: malformed line: %s\n", why.c_str());
     return false;
   }
   if (from == next_stream_.get()) {
@@ -202,8 +202,8 @@
     moving_ = false;
   }
   backoff_ = std::chrono::milliseconds(0);
-  if (std::exchange(outage_logged_, false)) std::fprintf(stderr, "discovery: back\n");
-  // A change older than the list that it would change must not undo it.
+  if (std::exchange(outage_logged_, false)) std::fprintf(stderr, "discovery: available again\n");
+  // A change that is older than the current list must not undo it.
   if (!list->complete && list->revision < options_.revision) return true;
   options_.revision = list->revision;
   on_list_(*list);
@@ -211,9 +211,9 @@
 }
 
 void Discovery::OnEnd(Stream* from, const std::string& why) {
-  // After a move nothing is lost with the old watch: only the new one is tried again.
+  // During a move the old watch is not restored; only the new one is retried.
   if (moving_ && from == stream_.get()) return stream_.reset();
-  if (!std::exchange(outage_logged_, true)) std::fprintf(stderr, "discovery: away: %s\n", why.c_str());
+  if (!std::exchange(outage_logged_, true)) std::fprintf(stderr, "discovery: unavailable: %s\n", why.c_str());
   if (moving_) {
     next_stream_.reset();
     return RetryLater();
@@ -225,7 +225,7 @@
 
 void Discovery::RetryLater() {
   backoff_ = std::clamp(backoff_ * 2, kMinBackoff, kMaxBackoff);
-  jitter_ = jitter_ * 6364136223846793005u + 1442695040888963407u;  // proxies must not come back in step
+  jitter_ = jitter_ * 6364136223846793005u + 1442695040888963407u;  // proxies must not reconnect in lockstep
   retry_timer_.expires_after(backoff_ / 2 + backoff_ * (jitter_ >> 33) / 2 / (1ull << 31));
   retry_timer_.async_wait([this](const Error& cancelled) {
     if (!cancelled) Watch();
--- a/src/proxy/discovery.h
+++ b/src/proxy/discovery.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Watches discovery for changes of the list of backends.
+// Client of the discovery service: watches the list of backends for changes.
 #ifndef KESTRELLINE_PROXY_DISCOVERY_H_
 #define KESTRELLINE_PROXY_DISCOVERY_H_
 
@@ -24,11 +24,12 @@
 
   struct Options {
     boost::asio::ip::tcp::endpoint address;
-    std::uint64_t revision = 0;  // of the list that is known already
+    std::uint64_t revision = 0;  // of the list that is already known
     Reconnect reconnect = Reconnect::kAutomatic;
-    std::chrono::milliseconds silence_timeout{4500};  // two of its heartbeats, and some
-    // For a call to come up and be answered: the service lets one wait for 2 s. Up to the first byte of what
-    // it says it has `silence`. What changes while a call hangs is to be known 6 s later.
+    std::chrono::milliseconds silence_timeout{4500};  // two heartbeats of the service and a margin
+    // For connecting and receiving the response header: the service may delay a call by 2 s. The first byte
+    // of the body must arrive within `silence_timeout`. A change that happens while a call hangs must be
+    // known within 6 s.
     std::chrono::milliseconds call_timeout{2500};
     std::uint64_t seed = 0;
   };
@@ -38,13 +39,13 @@
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
-  // Begins a watch from the last revision applied, in place of one that is open.
+  // Starts a watch from the last applied revision and replaces the open one, if any.
   void Watch();
 
-  std::uint64_t revision() const { return options_.revision; }  // the last one applied
+  std::uint64_t revision() const { return options_.revision; }  // last applied
 
-  // From now on discovery is elsewhere. Its revisions need not go on from those known, so that its whole list
-  // is taken first; the watch that is open stays until that has come.
+  // Switches to a discovery service at another address. Its revisions need not continue the known ones, so
+  // its full list is fetched first; the old watch stays open until then.
   void Move(const boost::asio::ip::tcp::endpoint& address);
 
  private:
@@ -61,12 +62,12 @@
   OnList on_list_;
   OnFailure on_failure_;
   boost::asio::steady_timer retry_timer_;
-  std::shared_ptr<Stream> stream_, next_stream_;  // the watch; the one that is to take its place after a move
+  std::shared_ptr<Stream> stream_, next_stream_;  // the current watch; its replacement during a move
   bool moving_ = false;
   boost::asio::ip::tcp::endpoint next_address_;
   std::chrono::milliseconds backoff_{0};
   std::uint64_t jitter_;
-  bool outage_logged_ = false;  // that discovery is away
+  bool outage_logged_ = false;  // the current outage was logged
 };
 
 }  // namespace kestrelline::proxy
--- a/src/proxy/framing.cpp
+++ b/src/proxy/framing.cpp
@@ -19,9 +19,9 @@
 
 constexpr double kMaxDeadlineMs = 3600 * 1000;
 constexpr double kMaxCostUs = 1e12;
-constexpr double kMaxContentLength = 1ull << 40;  // bytes of a body; more is nobody's deed
+constexpr double kMaxContentLength = 1ull << 40;  // bytes of a body; no valid request is larger
 constexpr std::size_t kMaxLengthDigits = 20;
-constexpr std::size_t kMaxRequestIdBytes = 256;  // bytes of a Req-Id
+constexpr std::size_t kMaxRequestIdBytes = 256;  // of a Req-Id
 
 bool IsDigits(std::string_view text) {
   return !text.empty() && text.find_first_not_of("0123456789") == std::string_view::npos;
@@ -41,7 +41,7 @@
   return match == names.end() ? -1 : static_cast<int>(match - names.begin());
 }
 
-// Of the cookie `obj`; 0 if it does not say.
+// Hash of the cookie `obj`; 0 if there is none.
 std::uint64_t KeyFromCookie(boost::beast::string_view cookie) {
   std::string list("; ");
   list.append(cookie.data(), cookie.size());
@@ -51,7 +51,7 @@
   return 0;
 }
 
-// A target in absolute form names what its origin form does (RFC 9112, 3.2.2): from its path on.
+// Reduces a target in absolute form to its path (RFC 9112, 3.2.2).
 std::string_view OriginForm(std::string_view target) {
   const std::size_t scheme = target.find("://");
   if (target.empty() || target.front() == '/' || scheme == std::string_view::npos) return target;
@@ -64,7 +64,7 @@
   return target.substr(0, target.find_first_of("/?"));
 }
 
-// Headers that concern one connection only, and so must not go on.
+// Erases headers that concern one connection only and must not be forwarded.
 void EraseHopByHopFields(HttpRequest& message) {
   std::vector<std::string> named;
   for (const auto& token : http::token_list(message[http::field::connection])) named.emplace_back(token);
@@ -115,7 +115,7 @@
       origin_form.size() != message.target().size())
     message.target(std::string(origin_form));
   request->request_class = ClassOfTarget(View(message.target()), config);
-  EraseHopByHopFields(message);  // first: what is named there is not to be believed
+  EraseHopByHopFields(message);  // first: headers that Connection names must not be evaluated
   for (const char* header : {"Req-Id", "Idempotency-Key", "Req-Kind", "Req-Deadline-Ms"}) {
     if (message.count(header) > 1) return bad("a header is repeated");
   }
--- a/src/proxy/framing.h
+++ b/src/proxy/framing.h
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What of a message is believed: its framing must leave no room for two readings, and what a request's
-// headers say must fit together.
+// Validation of messages: their framing must be unambiguous, and the headers of a request must be consistent.
 #ifndef KESTRELLINE_PROXY_FRAMING_H_
 #define KESTRELLINE_PROXY_FRAMING_H_
 
@@ -25,15 +24,16 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-inline constexpr std::size_t kMaxBufferedBody = 64 * 1024;  // of the protocol, either way
+inline constexpr std::size_t kMaxBufferedBody =
+    64 * 1024;  // maximum of the protocol; larger bodies are streamed, both ways
 
-// True if every reader takes the same bytes for the body: at most one Content-Length, which is a number, or
-// one Transfer-Encoding, which is `chunked`, never both. The parser lets unknown codings pass beside a
-// length.
+// True if every reader finds the same body: at most one Content-Length, which is a number, or one
+// Transfer-Encoding, which is `chunked`, and never both. Guards against request smuggling: the parser accepts
+// unknown codings next to a length.
 bool FramingIsUnambiguous(const boost::beast::http::fields& fields, unsigned version);
 
-// A body that is taken out of its message piece by piece: room is made for what comes, never for what a
-// length announces.
+// Body type for reading piece by piece. Memory is allocated for received bytes only, never for an announced
+// length.
 struct PieceBody {
   using value_type = std::string;
   class reader {
@@ -60,19 +60,19 @@
 
 class Upload;
 
-// A request as read from a client, its headers understood.
+// A request as read from a client, with its headers parsed.
 struct ClientRequest {
-  HttpRequest message;             // what goes on to backends
-  std::shared_ptr<Upload> upload;  // its body, where that is passed on as it comes; `due` is a guess then
+  HttpRequest message;             // as forwarded to backends
+  std::shared_ptr<Upload> upload;  // the body, if it is streamed; `due` is then an estimate
   Steady::time_point due{};
-  int request_class = -1;  // known also of one that is complained about, where its path tells
+  int request_class = -1;  // also set for a rejected request if its path names a class
   int tenant = 0;
   std::uint64_t key = 0;
   bool has_hint = false, client_retry = false;
   double work_ms = 0;
 };
 
-// What a request is about, as a number; 0 for none.
+// Hash of the object that a request is about; 0 if the name is empty.
 std::uint64_t HashKey(std::string_view name);
 
 struct Rejection {
@@ -80,14 +80,15 @@
   std::string text;
 };
 
-// The class that a path names; -1 if none.
+// Index of the class that a request target names; -1 if none.
 int ClassOfTarget(std::string_view target, const Config& config);
 
-// What is wrong with the header of a request whose body is still to come; nothing if it may.
+// Checks the header of a request before its body is read. Returns nullopt if it is acceptable.
 std::optional<Rejection> CheckHeader(const boost::beast::http::request_header<>& header);
 
-// Understands the headers of a request whose last byte was read at `read_at`; a complaint if it can't. Where
-// the body is passed on, its framing stays as the client announced it: a length, or chunks.
+// Validates the headers of a request whose last byte was read at `read_at` and fills in `request`. Returns
+// the reason if the request is rejected. With `body_follows`, the body is streamed with the framing that the
+// client announced (a length, or chunks).
 std::optional<Rejection> ParseClientRequest(HttpRequest message, Steady::time_point read_at,
                                             const Config& config, ClientRequest* request,
                                             bool body_follows = false);
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -29,7 +29,7 @@
 Tcp::acceptor AdoptListener(boost::asio::io_context& io, const Tcp::endpoint& address, int descriptor) {
   const int flags = ::fcntl(descriptor, F_GETFD);
   if (flags < 0) ThrowBadDescriptor(descriptor, "is not open");
-  if (SocketOption(descriptor, SO_TYPE) != SOCK_STREAM) ThrowBadDescriptor(descriptor, "is no TCP socket");
+  if (SocketOption(descriptor, SO_TYPE) != SOCK_STREAM) ThrowBadDescriptor(descriptor, "is not a TCP socket");
   if (SocketOption(descriptor, SO_ACCEPTCONN) != 1) ThrowBadDescriptor(descriptor, "does not listen");
   Tcp::endpoint bound_to;
   auto size = static_cast<socklen_t>(bound_to.capacity());
@@ -52,7 +52,7 @@
   if (inherited >= 0) return AdoptListener(io, address, inherited);
   Tcp::acceptor acceptor(io);
   acceptor.open(address.protocol());
-  acceptor.set_option(Tcp::acceptor::reuse_address(true));  // restarts come on the same address
+  acceptor.set_option(Tcp::acceptor::reuse_address(true));  // a restarted process binds the same address
   acceptor.bind(address);
   acceptor.listen();
   return acceptor;
--- a/src/proxy/listener.h
+++ b/src/proxy/listener.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The socket that clients come to: opened here, or inherited.
+// The socket that accepts clients: opened by this process, or inherited.
 #ifndef KESTRELLINE_PROXY_LISTENER_H_
 #define KESTRELLINE_PROXY_LISTENER_H_
 
@@ -9,8 +9,8 @@
 
 namespace kestrelline::proxy {
 
-// `inherited`: a descriptor; -1 for none. It has to be a TCP socket that listens at `address`, or ConfigError
-// says what it is instead. No program that this one starts gets it.
+// `inherited`: a descriptor, or -1 for none. Throws ConfigError unless it is a TCP socket that listens at
+// `address`. Child processes do not inherit it.
 boost::asio::ip::tcp::acceptor OpenListener(boost::asio::io_context& io,
                                             const boost::asio::ip::tcp::endpoint& address, int inherited);
 
--- a/src/proxy/members.cpp
+++ b/src/proxy/members.cpp
@@ -22,7 +22,7 @@
   return std::nullopt;
 }
 
-// Throws json::exception on a field that is absent or of another type.
+// Throws json::exception if a field is missing or has the wrong type.
 Member ParseMember(const json& entry, std::string* why) {
   Member m;
   m.id = entry.at("id").get<std::string>();
@@ -31,7 +31,7 @@
   if (!state) *why = "an entry has an unknown phase";
   m.state = state.value_or(ServerState::kGone);
   const auto address = ParseEndpoint(entry.value("host_port", ""));
-  // What is gone needs no address.
+  // A removed backend needs no address.
   if (!address && m.state != ServerState::kGone) *why = "an entry has no usable host_port";
   m.address = address.value_or(Tcp::endpoint());
   m.zone = entry.value("locality", "");
@@ -95,7 +95,7 @@
   for (const Member& m : members) {
     if (!numbers_.contains(m.id)) new_ids.push_back(m.id);
   }
-  // Guards against two proxies that see one list in another order numbering a collision differently.
+  // Sorted, so that proxies that see the list in different orders resolve a collision alike.
   std::sort(new_ids.begin(), new_ids.end());
   for (const std::string& id : new_ids) {
     if (numbers_.contains(id)) continue;
--- a/src/proxy/members.h
+++ b/src/proxy/members.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The list of backends in discovery's JSON form, and the numbers that the decision module knows them by.
+// The list of backends in the JSON format of discovery, and the numbers by which the balancer knows them.
 #ifndef KESTRELLINE_PROXY_MEMBERS_H_
 #define KESTRELLINE_PROXY_MEMBERS_H_
 
@@ -33,22 +33,22 @@
   std::vector<Member> members;
 };
 
-// Nothing, and the reason in `why`, unless every entry is well formed.
+// Returns nullopt, with the reason in `why`, unless every entry is well formed.
 std::optional<MemberList> ParseMembers(const nlohmann::json& json, std::string* why);
 std::optional<MemberList> ParseMembers(std::string_view text, std::string* why);
 
-// "a.b.c.d:port", or "[v6]:port".
+// Parses "a.b.c.d:port" or "[v6]:port".
 std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(std::string_view text);
 
-// Numbers for server ids. The module hashes them over all proxies, so they come from the id alone; only the
-// later of two ids with the same hash, in the order of their names, moves on to a salted one.
+// Assigns numbers to backend ids. The balancers of all proxies hash these numbers and must agree on them, so
+// a number depends on the id alone. Only on a collision does the id that sorts later get a salted hash.
 class ServerNumbers {
  public:
   using Hash = std::uint32_t (*)(std::string_view);
   static std::uint32_t HashOf(std::string_view id);
   explicit ServerNumbers(Hash hash = HashOf) : hash_(hash) {}
 
-  // Numbers every id of a list, then `Of` finds them.
+  // Assigns a number to each id of a list; `Of` returns it from then on.
   void Learn(const std::vector<Member>& members);
   ServerId Of(const std::string& id) const { return numbers_.at(id); }
   void Forget(const std::string& id);
--- a/src/proxy/pieces.h
+++ b/src/proxy/pieces.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Pieces of a body as both sides read and write them.
+// Helpers for reading and writing bodies piece by piece, on both sides of the proxy.
 #ifndef KESTRELLINE_PROXY_PIECES_H_
 #define KESTRELLINE_PROXY_PIECES_H_
 
@@ -12,7 +12,7 @@
 
 namespace kestrelline::proxy {
 
-// As a chunk, none if it is empty, and the end of the chunks behind it if it is the last (RFC 9112, 7.1).
+// Appends `bytes` as a chunk, unless empty, and the last-chunk if `last` (RFC 9112, 7.1).
 inline void AppendChunk(std::string_view bytes, bool last, std::string* out) {
   if (!bytes.empty()) {
     char size[24];
@@ -22,7 +22,8 @@
   if (last) *out += "0\r\n\r\n";
 }
 
-// For a next piece of `room` bytes. A read takes as much as there is capacity for.
+// Adapts the capacity for a next piece of `room` bytes, since a read takes as much as the buffer has capacity
+// for.
 inline void FitBuffer(std::size_t room, boost::beast::flat_buffer* buffer) {
   if (buffer->capacity() > 2 * room) buffer->shrink_to_fit();
   if (buffer->capacity() < room) buffer->reserve(room);
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -11,17 +11,19 @@
 namespace kestrelline::proxy {
 namespace {
 
-// Descriptors: what is neither a client's nor a backend's (standard streams, the event loop, the listener,
-// watches of discovery, a connection being accepted), and the clients' part of the rest. Of the clients',
-// those with a request open are a half; the others have to make room when they stand idle.
+// Descriptors for neither clients nor backends: standard streams, event loop, listener, watches of discovery,
+// and a connection that is being accepted.
 constexpr int kOtherDescriptors = 24;
-constexpr double kClientShare = 0.6;  // half of the rest may be borrowed: see descriptors.h
+// The clients' share of the remaining descriptors. Half of these connections have a request open; the others
+// are evicted when idle. Either side may borrow descriptors of the other: see descriptors.h.
+constexpr double kClientShare = 0.6;
 constexpr TimePoint kUnarmed{Duration(1e300)};
-// A process that takes over from another waits this long for a fresh list, and then serves by the known one.
+// A process that takes over from another one waits this long for a fresh list, and then uses the known one.
 constexpr std::chrono::milliseconds kFreshListTimeout{1500};
-constexpr std::chrono::milliseconds kShareInterval{20};  // two processes look at each other's usage
+// Interval at which processes of one proxy read each other's usage.
+constexpr std::chrono::milliseconds kShareInterval{20};
 
-// `all`: those that this process may have open.
+// `all`: the number of descriptors that this process may have open.
 DescriptorShares SharesOf(const Config& config, int all) {
   const int others =
       kOtherDescriptors + (config.management ? kestrelline::management::Door::kDescriptors : 0);
@@ -80,7 +82,7 @@
   if (!config_.sibling_folder.empty()) {
     sibling_processes_ = std::make_unique<kestrelline::pair::Registry>(config_.sibling_folder, config_.name);
     if (!sibling_processes_->joined()) {
-      std::fprintf(stderr, "kestrelline: no look at other processes: %s\n",
+      std::fprintf(stderr, "kestrelline: cannot share limits with other processes: %s\n",
                    sibling_processes_->why().c_str());
       sibling_processes_.reset();
     } else {
@@ -92,7 +94,8 @@
 
 Proxy::~Proxy() = default;
 
-// With a list that is known from before. Beside another process there is time to hear a fresh one first.
+// Called with a list from the configuration. While another process serves, there is time to wait for a fresh
+// list.
 void Proxy::AwaitFreshList() {
   if (config_.inherited_listener < 0) return OnListReceived();
   list_timer_.expires_after(kFreshListTimeout);
@@ -110,7 +113,7 @@
 }
 
 void Proxy::OnShare(double share, Steady::time_point until, double after) {
-  constexpr double kNothing = 1e-9;  // the module divides by it
+  constexpr double kNothing = 1e-9;  // the balancer divides by it
   Feed(Share{std::max(share, kNothing),
              until == Steady::time_point() ? TimePoint() : clock_.FromSteady(until),
              std::max(after, kNothing)});
@@ -141,7 +144,7 @@
          (peers_.figures ? peers_.figures() : std::string());
 }
 
-// While there is another process of this proxy: see pair/share.h.
+// Divides descriptors and memory with other processes of this proxy; see pair/share.h.
 void Proxy::ShareLimits() {
   kestrelline::pair::Usage own;
   own.descriptors = static_cast<int>(clients_->connections() + backends_->connections()) + kOtherDescriptors +
@@ -164,7 +167,7 @@
 void Proxy::Stop(std::function<void()> done) {
   if (life_.Stop(Steady::now()) != kestrelline::lifecycle::Done::kDone) return;
   if (peers_.leave) {
-    // Another process of this proxy goes on under its name: then nobody has left.
+    // If another process continues under the name of this proxy, the proxy does not leave its peers.
     bool taken_over = false;
     if (sibling_processes_)
       for (const auto& other : sibling_processes_->Others()) taken_over |= !other.leaving;
@@ -185,10 +188,10 @@
   OnLifecycleChange();
 }
 
-// The only caller of Handle. An action may bring about an event at once: it waits its turn here, so that
-// Handle is never entered while its actions are being carried out.
+// The only caller of Balancer::Handle. Executing an action may produce an event immediately; it is queued, so
+// that Handle is never entered while its actions are being executed.
 void Proxy::Feed(Event event) {
-  // News of the list go before what waits: a request must not be sent by an older list than has been told.
+  // List updates go before other queued events: a request must not be dispatched by an outdated list.
   if (std::holds_alternative<ListUpdate>(event)) {
     const auto first_other = std::find_if(events_.begin(), events_.end(), [](const Event& e) {
       return !std::holds_alternative<ListUpdate>(e);
@@ -198,7 +201,7 @@
     events_.push_back(std::move(event));
   }
   if (handling_) return;
-  // Guards against a fault while actions are carried out leaving the proxy deaf: the next event goes on.
+  // Resets the flag also on an exception; otherwise no later event would be handled.
   struct Handling {
     explicit Handling(bool& flag) : flag(flag) { flag = true; }
     ~Handling() { flag = false; }
@@ -266,7 +269,8 @@
   ForgetOldBackends();
 }
 
-// Ids are ever new: what has been gone for longer than the module remembers it has no number any more.
+// Backend ids are not reused, so the state of removed backends would grow without limit. It is erased once
+// the balancer has forgotten them too.
 void Proxy::ForgetOldBackends() {
   std::erase_if(removed_since_,
                 [this, until = Steady::now() - config_.timeouts.forget_backend](const auto& departed) {
@@ -277,7 +281,7 @@
                 });
 }
 
-// A zone that the settings don't name is a zone of its own, none of those that they do.
+// A zone that the settings do not name gets a number outside the range of named zones.
 int Proxy::ZoneOf(const std::string& name) const {
   const auto found = std::find(config_.zones.begin(), config_.zones.end(), name);
   if (found != config_.zones.end()) return static_cast<int>(found - config_.zones.begin());
@@ -292,8 +296,8 @@
 
 void Proxy::Execute(const Log& action) { std::fprintf(stderr, "%s\n", action.text.c_str()); }
 
-// Guards against a timer that the module thinks has not come yet: rounding may wake this a moment early, and
-// the module would not ask again.
+// Fires timers only when they are due on the balancer's clock: rounding may wake this up a moment early, and
+// the balancer would ignore such a timer and not set it again.
 void Proxy::ArmTimer() {
   if (timers_.empty() || timers_.begin()->first >= armed_for_) return;
   armed_for_ = timers_.begin()->first;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The proxy: turns what happens on sockets into events for its Balancer, and carries out the actions. Every
-// decision is the Balancer's.
+// The proxy: turns socket events into events for its Balancer and executes the actions that this returns. The
+// Balancer makes every decision.
 #ifndef KESTRELLINE_PROXY_PROXY_H_
 #define KESTRELLINE_PROXY_PROXY_H_
 
@@ -42,48 +42,50 @@
   using Routes = std::shared_ptr<const kestrelline::routing::RouteTable>;
   using Tagger = std::shared_ptr<kestrelline::plugin::Tagger>;
 
-  // Listens, and watches discovery, from here on. Null routes, or a null tagger: none.
+  // Starts to listen and to watch discovery. `routes` and `tagger` may be null. Runs on the single thread of
+  // `io`.
   Proxy(boost::asio::io_context& io, Config config, Routes routes = nullptr, Tagger tagger = nullptr);
   ~Proxy() override;
 
-  // The other proxies, where this one knows of any: what is asked of whoever keeps that, and told to it.
+  // Hooks to the connection with the other proxies, if there is one.
   struct Peers {
     std::function<std::string()> report, figures;
-    std::function<std::string()> replica;  // a report of what is shared; empty where nothing is
-    std::function<void()> leave, rejoin;   // a drain, and its end
-    std::function<void()> departed;        // nothing is held any more
-    std::function<void()> hand_over;       // to another process of this proxy
-    // After `leave` or `hand_over`, with nothing open: calls back once others have all that is shared.
+    std::function<std::string()> replica;  // report on the replicated state; unset if there is none
+    std::function<void()> leave, rejoin;   // a drain began; it was cancelled
+    std::function<void()> departed;        // no request is left, and the process ends
+    std::function<void()> hand_over;       // to another process of this proxy, which keeps its name
+    // After `leave` or `hand_over`, with no request open: calls back once other proxies hold all of the
+    // replicated state.
     std::function<void(std::function<void()>)> await_handover;
   };
   void SetPeers(Peers peers) { peers_ = std::move(peers); }
 
-  // What is known of keys among them, and told; must outlive all requests.
+  // The claims on idempotency keys that are shared among the proxies; must outlive all requests.
   void SetClaims(kestrelline::replica::Claims* claims) { claims_ = claims; }
 
-  // What other proxies know has come, or is waited for no longer (Config::await_replica).
+  // The replicated state has arrived, or is no longer awaited (Config::await_replica).
   void OnReplicaReady();
 
-  // Of what all proxies have together; see Share in balancer.h. Requests that came since the start.
+  // Sets this proxy's share of common limits; see Share in balancer.h.
   void OnShare(double share, Steady::time_point until, double after);
-  // How many requests of a class all proxies may take together, a second; below 0: any number.
+  // Sets the limit on requests of a class per second over all proxies; below 0: unlimited.
   void OnClassLimit(int request_class, double per_s);
   std::uint64_t requests() const { return last_request_; }
 
-  // Takes over where discovery is from a configuration read anew; the rest of it holds from the next start
-  // on.
+  // Applies a reloaded configuration: only the address of discovery. All other settings take effect at the
+  // next start.
   void Reload(const Config& config);
 
-  // From the next request on; those that are held end under the routes and the plug-ins that they came by.
+  // Takes effect with the next request; pending requests keep the routes and plug-ins with which they began.
   void SetRoutes(Routes routes, Tagger tagger = nullptr) {
     routes_ = std::move(routes);
     tagger_ = std::move(tagger);
   }
 
-  // As it was read at the start: what is in force but for the address of discovery.
+  // As read at the start; in force except for the address of discovery, which Reload may change.
   const Config& config() const { return config_; }
 
-  // Serves what comes for a while yet; `done` is called when nothing is held any more.
+  // Begins the shutdown: serves what still arrives for a while, and calls `done` when no request is left.
   void Stop(std::function<void()> done);
 
   RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) override;
@@ -96,31 +98,31 @@
   std::size_t backends_known() const { return backends_->known(); }
   std::size_t held() const { return pending_.size(); }
   const kestrelline::management::Figures& figures() const { return figures_; }
-  // The door's; where there is one.
+  // Address of the management interface; requires Config::management.
   boost::asio::ip::tcp::endpoint management_address() const { return door_->address(); }
 
  private:
-  // From its Submit until it has its answer and no attempt is out.
+  // The claims of a request with a shared idempotency key.
   struct ClaimState {
     kestrelline::replica::Claims::Key key;
-    std::vector<std::uint64_t> groups;  // by attempt
+    std::vector<std::uint64_t> groups;  // group of the backend, by attempt
   };
   struct Pending {
     std::shared_ptr<const HttpRequest> message;
-    std::shared_ptr<Upload> upload;  // its body, where that is passed on as it comes
+    std::shared_ptr<Upload> upload;  // the body, if it is streamed
     Steady::time_point due{};
-    Steady::time_point begin_by{};         // of the attempt sent last: see Dispatch
-    std::shared_ptr<Responder> responder;  // null once answered
+    Steady::time_point begin_by{};         // of the last attempt sent; see Dispatch::begin_by
+    std::shared_ptr<Responder> responder;  // null once the request has its response
     std::size_t request_class = 0;
     int attempts = 0;
-    int attempts_in_flight = 0;                   // two where a second copy is out
-    kestrelline::plugin::Tagger::Ticket tagging;  // null once the module has the request
-    std::unique_ptr<ClaimState> claim_state;      // null where nothing is claimed
+    int attempts_in_flight = 0;                   // two while a hedged attempt is in flight
+    kestrelline::plugin::Tagger::Ticket tagging;  // null once the balancer has the request
+    std::unique_ptr<ClaimState> claim_state;      // null if the key is not claimed
     boost::container::small_vector<AttemptHandle, 2> sent;
   };
-  struct TaggingRequest;  // a request that is with its plug-ins
+  struct TaggingRequest;  // a request that its plug-ins are tagging
 
-  // What operators call for.
+  // management::Operations: commands of the management interface.
   kestrelline::lifecycle::State state() const override { return life_.state(); }
   kestrelline::lifecycle::Done Drain() override;
   kestrelline::lifecycle::Done Resume() override;
@@ -138,9 +140,7 @@
   void OnList(const MemberList& list, ListKind kind);
   void ForgetOldBackends();
   int ZoneOf(const std::string& name) const;
-  int MaxAttemptsInFlight() const {
-    return config_.settings.parallel_tries ? 2 : 1;
-  }  // attempts of one request
+  int MaxAttemptsInFlight() const { return config_.settings.parallel_tries ? 2 : 1; }  // per request
 
   void RunPlugins(RequestId id, const std::shared_ptr<const TaggingRequest>& tagging_request,
                   std::uint32_t route);
@@ -149,7 +149,7 @@
                        const kestrelline::plugin::Verdict& verdict);
 
   void SubmitToBalancer(Submit submit);
-  // Whether an attempt may begin: its request has no answer yet, and somebody still waits for one.
+  // Whether an attempt may still begin: the request has no response yet, and its client is still connected.
   static bool IsWanted(const Pending& pending) {
     return pending.responder && !pending.responder->ClientClosed();
   }
@@ -182,7 +182,7 @@
   kestrelline::handover::LastByte last_byte_;
   ServerNumbers numbers_;
   std::unordered_map<RequestId, Pending> pending_;
-  std::unordered_set<std::string> open_ids_;  // Req-Id of those pending
+  std::unordered_set<std::string> open_ids_;  // Req-Id of each pending request
   std::unordered_map<std::string, Steady::time_point> removed_since_;
   RequestId last_request_ = 0;
   std::deque<Event> events_;
@@ -195,8 +195,8 @@
   std::unique_ptr<Backends> backends_;
   std::unique_ptr<Clients> clients_;
   std::unique_ptr<Discovery> discovery_;
-  std::unique_ptr<kestrelline::management::Door> door_;             // null: none
-  std::unique_ptr<kestrelline::pair::Registry> sibling_processes_;  // null: this process is the only one
+  std::unique_ptr<kestrelline::management::Door> door_;             // null: no management interface
+  std::unique_ptr<kestrelline::pair::Registry> sibling_processes_;  // null: single process
   boost::asio::steady_timer list_timer_, sharing_timer_;
 };
 
--- a/src/proxy/request_views.h
+++ b/src/proxy/request_views.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A request as routes and as plug-ins see it.
+// The views of a request that routes and plug-ins get.
 #ifndef KESTRELLINE_PROXY_REQUEST_VIEWS_H_
 #define KESTRELLINE_PROXY_REQUEST_VIEWS_H_
 
@@ -14,12 +14,12 @@
 
 namespace kestrelline::proxy {
 
-// An empty value is one too: its data is never null.
+// An empty value has a non-null pointer, which tells it from an absent one.
 inline std::string_view View(boost::beast::string_view text) {
   return text.empty() ? std::string_view("") : std::string_view(text.data(), text.size());
 }
 
-// A header that is given twice has no one value.
+// A header that occurs more than once counts as absent.
 class RoutedRequest : public kestrelline::routing::RequestView {
  public:
   RoutedRequest(const HttpRequest& message, int request_class, int tenant, std::string_view tag = {})
@@ -39,7 +39,8 @@
   std::string_view tag_;
 };
 
-// Bounded: what a client sends must not grow what a plug-in is sent. Holds as long as `message` and `config`.
+// The view is bounded in size, so that a client cannot inflate what is sent to a plug-in. It refers to
+// `message` and `config` and must not outlive them.
 kestrelline::plugin::RequestView PluginView(const HttpRequest& message, const Config& config,
                                             int request_class, int tenant, Duration left);
 
--- a/src/proxy/requests.cpp
+++ b/src/proxy/requests.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A request's way through the proxy: from its client to the module, as attempts to servers, and back as the
-// one answer.
+// Proxy: the path of a request from its client to the balancer, as attempts to the backends, and back as one
+// response.
 #include <algorithm>
 #include <utility>
 
@@ -11,9 +11,9 @@
 namespace kestrelline::proxy {
 namespace {
 
-constexpr Duration kLocalRetryAfter{1000};  // for clients turned away for want of descriptors
+constexpr Duration kLocalRetryAfter{1000};  // Retry-After of responses for want of local resources
 
-// Of an attempt that never left.
+// The result of an attempt that was never sent.
 AttemptEnded MootAttempt(const Dispatch& action, int attempt, bool settled) {
   AttemptEnded end;
   end.request = action.request;
@@ -26,7 +26,8 @@
 
 }  // namespace
 
-// A request that is with its plug-ins, and the routes by which it came. Its ticket holds the plug-ins.
+// A request that is being tagged by plug-ins, with the routes in force when it arrived. The plug-ins are kept
+// alive by its ticket.
 struct Proxy::TaggingRequest {
   Submit submit;
   Routes routes;
@@ -79,7 +80,7 @@
   Feed(progress);
 }
 
-// Holds the request until its plug-ins have answered or failed, within their bound.
+// Delays the request until its plug-ins have answered or failed, within their time limit.
 void Proxy::RunPlugins(RequestId id, const std::shared_ptr<const TaggingRequest>& tagging_request,
                        std::uint32_t route) {
   const Pending& pending = pending_.at(id);
@@ -90,7 +91,7 @@
                              [this, id, tagging_request](const kestrelline::plugin::Verdict& verdict) {
                                OnPluginVerdict(id, *tagging_request, verdict);
                              });
-  // The verdict may have come within the call, and the answer too.
+  // The verdict, and even the response, may have been delivered within the call.
   const auto entry = pending_.find(id);
   if (entry != pending_.end()) entry->second.tagging = std::move(ticket);
 }
@@ -118,7 +119,7 @@
   SubmitToBalancer(std::move(submit));
 }
 
-// With what is known of its key, where that is shared.
+// Adds the known claims on the request's key, if claims are shared.
 void Proxy::SubmitToBalancer(Submit submit) {
   if (!claims_) return Feed(std::move(submit));
   Pending& pending = pending_.at(submit.request);
@@ -138,7 +139,8 @@
 
 void Proxy::OnClientGone(RequestId request) {
   if (!TakeResponder(request)) return;
-  // What has not gone out whole never does: on a connection that is still coming up it could be late by long.
+  // Requests that are not written completely are cancelled: on a connection that is still being established
+  // they could be sent much later.
   const auto sent = pending_.at(request).sent;
   for (const AttemptHandle& attempt : sent) attempt.Abandon();
   EraseIfDone(request);
@@ -148,7 +150,7 @@
 void Proxy::Execute(const Dispatch& action) {
   const auto entry = pending_.find(action.request);
   const auto now = Steady::now();
-  // Numbered by the order of their Dispatch; one that cannot go out is over at once, and never ran.
+  // Attempts are numbered in the order of their Dispatch. One that cannot be sent ends at once as kMoot.
   const int attempt = entry == pending_.end() ? 0 : entry->second.attempts++;
   const bool wanted = entry != pending_.end() && IsWanted(entry->second);
   if (!wanted || entry->second.attempts_in_flight >= MaxAttemptsInFlight() || now >= entry->second.due ||
@@ -158,7 +160,7 @@
   Pending& pending = entry->second;
   ++pending.attempts_in_flight;
   if (!pending.claim_state) return SendAttempt(action, attempt);
-  // What it may run is claimed first.
+  // Claim the key for the group of the backend before sending.
   const Group kind = config_.settings.classes[pending.request_class].group;
   const auto group = claims_->groups().Of(kind, action.zone, action.cell);
   pending.claim_state->groups.resize(static_cast<std::size_t>(attempt) + 1, group);
@@ -166,7 +168,7 @@
                   [this, action, attempt](auto go) { OnClaimResult(action, attempt, go); });
 }
 
-// Its claim holds; or it does not, and the attempt never leaves.
+// Sends the attempt if its claim was granted; ends it as kMoot otherwise.
 void Proxy::OnClaimResult(const Dispatch& action, int attempt, kestrelline::replica::Claims::Go go) {
   using Go = kestrelline::replica::Claims::Go;
   const auto entry = pending_.find(action.request);
@@ -181,7 +183,7 @@
   --pending.attempts_in_flight;
   const auto known = claims_->Known(claim_state.key, [this](auto at) { return clock_.FromSteady(at); });
   if (go == Go::kNot) {
-    // Too few know of it: no other attempt would fare better. Nothing of this one ran.
+    // Too few proxies recorded the claim, so another attempt would fail as well. This one was not sent.
     if (const auto responder = TakeResponder(action.request))
       attempt == 0 && known.empty() ? responder->Refused(kLocalRetryAfter) : responder->Failed();
   }
@@ -222,7 +224,7 @@
   end.outcome = result.outcome;
   const auto now = Steady::now();
   const auto entry = pending_.find(request);
-  // What its body took is no time of the server's.
+  // The time to receive an uploaded body does not count against the backend.
   end.took = entry != pending_.end() && entry->second.upload ? result.since_last_byte : Duration(now - sent);
   if (result.since_first_byte.count() > 0)
     last_byte_.OnEnded(clock_.FromSteady(now), result.since_first_byte, result.connection_broke);
@@ -243,7 +245,8 @@
   } else if (result.outcome == Outcome::kUnknown) {
     if (const auto responder = TakeResponder(request)) responder->Rejected(result.response.result());
   } else if (result.local_failure && !other_out) {
-    // Over a limit of this process: no backend is to blame, and another attempt would fare no better.
+    // A resource of this process is exhausted: not the fault of the backend, and another attempt would fail
+    // as well.
     if (const auto responder = TakeResponder(request)) {
       if (attempt == 0) {
         responder->Refused(kLocalRetryAfter);
@@ -257,7 +260,7 @@
   Feed(end);
 }
 
-// Ends the request: whoever gets the responder gives the one final answer.
+// Ends the request: the caller that gets the responder sends the final response. Null if it was sent already.
 std::shared_ptr<Responder> Proxy::TakeResponder(RequestId request) {
   const auto entry = pending_.find(request);
   return entry == pending_.end() ? nullptr : std::exchange(entry->second.responder, nullptr);
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -22,15 +22,16 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 
-constexpr std::size_t kBodyCopies = 2;  // of a body while it is read
-// Bytes a second that a client's body has to come at on the whole; the platform's slowest send at 64,000.
+constexpr std::size_t kBodyCopies = 2;  // a body occupies its size twice while it is read
+// Minimum average rate of a request body, in bytes per second; the slowest clients of the platform send at
+// 64,000.
 constexpr double kMinUploadRate = 40000;
-constexpr std::chrono::seconds kStallTimeout{30};        // for a client to take any of an answer that passes
-constexpr std::size_t kMaxEmptyLineBytes = 16;           // bytes of them before a request line
-constexpr std::size_t kMaxDiscarded = 64 * 1024 * 1024;  // of a request that was answered before it had come
+constexpr std::chrono::seconds kStallTimeout{30};  // for a client to read any byte of a streamed response
+constexpr std::size_t kMaxEmptyLineBytes = 16;     // empty lines before a request line
+constexpr std::size_t kMaxDiscarded =
+    64 * 1024 * 1024;  // rest of a request that was answered early, in bytes
 constexpr std::size_t kDiscardBuffer = 4096;
-constexpr std::size_t kMaxReadAheadPerSweep =
-    256 * 1024;  // read at one sweep of what comes behind a held request
+constexpr std::size_t kMaxReadAheadPerSweep = 256 * 1024;  // of pipelined bytes behind a pending request
 constexpr const char* kTextType = "text/plain";
 constexpr const char* kNotAccepting = "this proxy takes nothing new; trying again is harmless";
 
@@ -41,7 +42,7 @@
   return response;
 }
 
-// The parser's word on what has come; else the connection ended, or broke.
+// Whether the parser rejected the input; otherwise the connection ended or broke.
 bool IsMalformed(const boost::system::error_code& failed) {
   return failed.category() == http::make_error_code(http::error::bad_version).category() &&
          failed != http::error::end_of_stream && failed != http::error::partial_message;
@@ -88,7 +89,7 @@
   }
 }
 
-// The request has been answered, or nobody is left to answer.
+// The request has its response, or its client has gone.
 void Session::FinishRequest() {
   if (std::exchange(counted_active_, false) && owner_) owner_->figures_.OnOver();
   class_ = -1;
@@ -140,7 +141,7 @@
 
 const Timeouts& Session::timeouts() const { return owner_->config_.timeouts; }
 
-// Each state has one time limit: it does not begin anew with each byte.
+// Each state has one timeout, which is not restarted by received bytes.
 void Session::EnterState(State state, std::optional<Steady::duration> timeout) {
   state_ = state;
   state_since_ = Steady::now();
@@ -152,8 +153,8 @@
   EnterState(State::kAwaitingRequest, timeout);
   ReleaseMemory();
   parser_.reset();
-  if (buffer_.size() > 0) return BeginRequest();  // the next request came right behind the last
-  buffer_.shrink_to_fit();                        // what stands idle keeps no memory
+  if (buffer_.size() > 0) return BeginRequest();  // a pipelined request
+  buffer_.shrink_to_fit();                        // idle connections hold no buffer
   socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this()](const Error& failed) {
     if (self->state_ != State::kAwaitingRequest) return;
     if (failed) return self->Close();
@@ -171,7 +172,7 @@
   head_only_ = http_1_0_ = false;
   parser_.emplace();
   parser_->header_limit(kMaxRequestHeader);
-  parser_->body_limit(boost::none);  // long ones pass, in pieces
+  parser_->body_limit(boost::none);  // large bodies are streamed
   http::async_read_header(socket_, buffer_, *parser_,
                           [self = shared_from_this()](const Error& failed, std::size_t) {
                             if (self->state_ != State::kReading) return;
@@ -182,7 +183,7 @@
                           });
 }
 
-// A request line may have empty lines before it (RFC 9112, 2.2); here, a few. True if there were any.
+// Skips empty lines before a request line (RFC 9112, 2.2), up to a limit. True if there were any.
 bool Session::SkipEmptyLines() {
   const auto bytes = buffer_.data();
   const std::string_view text(static_cast<const char*>(bytes.data()), bytes.size());
@@ -193,13 +194,13 @@
 }
 
 void Session::OnHeader() {
-  // Taken out now: trailers are not to be mistaken for what the header said (RFC 9110, 6.5.1).
+  // Moved out now, because the parser adds trailers to the header fields later (RFC 9110, 6.5.1).
   header_ = std::move(parser_->get().base());
   head_only_ = header_.method() == http::verb::head;
   http_1_0_ = header_.version() < 11;
   close_after_response_ = http_1_0_ || !parser_->keep_alive();
   if (const auto rejection = CheckHeader(header_)) return Reject(rejection->status, rejection->text);
-  pace_ = kestrelline::bodies::Pace(timeouts().request_read, kMinUploadRate);
+  rate_ = kestrelline::bodies::MinimumRate(timeouts().request_read, kMinUploadRate);
   const std::uint64_t length = parser_->content_length().value_or(0);
   const bool may_be_long = parser_->chunked() || length > kMaxBufferedBody;
   if (!ReserveFor(may_be_long ? 0 : static_cast<std::size_t>(length))) return RejectForMemory();
@@ -234,8 +235,8 @@
   const std::uint64_t length = parser_->content_length().value_or(0);
   if (parser_->chunked() || length > kMaxBufferedBody) return ReadBodyStart();
   if (length > 0) {
-    pace_.OnRead({}, static_cast<std::size_t>(length));
-    EnterState(State::kReading, pace_.Remaining());
+    rate_.OnRead({}, static_cast<std::size_t>(length));
+    EnterState(State::kReading, rate_.Remaining());
   }
   http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](const Error& failed, std::size_t) {
     if (self->state_ != State::kReading) return;
@@ -247,19 +248,19 @@
 }
 
 void Session::ReadBodyStart() {
-  EnterState(State::kReading, pace_.Remaining());
+  EnterState(State::kReading, rate_.Remaining());
   http::async_read_some(socket_, buffer_, *parser_,
                         [self = shared_from_this()](const Error& failed, std::size_t n) {
                           if (self->state_ != State::kReading) return;
                           if (failed) return self->OnReadError(failed);
                           const auto now = Steady::now();
-                          self->pace_.OnRead(now - self->state_since_, n);
+                          self->rate_.OnRead(now - self->state_since_, n);
                           std::string& body = self->parser_->get().body();
                           if (!self->ReserveFor(body.size())) return self->RejectForMemory();
                           if (self->parser_->is_done() && body.size() <= kMaxBufferedBody) {
                             if (auto request = self->ParseRequest(std::move(body), true, now))
                               self->SubmitRequest(std::move(*request));
-                          } else if (body.size() < kestrelline::bodies::Passage::kMaxBuffered) {
+                          } else if (body.size() < kestrelline::bodies::UploadProgress::kMaxBuffered) {
                             self->ReadBodyStart();
                           } else {
                             self->BeginUpload();
@@ -267,7 +268,7 @@
                         });
 }
 
-// The rest is read when an attempt asks for it.
+// Streams the body from here on: the rest is read when an attempt asks for it.
 void Session::BeginUpload() {
   auto share = owner_->bodies_.Join();
   if (!share) return RejectForMemory();
@@ -292,12 +293,12 @@
 
 void Session::ReadUploadPiece() {
   read_started_ = Steady::now();
-  deadline_ = read_started_ + pace_.Remaining();
+  deadline_ = read_started_ + rate_.Remaining();
   FitBuffer(upload_->NextPieceSize(), &buffer_);
   http::async_read_some(socket_, buffer_, *parser_,
                         [self = shared_from_this(), upload = upload_](const Error& failed, std::size_t n) {
                           if (!self->AwaitsResponse() || self->upload_ != upload) return;
-                          self->pace_.OnRead(Steady::now() - self->read_started_, n);
+                          self->rate_.OnRead(Steady::now() - self->read_started_, n);
                           self->deadline_ = Steady::time_point::max();
                           self->OnUploadPiece(failed);
                         });
@@ -313,21 +314,21 @@
   if (body.empty() && !last) return ReadUploadPiece();
   const auto upload = upload_;
   const auto now = Steady::now();
-  // Its server has never had the whole of it.
+  // The backend has not received the complete request.
   if (last && !owner_->life_.Takes(now, now + upload->deadline()))
     return AbortUpload(http::status::service_unavailable, kNotAccepting);
   body_complete_ = last;
   upload->Add(std::exchange(body, {}), last, now);
   if (!AwaitsResponse() || upload_ != upload) return;
-  if (upload->body_dropped()) ReleaseMemory();  // what was kept is not any more
+  if (upload->body_dropped()) ReleaseMemory();  // the upload has dropped its buffer
   if (last) WatchForDisconnect();
 }
 
-// A client that does not send what it began to send is not served; its request has not run.
+// Rejects a request whose body was not received completely; it has not been executed.
 void Session::AbortUpload(http::status status, const char* text) {
   const auto id = request_;
   const auto self = shared_from_this();
-  owner_->handler_.OnClientGone(id);  // first: what becomes of its attempt is nobody's any more
+  owner_->handler_.OnClientGone(id);  // first, so that the result of its attempt is ignored
   upload_->Break();
   if (AwaitsResponse()) Reject(status, text);
 }
@@ -340,7 +341,8 @@
   Reject(http::status::bad_request, "malformed");
 }
 
-// Nothing, and the client has been told why, if it cannot be understood.
+// Returns nullopt if the request was rejected, or answered as a readiness probe; the response is then being
+// written.
 std::optional<ClientRequest> Session::ParseRequest(std::string body, bool whole, Steady::time_point at) {
   has_sent_request_ = true;
   body_complete_ = whole;
@@ -366,7 +368,7 @@
     Reject(http::status::conflict, "Req-Id is that of an open request");
     return std::nullopt;
   }
-  // When a body that is still coming will be over is not known.
+  // The end of an incomplete body is not known.
   if (!owner_->life_.Takes(at, whole ? request.due : Steady::time_point::max())) {
     Reject(http::status::service_unavailable, kNotAccepting);
     return std::nullopt;
@@ -386,8 +388,8 @@
   if (!upload_) WatchForDisconnect();
 }
 
-// A client that closes its connection while its request is held has gone. What it sent ahead waits for this
-// request's answer and is not read before: from then on its end is looked for at each sweep.
+// Detects a client that disconnects while its request is pending. Pipelined bytes end this wait and are not
+// parsed before the response; after that, each sweep polls for the disconnect.
 void Session::WatchForDisconnect() {
   poll_for_disconnect_ = false;
   socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(), id = request_](const Error& failed) {
@@ -403,9 +405,9 @@
   if (!upload_) ReadAhead();
 }
 
-// The client's end does not come through while what it sent ahead fills the system's buffers. What there is
-// room for here is kept for its turn. Of a client that sends more, all is thrown away, and its connection
-// ends with the answer that it waits for.
+// A disconnect is not visible while pipelined bytes fill the socket buffer, so they are read: into the
+// request buffer as long as there is room. Beyond that, all input is discarded and the connection closes
+// after the pending response.
 void Session::ReadAhead() {
   Error error;
   for (std::size_t left = kMaxReadAheadPerSweep; left > 0 && !error;) {
@@ -425,7 +427,7 @@
   }
 }
 
-// First the request is over, then its connection: a body that breaks off must not be sent anew.
+// Cancel the request before closing: a body that was cut off must not be sent again.
 void Session::OnDisconnect() {
   const auto self = shared_from_this();
   owner_->handler_.OnClientGone(request_);
@@ -438,7 +440,7 @@
   return ::poll(&query, 1, 0) > 0 && (query.revents & (POLLRDHUP | POLLHUP | POLLERR));
 }
 
-// A client in error is not listened to any further: what follows may be the rest of what could not be read.
+// The connection closes after an error: what follows may be the rest of an unreadable message.
 void Session::Reject(http::status status, std::string text) {
   close_after_response_ = true;
   Write(Plain(status, std::move(text) + '\n'));
@@ -448,12 +450,12 @@
   EnterState(State::kWriting, timeout);
   const bool whole = std::exchange(body_complete_, false);
   if (const auto upload = std::exchange(upload_, nullptr)) upload->SetReadCallback(nullptr);
-  if (!whole) close_after_response_ = true;  // what follows is the rest of what nobody wants
-  // A client that keeps its connection and asks no more would hold the place for `spare`, against ever-new
-  // clients that wait in the kernel's queue until their time is up (incident rf19165).
+  if (!whole) close_after_response_ = true;  // the rest of the request would follow
+  // Near the connection limit, idle kept-alive clients would keep their places for evict_idle, while new
+  // clients time out in the kernel's queue.
   close_after_response_ |= owner_->life_.Leaving() || owner_->NearConnectionLimit();
   Error ignored;
-  socket_.cancel(ignored);  // the watch for the client's end
+  socket_.cancel(ignored);  // the wait of WatchForDisconnect
 }
 
 void Session::RejectForMemory() {
@@ -462,14 +464,14 @@
 
 void Session::Write(HttpResponse response) {
   response_ = std::move(response);
-  // Of one that is turned away before it was understood, its path may tell.
+  // For a request that was rejected early, the class may be known from its path.
   if (const auto target = header_.target(); class_ < 0 && !target.empty())
     class_ = ClassOfTarget({target.data(), target.size()}, owner_->config_);
   owner_->figures_.OnEnded(class_, EndingOf(response_.result()));
   BeginResponse(timeouts().response_write);
   response_.keep_alive(!close_after_response_);
   response_.prepare_payload();
-  if (head_only_) response_.body().clear();  // its length stays said (RFC 9110, 9.3.2)
+  if (head_only_) response_.body().clear();  // Content-Length stays (RFC 9110, 9.3.2)
   http::async_write(socket_, response_, [self = shared_from_this()](const Error& failed, std::size_t) {
     if (self->state_ != State::kWriting) return;
     self->response_ = {};
@@ -493,7 +495,7 @@
   if (length) {
     head.content_length(*length);
   } else {
-    head.chunked(chunked_);  // to a client of 1.0 it ends with the connection
+    head.chunked(chunked_);  // for HTTP/1.0 the body ends with the connection
   }
   head.keep_alive(!close_after_response_);
   std::ostringstream text;
@@ -509,7 +511,7 @@
   stream_buffer_.append(bytes);
 }
 
-// As fast as the client takes it: its time begins anew with each byte that it does.
+// Writes as fast as the client reads; the timeout restarts with each byte that it accepts.
 void Session::WriteStream() {
   deadline_ = Steady::now() + kStallTimeout;
   socket_.async_write_some(
@@ -527,7 +529,7 @@
           self->owner_->figures_.OnEnded(self->class_, kestrelline::management::Ending::kServed);
           return self->AfterResponse(false);
         }
-        self->deadline_ = Steady::time_point::max();  // its server has a time limit of its own
+        self->deadline_ = Steady::time_point::max();  // the backend connection has its own timeout
         self->source_->Next([self](BodySource::Piece piece) {
           if (self->state_ != State::kWriting) return;
           if (piece.broken) return self->ResetConnection();
@@ -537,7 +539,8 @@
       });
 }
 
-// The client must not take what it has for whole: a reset, not an end.
+// Closes with a reset instead of an orderly close, so that the client cannot take the truncated response for
+// a complete one.
 void Session::ResetConnection() {
   owner_->figures_.OnEnded(class_, kestrelline::management::Ending::kFailed);
   Error ignored;
@@ -545,8 +548,8 @@
   Close();
 }
 
-// Guards against a reset overtaking the answer: with unread input left, or input that comes later, a plain
-// close would send one.
+// Lingering close: closing a socket with unread or later input would send a reset, which may overtake the
+// response.
 void Session::LingeringClose() {
   EnterState(State::kLingering, timeouts().linger);
   Error ignored;
@@ -554,7 +557,7 @@
   DiscardInput();
 }
 void Session::DiscardInput() {
-  // Not into the buffer of requests: a read of one may be on its way, and have its bytes already.
+  // Not into the request buffer: a cancelled read may still be in flight with that buffer.
   discard_buffer_.resize(kDiscardBuffer);
   socket_.async_read_some(asio::buffer(discard_buffer_),
                           [self = shared_from_this()](const Error& failed, std::size_t n) {
--- a/src/proxy/session.h
+++ b/src/proxy/session.h
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One connection of a client, from its accept to its end: reads a request, holds it until its one answer is
-// there, writes that, waits for the next.
+// One client connection: reads a request, waits for its response, writes that and reads the next request.
 #ifndef KESTRELLINE_PROXY_SESSION_H_
 #define KESTRELLINE_PROXY_SESSION_H_
 
@@ -27,7 +26,7 @@
   using Error = boost::system::error_code;
   using Tcp = boost::asio::ip::tcp;
 
-  // `serial`: its number among the connections of this process.
+  // `serial`: sequence number of the connection in this process.
   Session(Clients& owner, Tcp::socket socket, std::uint64_t serial)
       : owner_(&owner), socket_(std::move(socket)), serial_(serial) {}
 
@@ -35,23 +34,24 @@
 
   void Start();
 
-  // Between requests, with none on its way as far as can be seen.
+  // Between requests, with no byte of the next one received.
   bool Idle() const;
   bool Reading() const { return state_ == State::kAwaitingRequest || state_ == State::kReading; }
   bool AwaitsResponse() const { return state_ == State::kAwaitingResponse; }
-  // Owes an answer, or the rest of one.
+  // Whether a response, or the rest of one, is still to be sent.
   bool OwesResponse() const { return AwaitsResponse() || state_ == State::kWriting; }
-  // Its last answer is written; the client has not closed yet.
+  // The last response is written; the client has not closed yet.
   bool Lingering() const { return state_ == State::kLingering; }
   bool LingeringSince(Steady::time_point at) const { return Lingering() && state_since_ <= at; }
   bool Closed() const { return state_ == State::kClosed; }
-  // For how long it has been without a request, of one that asked before.
+  // Idle since `at` or earlier: IdleSince is for connections that have sent a request before, UnusedSince for
+  // others.
   bool IdleSince(Steady::time_point at) const { return has_sent_request_ && state_since_ <= at && Idle(); }
   bool UnusedSince(Steady::time_point at) const { return !has_sent_request_ && state_since_ <= at && Idle(); }
 
-  // Ends what has taken too long.
+  // Ends the connection if its state has timed out.
   void EnforceTimeout(Steady::time_point now);
-  // Ends what has no request, or half of one, where the life of the process says that it is time.
+  // While the process drains: closes an idle connection or rejects a half-read request, when Life says so.
   void CloseIfDraining(Steady::time_point now);
   void Close();
   void Detach();
@@ -63,13 +63,13 @@
   void Rejected(boost::beast::http::status status) override;
   bool ClientClosed() const override;
 
-  // Looks whether the client has gone, where its end stands behind bytes that are not read yet.
+  // Polls for a disconnect that is hidden behind unread pipelined bytes.
   void CheckForDisconnect();
 
  private:
   static constexpr std::size_t kMaxRequestHeader = 16 * 1024;
 
-  // Waiting for the first byte of a request, and then for its last.
+  // kAwaitingRequest: for the first byte; kReading: for the last; kLingering: the last response is written.
   enum class State { kAwaitingRequest, kReading, kAwaitingResponse, kWriting, kLingering, kClosed };
 
   using Parser = boost::beast::http::request_parser<PieceBody>;
@@ -85,7 +85,7 @@
   void ReleaseMemory();
   void SendContinue();
   void ReadBody();
-  // A body that may be long: its first bytes, which are kept, and then the rest as it is asked for.
+  // A large body: its first bytes are buffered, and the rest is read on demand.
   void ReadBodyStart();
   bool ReserveFor(std::size_t body);
   void BeginUpload();
@@ -105,7 +105,7 @@
   void Write(HttpResponse response);
   void BeginResponse(Steady::duration timeout);
   void AfterResponse(bool failed);
-  // An answer that passes in pieces.
+  // A response with a streamed body.
   void StreamResponse(HttpResponse head, std::shared_ptr<BodySource> rest,
                       std::optional<std::uint64_t> length);
   void AppendPiece(std::string_view bytes, bool last);
@@ -118,28 +118,28 @@
   Tcp::socket socket_;
   boost::beast::flat_buffer buffer_{kMaxBufferedBody + kMaxRequestHeader};
   std::optional<Parser> parser_;
-  boost::beast::http::request_header<> header_;  // of the request that is read
+  boost::beast::http::request_header<> header_;  // of the current request
   HttpResponse response_;
   const std::uint64_t serial_;
   RequestId request_ = 0;
-  int class_ = -1;  // of the request that is read or answered now; -1: not known, or none of a class
-  bool counted_active_ = false;     // it is among those that are active
-  std::shared_ptr<Upload> upload_;  // of the request that is held: its body is still coming, or was
-  kestrelline::bodies::Pace pace_{{}, 1};
-  Steady::time_point read_started_{};   // for more of it
-  std::shared_ptr<BodySource> source_;  // of the answer that passes
-  std::string stream_buffer_;           // of it, that is being written
-  std::size_t stream_written_ = 0;      // of out_
+  int class_ = -1;                  // class of the current request; -1: unknown
+  bool counted_active_ = false;     // the current request is counted as active
+  std::shared_ptr<Upload> upload_;  // the streamed body of the current request
+  kestrelline::bodies::MinimumRate rate_{{}, 1};
+  Steady::time_point read_started_{};   // of the current read of the upload
+  std::shared_ptr<BodySource> source_;  // of a streamed response
+  std::string stream_buffer_;           // the part of it that is being written
+  std::size_t stream_written_ = 0;      // bytes of stream_buffer_
   bool chunked_ = false, stream_ends_ = false;
-  bool head_only_ = false, http_1_0_ = false;  // the request's method is HEAD; its version is 1.0
-  std::vector<char> discard_buffer_;  // what is read and not looked at, once the last answer is written
+  bool head_only_ = false, http_1_0_ = false;  // HEAD request; HTTP/1.0 client
+  std::vector<char> discard_buffer_;           // for input that is read and ignored
   std::size_t discarded_bytes_ = 0, reserved_bytes_ = 0, empty_line_bytes_ = 0;
   State state_ = State::kAwaitingRequest;
-  Steady::time_point state_since_{}, deadline_{};  // of the state
-  bool has_sent_request_ = false;                  // has sent a whole request
-  bool body_complete_ = false;                     // the request that is answered now
-  bool poll_for_disconnect_ = false;               // its client's end shows only where it is looked for
-  bool close_after_response_ = false;              // the connection closes after this answer
+  Steady::time_point state_since_{}, deadline_{};  // of the current state
+  bool has_sent_request_ = false;                  // a complete request was read before
+  bool body_complete_ = false;                     // the current request was read completely
+  bool poll_for_disconnect_ = false;               // a disconnect is only found by CheckForDisconnect
+  bool close_after_response_ = false;              // the connection closes after the current response
 };
 
 }  // namespace kestrelline::proxy
--- a/src/proxy/upload.cpp
+++ b/src/proxy/upload.cpp
@@ -3,17 +3,17 @@
 
 namespace kestrelline::proxy {
 
-using Step = kestrelline::bodies::Passage::Step;
+using Step = kestrelline::bodies::UploadProgress::Step;
 
 bool Upload::Begin() {
   on_piece_ = nullptr;
-  return passage_.Begin();
+  return progress_.Begin();
 }
 
 void Upload::Next(OnPiece on_piece) {
-  switch (passage_.Next()) {
+  switch (progress_.Next()) {
     case Step::kSendBuffered:
-      return on_piece({buffered_.substr(passage_.TakeBuffered()), passage_.complete(), false});
+      return on_piece({buffered_.substr(progress_.TakeBuffered()), progress_.complete(), false});
     case Step::kAwaitClient:
       on_piece_ = std::move(on_piece);
       if (!std::exchange(read_requested_, true) && on_read_) on_read_();
@@ -31,9 +31,9 @@
   const auto waiting = std::exchange(on_piece_, nullptr);
   bool first = false;
   if (!waiting) {
-    passage_.Keep(piece.size(), last);
+    progress_.AppendBuffered(piece.size(), last);
     buffered_ += piece;
-  } else if ((first = passage_.Pass(last))) {
+  } else if ((first = progress_.PassOn(last))) {
     buffered_ = {};
   }
   if ((first || last) && on_progress_) on_progress_();
@@ -41,7 +41,7 @@
 }
 
 void Upload::Break() {
-  passage_.Break();
+  progress_.Break();
   on_read_ = nullptr;
   if (const auto waiting = std::exchange(on_piece_, nullptr)) waiting({{}, false, true});
 }
--- a/tests/bodies/bodies_test.cpp
+++ b/tests/bodies/bodies_test.cpp
@@ -36,7 +36,7 @@
           held.erase(shares[i].get());
           shares.erase(shares.begin() + static_cast<std::ptrdiff_t>(i));
         } else {
-          const std::size_t piece = shares[i]->Renew();
+          const std::size_t piece = shares[i]->ReservePiece();
           EXPECT_GE(piece, Budget::kMinPiece);
           EXPECT_LE(piece, Budget::kMaxPiece);
           held[shares[i].get()] = piece;
@@ -54,93 +54,93 @@
 TEST(Budget, IsSharedFairlyAndSpeedsUpAgainWhenOthersAreDone) {
   Budget budget(16 * Budget::kMinPiece);
   auto first = budget.Join();
-  EXPECT_EQ(first->Renew(), 12 * Budget::kMinPiece);  // a quarter is kept for newcomers
+  EXPECT_EQ(first->ReservePiece(), 12 * Budget::kMinPiece);  // a quarter is kept for newcomers
   std::vector<std::unique_ptr<Budget::Share>> others;
   for (int i = 0; i < 4; ++i) others.push_back(budget.Join());
   EXPECT_EQ(budget.Join(), nullptr);  // the first holds the rest, until its piece is passed on
   first->Release();
   for (int i = 0; i < 11; ++i) others.push_back(budget.Join());
-  EXPECT_EQ(first->Renew(), Budget::kMinPiece);
+  EXPECT_EQ(first->ReservePiece(), Budget::kMinPiece);
   EXPECT_EQ(budget.Join(), nullptr);
   others.resize(3);
-  EXPECT_EQ(first->Renew(), 4 * Budget::kMinPiece);
+  EXPECT_EQ(first->ReservePiece(), 4 * Budget::kMinPiece);
 }
 
 TEST(Budget, ASmallerTotalIsKeptToAsPiecesArePassedOnAndSharesOutliveIt) {
   auto budget = std::make_unique<Budget>(1 << 20);
   auto share = budget->Join();
-  EXPECT_EQ(share->Renew(), Budget::kMaxPiece);
+  EXPECT_EQ(share->ReservePiece(), Budget::kMaxPiece);
   budget->SetTotal(4 * Budget::kMinPiece);
-  EXPECT_EQ(share->Renew(), 3 * Budget::kMinPiece);
+  EXPECT_EQ(share->ReservePiece(), 3 * Budget::kMinPiece);
   budget.reset();
-  EXPECT_GE(share->Renew(), Budget::kMinPiece);
+  EXPECT_GE(share->ReservePiece(), Budget::kMinPiece);
 }
 
 using std::chrono::milliseconds;
 
-TEST(Pace, AnUploadAtThePlatformsSlowestRateIsNeverLate) {
-  Pace pace(milliseconds(2500), 40000);
+TEST(MinimumRate, AnUploadAtThePlatformsSlowestRateIsNeverLate) {
+  MinimumRate pace(milliseconds(2500), 40000);
   for (int i = 0; i < 5000; ++i) {  // 32 MB at 64 kB/s, a piece each 0.1 s
     ASSERT_GT(pace.Remaining(), milliseconds(100)) << i;
     pace.OnRead(milliseconds(100), 6400);
   }
 }
 
-TEST(Pace, ACrawlEndsAndAFastStartBuysNoLongSilence) {
-  Pace crawl(milliseconds(2500), 40000);
+TEST(MinimumRate, ACrawlEndsAndAFastStartBuysNoLongSilence) {
+  MinimumRate crawl(milliseconds(2500), 40000);
   int seconds = 0;
   for (; crawl.Remaining().count() > 0 && seconds < 100; ++seconds) crawl.OnRead(std::chrono::seconds(1), 10);
   EXPECT_LE(seconds, 4);
-  Pace fast(milliseconds(2500), 40000);
+  MinimumRate fast(milliseconds(2500), 40000);
   fast.OnRead(milliseconds(1), 1 << 30);
   EXPECT_LE(fast.Remaining(), std::chrono::seconds(10));
 }
 
-TEST(Passage, IsBoundByTheFirstPieceBeyondWhatIsKept) {
-  using Step = Passage::Step;
-  Passage p(100);
+TEST(UploadProgress, IsBoundByTheFirstPieceBeyondWhatIsKept) {
+  using Step = UploadProgress::Step;
+  UploadProgress p(100);
   for (int attempt = 0; attempt < 4; ++attempt) {  // as often as the module permits
     ASSERT_TRUE(p.Begin());
     EXPECT_EQ(p.Next(), Step::kSendBuffered);
     EXPECT_EQ(p.TakeBuffered(), 0u);
     EXPECT_EQ(p.Next(), Step::kAwaitClient);
   }
-  EXPECT_TRUE(p.Pass(false));
+  EXPECT_TRUE(p.PassOn(false));
   EXPECT_TRUE(p.dropped());
-  EXPECT_FALSE(p.Pass(true));
+  EXPECT_FALSE(p.PassOn(true));
   EXPECT_EQ(p.Next(), Step::kEnd);
   EXPECT_FALSE(p.Begin());
 }
 
-TEST(Passage, WhatIsBrokenIsNeverGivenForWholeAndWhatIsWholeCannotBreak) {
-  Passage p(100);
+TEST(UploadProgress, WhatIsBrokenIsNeverGivenForWholeAndWhatIsWholeCannotBreak) {
+  UploadProgress p(100);
   p.Begin();
   EXPECT_EQ(p.TakeBuffered(), 0u);
   p.Break();
-  EXPECT_EQ(p.Next(), Passage::Step::kBroken);
+  EXPECT_EQ(p.Next(), UploadProgress::Step::kBroken);
   EXPECT_FALSE(p.Begin());
-  Passage whole(100, true);
+  UploadProgress whole(100, true);
   whole.Break();
   EXPECT_TRUE(whole.Begin());
-  EXPECT_EQ(whole.Next(), Passage::Step::kSendBuffered);
+  EXPECT_EQ(whole.Next(), UploadProgress::Step::kSendBuffered);
   whole.TakeBuffered();
-  EXPECT_EQ(whole.Next(), Passage::Step::kEnd);
+  EXPECT_EQ(whole.Next(), UploadProgress::Step::kEnd);
 }
 
-TEST(Passage, WhatComesWhenNobodyWaitsIsKeptForTheNextAttempt) {
-  Passage p(100);
+TEST(UploadProgress, WhatComesWhenNobodyWaitsIsKeptForTheNextAttempt) {
+  UploadProgress p(100);
   p.Begin();
   p.TakeBuffered();
-  EXPECT_EQ(p.Next(), Passage::Step::kAwaitClient);  // and then that attempt fails
-  p.Keep(50, false);
+  EXPECT_EQ(p.Next(), UploadProgress::Step::kAwaitClient);  // and then that attempt fails
+  p.AppendBuffered(50, false);
   EXPECT_FALSE(p.dropped());
   EXPECT_TRUE(p.Begin());
-  EXPECT_EQ(p.Next(), Passage::Step::kSendBuffered);
+  EXPECT_EQ(p.Next(), UploadProgress::Step::kSendBuffered);
   EXPECT_EQ(p.TakeBuffered(), 0u);
-  p.Keep(25, true);  // it was there before this attempt asked
-  EXPECT_EQ(p.Next(), Passage::Step::kSendBuffered);
+  p.AppendBuffered(25, true);  // it was there before this attempt asked
+  EXPECT_EQ(p.Next(), UploadProgress::Step::kSendBuffered);
   EXPECT_EQ(p.TakeBuffered(), 150u);
-  EXPECT_EQ(p.Next(), Passage::Step::kEnd);
+  EXPECT_EQ(p.Next(), UploadProgress::Step::kEnd);
 }
 
 // ---- what the module makes of it ----------------------------------------------------------------------
--- a/tests/proxy/upgrade_test.cpp
+++ b/tests/proxy/upgrade_test.cpp
@@ -310,7 +310,7 @@
   const auto door = FreePort();
   const auto running = platform.Start(door, -1, {{"TMPDIR", platform.folder / "missing"}});
   EXPECT_TRUE(AwaitYes(door));
-  EXPECT_NE(running->StderrLine().find("no look at other processes"), std::string::npos);
+  EXPECT_NE(running->StderrLine().find("cannot share limits with other processes"), std::string::npos);
 }
 
 TEST(Upgrade, ADescriptorThatIsNoListenerOfThisAddressIsRefusedWithWhatItIs) {
@@ -331,11 +331,11 @@
   };
   refused(elsewhere.native_handle(), "listens at");
   refused(open.native_handle(), "does not listen");
-  refused(udp.native_handle(), "no TCP socket");
-  refused(ends[0], "no TCP socket");
+  refused(udp.native_handle(), "is not a TCP socket");
+  refused(ends[0], "is not a TCP socket");
   refused(-1, "not open", {{"ROUTER_INHERITED_FD", "63"}});
-  refused(-1, "no descriptor: 'seven'", {{"ROUTER_INHERITED_FD", "seven"}});
-  refused(-1, "no descriptor: '-1'", {{"ROUTER_INHERITED_FD", "-1"}});
+  refused(-1, "is not a descriptor: 'seven'", {{"ROUTER_INHERITED_FD", "seven"}});
+  refused(-1, "is not a descriptor: '-1'", {{"ROUTER_INHERITED_FD", "-1"}});
   ::close(ends[0]), ::close(ends[1]);
 }
 
