--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The program as it is started: its configuration, its signals, its limits.
+// The proxy program: configuration, signals and limits.
 #include "support/process.h"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
   EXPECT_NE(text.find(part), std::string::npos) << text;
 }
 
-TEST(Process, BadOrMissingConfigurationIsOneLineAndAnExit) {
+TEST(Process, AnInvalidConfigurationPrintsOneLineAndExits) {
   ExpectComplaint({}, "ROUTER_CONFIG");
   ExpectComplaint({{"ROUTER_CONFIG", "/nowhere/at/all"}}, "/nowhere/at/all");
   const auto with = [](const std::string& text, const std::string& part) {
@@ -55,7 +55,7 @@
   with(changed("/limits/memory_mb", 1), "memory_mb");
 }
 
-TEST(Process, EndsWellAtSigtermAndStartsAgainOnTheSameAddress) {
+TEST(Process, ExitsAtSigtermAndRestartsOnTheSameAddress) {
   Backend backend;
   FakeDiscovery discovery;
   const ConfigFile file(
@@ -76,12 +76,13 @@
   }
 }
 
-TEST(Process, AtSighupDiscoveryMovesAndItsWholeListIsTaken) {
+TEST(Process, SighupSwitchesDiscoveryAndAppliesItsFullList) {
   Backend before("before"), after("after"), later("later");
   FakeDiscovery here, there;
   const ConfigFile file(ConfigJson(here.address(), Members(MemberJson("s-1", before.address()))).dump());
   const auto address = FreePort();
-  // The environment names the first discovery for as long as the process lives: the file goes before it.
+  // The environment names the first discovery service for the lifetime of the process: on reload the file
+  // takes precedence.
   Child child({{"ROUTER_CONFIG", file.path},
                {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())},
                {"ROUTER_DISCOVERY", "127.0.0.1:" + std::to_string(here.address().port())}});
@@ -92,11 +93,11 @@
 
   Replace(file, ConfigJson(there.address(), {}).dump());
   child.Signal(SIGHUP);
-  // Until the new one has spoken, the old one is listened to.
+  // Until the new service has sent its list, the old watch stays in use.
   ASSERT_TRUE(there.seen.WaitFor([](const FakeDiscovery::Seen& s) { return s.asked == 1; }));
   here.Push(ListJson(42, false, Members(MemberJson("s-1", before.address(), "in_service", 1e12))));
   ASSERT_TRUE(before.WaitForClosed(1));
-  // The new one's revisions are lower than the old one's, and it does not name what is gone.
+  // The revisions of the new service are lower, and its list omits removed backends.
   there.SetWhole(ListJson(7, true, Members(MemberJson("s-2", after.address()))));
   ASSERT_TRUE(there.WaitForWatches(1));
   EXPECT_EQ(there.seen.Get().watches[0], "/v1/endpoints?stream=1&index=7");
@@ -110,7 +111,7 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-TEST(Process, ABadFileAtSighupIsOneLineAndTheOldConfigurationStays) {
+TEST(Process, AnInvalidFileAtSighupPrintsOneLineAndKeepsTheOldConfiguration) {
   Backend before("before"), after("after");
   FakeDiscovery discovery;
   const auto config = ConfigJson(discovery.address(), Members(MemberJson("s-1", before.address())));
@@ -133,7 +134,7 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-TEST(Process, OutlivesRunningOutOfDescriptors) {
+TEST(Process, SurvivesRunningOutOfDescriptors) {
   Backend backend;
   FakeDiscovery discovery;
   const ConfigFile file(
@@ -148,8 +149,8 @@
     for (int i = 0; i < 100; ++i) many.push_back(std::make_unique<Client>(address));
     EXPECT_EQ(many.back()->Ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").result_int(), 200u);
   }
-  // Until the proxy has seen that they have gone, it may lack the descriptor for a backend: a refusal, or a
-  // connection that ends before its request was read, is right then. Anything else is not.
+  // Until the proxy has noticed their disconnects it may lack a descriptor for a backend connection. A
+  // refusal, or a connection that ends before its request was read, is correct until then.
   const auto until = std::chrono::steady_clock::now() + kGiveUp;
   unsigned status = 0;
   while (status != 200 && std::chrono::steady_clock::now() < until) {
@@ -162,12 +163,13 @@
   EXPECT_EQ(child.Wait(), 0);
 }
 
-// They take all that clients may have; discovery, once it is back, and the servers that it names get theirs.
-TEST(Process, IdleClientsThatCameWhileDiscoveryWasAwayKeepNeitherItNorServersOut) {
+// Idle clients use all client descriptors. The discovery service, once available, and its backends must still
+// get theirs.
+TEST(Process, IdleClientsDoNotBlockDiscoveryOrBackends) {
   Backend backend;
   Watched<bool> back, over;
   Listener discovery([&](Tcp::socket& socket) {
-    if (!back.Get()) return;  // each call ends at once
+    if (!back.Get()) return;  // closes each connection at once
     SendRaw(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     const std::string list = ListJson(42, true, Members(MemberJson("s-1", backend.address()))).dump() + "\n";
     char size[24];
--- a/tests/proxy/bodies_test.cpp
+++ b/tests/proxy/bodies_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Long bodies on sockets: equal by hash however they are cut, in memory far smaller, and each row of the
-// tables in docs/design/operations.md.
+// Streamed bodies over sockets: unchanged by hash for each framing and segmentation, in bounded memory, and
+// each row of the tables in docs/design/operations.md.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -13,39 +13,39 @@
 namespace kestrelline::testing {
 namespace {
 
-constexpr std::size_t kMuch = 3 << 20;  // far over what is kept
+constexpr std::size_t kLargeBody = 3 << 20;  // far above what is buffered
 
 std::string HashText(const Digest& digest) {
   return std::to_string(digest.bytes) + " " + std::to_string(digest.hash);
 }
-LongBackend::Answer SayHash() {
+LongBackend::Answer RespondWithHash() {
   return [](Tcp::socket& s, const LongBackend::Request& r) {
     if (r.whole) SendRaw(s, OkAnswer(HashText(r.body)));
     return r.whole;
   };
 }
 
-TEST(LongBodies, AreEqualByHashInEachFormAndCutAnywhere) {
+TEST(StreamedBodies, AreUnchangedInEachFramingAndSegmentation) {
   for (const Form up : {Form::kLength, Form::kChunks}) {
     for (const Form down : {Form::kLength, Form::kChunks, Form::kEnd}) {
       for (const std::size_t cut : {std::size_t{700}, std::size_t{65521}}) {
         LongBackend backend([&](Tcp::socket& s, const LongBackend::Request& r) {
-          LongBody answer(r.body.hash, kMuch + 1);
+          LongBody answer(r.body.hash, kLargeBody + 1);
           SendRaw(s, "HTTP/1.1 200 OK\r\n" + answer.Framing(down) + "\r\n");
           return answer.Send(s, down, cut) && down != Form::kEnd;
         });
         Site site(Members(MemberJson("s-1", backend.address())));
         site.Start();
-        LongBody body(cut, kMuch);
+        LongBody body(cut, kLargeBody);
         Client client(site.proxy->address);
-        for (const char* id : {"1", "2"}) {  // the connection stays good
+        for (const char* id : {"1", "2"}) {  // the connection is reused
           client.Send(Head("book", id, body.Framing(up)));
           ASSERT_TRUE(body.Send(client.socket, up, cut));
           boost::beast::flat_buffer buffer;
           const auto answer = ReadLong<false>(client.socket, buffer);
           EXPECT_EQ(answer.head.result_int(), 200u);
           EXPECT_TRUE(answer.whole);
-          EXPECT_EQ(answer.body, LongBody(body.digest().hash, kMuch + 1).digest());
+          EXPECT_EQ(answer.body, LongBody(body.digest().hash, kLargeBody + 1).digest());
           EXPECT_EQ(answer.head.count("X-Trailer"), 0u);
         }
         const auto seen = backend.seen.Get();
@@ -53,22 +53,22 @@
         for (const auto& request : seen.requests) {
           EXPECT_TRUE(request.whole);
           EXPECT_EQ(request.body, body.digest());
-          EXPECT_EQ(request.head.count("Req-Cost"), 0u);  // a trailer is no header
+          EXPECT_EQ(request.head.count("Req-Cost"), 0u);  // trailers are not headers
         }
       }
     }
   }
 }
 
-// Resident at most, since the process began.
-std::size_t PeakKb(pid_t pid) {
+// Peak resident set of a process.
+std::size_t PeakResidentKb(pid_t pid) {
   std::ifstream status("/proc/" + std::to_string(pid) + "/status");
   for (std::string line; std::getline(status, line);)
     if (line.starts_with("VmHWM:")) return std::stoul(line.substr(6));
   return 0;
 }
 
-TEST(LongBodies, ManyAtOnceOfPeersOfUnlikeSpeedPassInMemoryFarSmaller) {
+TEST(StreamedBodies, ManyConcurrentStreamsUseBoundedMemory) {
   constexpr int kClients = 8;
   LongBackend backend([](Tcp::socket& s, const LongBackend::Request& r) {
     LongBody answer(r.body.hash, kLong);
@@ -83,9 +83,9 @@
   Child child(
       {{"ROUTER_CONFIG", file.path}, {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(address.port())}});
   ASSERT_TRUE(WaitUntilReady(address));
-  const std::size_t before = PeakKb(child.pid());
+  const std::size_t before = PeakResidentKb(child.pid());
   std::vector<std::thread> clients;
-  std::atomic<int> right{0};
+  std::atomic<int> correct{0};
   for (int c = 0; c < kClients; ++c) {
     clients.emplace_back([&, c] {
       LongBody body(static_cast<std::uint64_t>(c), kLong);
@@ -97,22 +97,23 @@
         if (c % 2 == 0) std::this_thread::yield();
         return true;
       });
-      right += answer.whole && answer.body == LongBody(body.digest().hash, kLong).digest();
+      correct += answer.whole && answer.body == LongBody(body.digest().hash, kLong).digest();
     });
   }
   for (auto& client : clients) client.join();
-  EXPECT_EQ(right, kClients);
+  EXPECT_EQ(correct, kClients);
 #if !defined(__SANITIZE_ADDRESS__)
-  // 512 MiB have passed. Each pipe holds a piece of 64 KiB, twice while it is parsed, in both directions.
-  EXPECT_LT(PeakKb(child.pid()) - before, 4u * 1024) << "before " << before;
+  // 512 MiB were forwarded. Each stream holds a piece of 64 KiB, twice while it is parsed, in both
+  // directions.
+  EXPECT_LT(PeakResidentKb(child.pid()) - before, 4u * 1024) << "before " << before;
 #endif
   EXPECT_GT(before, 0u);
   child.Signal(SIGTERM);
   EXPECT_EQ(child.Wait(), 0);
 }
 
-TEST(LongBodies, WhoReadsSlowlySlowsItsOwnSenderAndNobodyElse) {
-  Watched<bool> go;
+TEST(StreamedBodies, ASlowReaderSlowsOnlyItsOwnSender) {
+  Watched<bool> may_read;
   std::atomic<bool> sent{false};
   LongBackend backend([&](Tcp::socket& s, const LongBackend::Request& r) {
     LongBody answer(1, 16 << 20);
@@ -127,35 +128,35 @@
   slow.Send(WithId(Look(), "slow"));
   boost::beast::flat_buffer slow_buffer, buffer;
   std::thread reader([&] {
-    const auto answer = ReadLong<false>(slow.socket, slow_buffer,
-                                        [&](std::uint64_t) { return go.WaitFor([](bool g) { return g; }); });
+    const auto answer = ReadLong<false>(
+        slow.socket, slow_buffer, [&](std::uint64_t) { return may_read.WaitFor([](bool g) { return g; }); });
     EXPECT_EQ(answer.body, LongBody(1, 16 << 20).digest());
   });
   for (int i = 0; i < 3; ++i) {
     fast.Send(WithId(Look(), "f" + std::to_string(i)));
     EXPECT_EQ(ReadLong<false>(fast.socket, buffer).body, LongBody(1, 16 << 20).digest());
   }
-  EXPECT_FALSE(sent);  // its server waits with it
-  go.Do([](bool& g) { g = true; });
+  EXPECT_FALSE(sent);  // its backend is blocked as well
+  may_read.Do([](bool& g) { g = true; });
   reader.join();
 }
 
-// ---- the table of repeats -----------------------------------------------------------------------------
-TEST(LongBodies, UntilMoreThanIsKeptHasPassedARequestGoesElsewhereFromItsFirstByte) {
-  LongBackend good(SayHash());
-  Listener ends([](Tcp::socket&) {});  // takes connections and ends them at once
+// ---- the table of retries -----------------------------------------------------------------------------
+TEST(StreamedBodies, ARequestIsRetriedFromItsFirstByteWhileItsBodyIsBuffered) {
+  LongBackend good(RespondWithHash());
+  Listener closes_at_once([](Tcp::socket&) {});  // takes connections and ends them at once
   for (const char* kind : {"change", "book"}) {
-    Site site(Members(MemberJson("s-1", ends.address), MemberJson("s-2", ends.address),
+    Site site(Members(MemberJson("s-1", closes_at_once.address), MemberJson("s-2", closes_at_once.address),
                       MemberJson("s-3", good.address())));
     site.Start();
-    LongBody body(5, kMuch);
+    LongBody body(5, kLargeBody);
     for (int i = 0; i < 10; ++i) {
       Client client(site.proxy->address);
       client.Send(Head(kind, std::string(kind) + std::to_string(i), body.Framing(Form::kLength)));
       body.Send(client.socket, Form::kLength);
       const auto answer = client.Read();
-      // Where the break is seen only after more has passed, the request never ran, and is refused; after all
-      // of it is in the kernel's hands, it may have run.
+      // If the break is noticed only after more was forwarded, the request has not run and is refused; once
+      // all of it is in the kernel's buffers, it may have run.
       if (answer.result_int() == 503 || answer.result_int() == 502) continue;
       EXPECT_EQ(answer.body(), HashText(body.digest()));
     }
@@ -163,28 +164,28 @@
   }
 }
 
-TEST(LongBodies, AServerThatEndsBeforeTheLastByteNeverRanItAndABoundRequestIsRefusedOnce) {
+TEST(StreamedBodies, ABackendThatClosesBeforeTheLastByteNeverRanTheRequest) {
   for (const char* kind : {"change", "book"}) {
-    LongBackend backend(SayHash());
+    LongBackend backend(RespondWithHash());
     backend.pause = [](std::uint64_t so_far) { return so_far < (1 << 18); };
     Site site(Members(MemberJson("s-1", backend.address())));
     site.Start();
-    LongBody body(5, 24 << 20);  // more than the kernel takes for a server that does not read
+    LongBody body(5, 24 << 20);  // more than the kernel buffers for a backend that does not read
     Client client(site.proxy->address);
     client.Send(Head(kind, "1", body.Framing(Form::kLength)));
     std::thread sender([&] { body.Send(client.socket, Form::kLength); });
     EXPECT_EQ(client.Read().result_int(), 503u) << kind;
     sender.join();
-    EXPECT_EQ(backend.seen.Get().requests.size(), 1u) << kind;  // and no other attempt
+    EXPECT_EQ(backend.seen.Get().requests.size(), 1u) << kind;  // no further attempt
     EXPECT_TRUE(site.proxy->WaitUntilNothingIsHeld());
   }
 }
 
-TEST(LongBodies, AServerThatBreaksAfterTheLastByteMayHaveRunIt) {
+TEST(StreamedBodies, ABackendThatClosesAfterTheLastByteMayHaveRunTheRequest) {
   LongBackend backend([](Tcp::socket&, const LongBackend::Request&) { return false; });
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
-  LongBody body(5, kMuch);
+  LongBody body(5, kLargeBody);
   Client client(site.proxy->address);
   client.Send(Head("book", "1", body.Framing(Form::kChunks)));
   body.Send(client.socket, Form::kChunks);
@@ -192,23 +193,23 @@
   EXPECT_EQ(backend.seen.Get().requests.size(), 1u);
 }
 
-TEST(LongBodies, AClientThatLeavesHalfWayIsNotServedAndItsRequestNeverComesWhole) {
-  LongBackend backend(SayHash());
+TEST(StreamedBodies, ARequestIsNeverCompletedAfterItsClientDisconnects) {
+  LongBackend backend(RespondWithHash());
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
-  LongBody body(5, kMuch);
+  LongBody body(5, kLargeBody);
   {
     Client client(site.proxy->address);
-    client.Send(Head("book", "1", "Content-Length: " + std::to_string(kMuch + 1) + "\r\n"));
-    body.Send(client.socket, Form::kLength);  // all but the last byte
+    client.Send(Head("book", "1", "Content-Length: " + std::to_string(kLargeBody + 1) + "\r\n"));
+    body.Send(client.socket, Form::kLength);  // everything but the last byte
   }
   ASSERT_TRUE(backend.seen.WaitFor([](const LongBackend::Seen& s) { return s.requests.size() == 1; }));
   EXPECT_FALSE(backend.seen.Get().requests[0].whole);
   EXPECT_TRUE(site.proxy->WaitUntilNothingIsHeld());
 }
 
-TEST(LongBodies, AClientThatFallsSilentHalfWayIsTold) {
-  LongBackend backend(SayHash());
+TEST(StreamedBodies, AStalledUploadGetsA408) {
+  LongBackend backend(RespondWithHash());
   Site site(Members(MemberJson("s-1", backend.address())));
   site.timeouts.request_read = std::chrono::milliseconds(60);
   site.Start();
@@ -221,8 +222,8 @@
   EXPECT_TRUE(site.proxy->WaitUntilNothingIsHeld());
 }
 
-TEST(LongBodies, ChunksThatAreNoneEndTheRequestAndNeverPassForWhole) {
-  LongBackend backend(SayHash());
+TEST(StreamedBodies, MalformedChunksAreRejectedAndNeverCompleteARequest) {
+  LongBackend backend(RespondWithHash());
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
   Client client(site.proxy->address);
@@ -233,7 +234,7 @@
   for (const auto& request : backend.seen.Get().requests) EXPECT_FALSE(request.whole);
 }
 
-TEST(LongBodies, AnEarlyAnswerIsTheAnswerAndTheRestIsReadAndThrownAway) {
+TEST(StreamedBodies, AnEarlyResponseIsFinalAndTheRestOfTheBodyIsDiscarded) {
   for (const char* answer :
        {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n"}) {
@@ -244,11 +245,11 @@
       s.read_some(asio::buffer(piece), failed);
       if (failed) return;
       SendRaw(s, answer);
-      over.WaitFor([](bool o) { return o; });  // reads no more, and keeps its side open
+      over.WaitFor([](bool o) { return o; });  // stops reading and keeps the connection open
     });
     Site site(Members(MemberJson("s-1", listener.address)));
     site.Start();
-    LongBody body(5, kMuch);
+    LongBody body(5, kLargeBody);
     Client client(site.proxy->address);
     client.Send(Head("book", "1", body.Framing(Form::kLength)));
     std::thread sender([&] { EXPECT_TRUE(body.Send(client.socket, Form::kLength)); });
@@ -262,14 +263,14 @@
   }
 }
 
-// ---- answers ------------------------------------------------------------------------------------------
-TEST(LongBodies, AnAnswerThatStopsHalfWayNeverPassesForWhole) {
+// ---- responses ----------------------------------------------------------------------------------------
+TEST(StreamedBodies, ATruncatedResponseIsNeverTakenForComplete) {
   for (const char* version : {"1.1", "1.0"}) {
     for (const Form form : {Form::kLength, Form::kChunks}) {
       LongBackend backend([&](Tcp::socket& s, const LongBackend::Request&) {
-        LongBody answer(1, kMuch);
+        LongBody answer(1, kLargeBody);
         SendRaw(s, std::string("HTTP/1.1 200 OK\r\n") +
-                       (form == Form::kLength ? "Content-Length: " + std::to_string(kMuch + 1) + "\r\n"
+                       (form == Form::kLength ? "Content-Length: " + std::to_string(kLargeBody + 1) + "\r\n"
                                               : "Transfer-Encoding: chunked\r\n") +
                        "\r\n");
         if (form == Form::kLength) return answer.Send(s, form), false;
@@ -291,9 +292,9 @@
   }
 }
 
-TEST(LongBodies, WhatAServerSaysBeyondItsAnswerIsNobodys) {
+TEST(StreamedBodies, BytesAfterAResponseAreDiscarded) {
   LongBackend backend([&](Tcp::socket& s, const LongBackend::Request&) {
-    LongBody answer(1, kMuch);
+    LongBody answer(1, kLargeBody);
     SendRaw(s, "HTTP/1.1 200 OK\r\n" + answer.Framing(Form::kLength) + "\r\n");
     answer.Send(s, Form::kLength);
     SendRaw(s, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil");
@@ -307,13 +308,13 @@
     client.Send(Look());
     const auto answer = ReadLong<false>(client.socket, buffer);
     EXPECT_TRUE(answer.whole);
-    EXPECT_EQ(answer.body, LongBody(1, kMuch).digest());
+    EXPECT_EQ(answer.body, LongBody(1, kLargeBody).digest());
   }
 }
 
-TEST(LongBodies, AClientOfHttp10GetsALongAnswerThatEndsWithTheConnection) {
+TEST(StreamedBodies, AnHttp10ClientGetsALongResponseThatEndsWithTheConnection) {
   LongBackend backend([&](Tcp::socket& s, const LongBackend::Request&) {
-    LongBody answer(1, kMuch);
+    LongBody answer(1, kLargeBody);
     SendRaw(s, "HTTP/1.1 200 OK\r\n" + answer.Framing(Form::kChunks) + "\r\n");
     return answer.Send(s, Form::kChunks);
   });
@@ -326,37 +327,37 @@
   const auto answer = ReadLong<false>(client.socket, buffer);
   EXPECT_EQ(answer.head.count("Transfer-Encoding"), 0u);
   EXPECT_TRUE(answer.whole);
-  EXPECT_EQ(answer.body, LongBody(1, kMuch).digest());
+  EXPECT_EQ(answer.body, LongBody(1, kLargeBody).digest());
 }
 
-TEST(LongBodies, WithoutRoomAnUploadIsRefusedAndTheNextHasIt) {
-  LongBackend backend(SayHash());
+TEST(StreamedBodies, AnUploadIsRefusedWithoutMemoryAndAcceptedOnceThereIsSome) {
+  LongBackend backend(RespondWithHash());
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["memory_mb"] = 8;
   site.Start();
   LongBody body(5, 300000);
-  std::vector<std::unique_ptr<Client>> half;
+  std::vector<std::unique_ptr<Client>> incomplete;
   unsigned refused = 0;
-  for (int i = 0; i < 40; ++i) {  // what is kept of the first ones fills a quarter of the memory
-    half.push_back(std::make_unique<Client>(site.proxy->address));
-    half.back()->Send(Head("book", "h" + std::to_string(i), body.Framing(Form::kLength)) +
-                      std::string(65000, 'x'));
+  for (int i = 0; i < 40; ++i) {  // the buffered parts of the first ones fill a quarter of the memory
+    incomplete.push_back(std::make_unique<Client>(site.proxy->address));
+    incomplete.back()->Send(Head("book", "h" + std::to_string(i), body.Framing(Form::kLength)) +
+                            std::string(65000, 'x'));
   }
   Client client(site.proxy->address);
-  const auto ask = [&](int i) {
-    Client one(site.proxy->address);
-    one.Send(Head("book", "w" + std::to_string(i), body.Framing(Form::kLength)));
-    std::thread sender([&] { body.Send(one.socket, Form::kLength); });
-    const unsigned status = one.Read().result_int();
+  const auto upload = [&](int i) {
+    Client upload_client(site.proxy->address);
+    upload_client.Send(Head("book", "w" + std::to_string(i), body.Framing(Form::kLength)));
+    std::thread sender([&] { body.Send(upload_client.socket, Form::kLength); });
+    const unsigned status = upload_client.Read().result_int();
     sender.join();
     return status;
   };
   int tries = 0;
-  while (refused == 0 && ++tries < 1000) refused += ask(tries) == 503;
+  while (refused == 0 && ++tries < 1000) refused += upload(tries) == 503;
   EXPECT_EQ(refused, 1u);
-  half.clear();
+  incomplete.clear();
   unsigned status = 0;
-  while ((status = ask(++tries)) == 503) std::this_thread::yield();
+  while ((status = upload(++tries)) == 503) std::this_thread::yield();
   EXPECT_EQ(status, 200u);
 }
 
--- a/tests/proxy/departures_test.cpp
+++ b/tests/proxy/departures_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Clients that go while their requests wait: nothing begins for them any more, in whatever order the proxy
-// hears of it.
+// Clients that disconnect while their requests are pending: no attempt may start for them any more, in
+// whatever order the proxy learns of the events.
 #include <gtest/gtest.h>
 #include <sys/ioctl.h>
 
@@ -14,11 +14,11 @@
 namespace kestrelline::testing {
 namespace {
 
-// Far longer than a test is waited for: what ends in time does not end by a limit of the proxy's.
-constexpr double kFarOff = 600000;
-void TakeTime(Site& site) {
-  for (auto& c : site.config["settings"]["classes"]) c["goalTimeMs"] = c["deadlineMs"] = kFarOff;
-  site.config["settings"]["permissions"]["connectTimeoutMs"] = kFarOff;
+// Far longer than the time limit of a test, so that nothing ends by a timeout of the proxy.
+constexpr double kLongTimeoutMs = 600000;
+void SetLongTimeouts(Site& site) {
+  for (auto& c : site.config["settings"]["classes"]) c["goalTimeMs"] = c["deadlineMs"] = kLongTimeoutMs;
+  site.config["settings"]["permissions"]["connectTimeoutMs"] = kLongTimeoutMs;
 }
 
 std::size_t BackendConnections(Site& site) {
@@ -33,10 +33,10 @@
   while (BackendConnections(site) == 0) std::this_thread::yield();
 }
 
-TEST(Departures, AConnectionThatIsStillComingUpIsGivenUpWithItsClient) {
-  LateListener late;
-  Site site(Members(MemberJson("s-1", late.address)));
-  TakeTime(site);
+TEST(ClientDisconnects, CancelAConnectionThatIsBeingEstablished) {
+  LateListener late_listener;
+  Site site(Members(MemberJson("s-1", late_listener.address)));
+  SetLongTimeouts(site);
   site.Start();
   {
     Client client(site.proxy->address);
@@ -47,29 +47,29 @@
   EXPECT_EQ(BackendConnections(site), 0u);
 }
 
-// The same of a server that is to get nothing new while the connection to it comes up.
-TEST(Departures, AnAttemptGoesElsewhereWhenItsServerDrainsBeforeItsFirstByte) {
-  LateListener late;
+// The same for a backend that starts to drain while the connection to it is being established.
+TEST(ClientDisconnects, AnUnwrittenAttemptMovesToAnotherBackendWhenItsBackendDrains) {
+  LateListener late_listener;
   Backend other;
-  Site site(Members(MemberJson("s-1", late.address)));
-  TakeTime(site);
+  Site site(Members(MemberJson("s-1", late_listener.address)));
+  SetLongTimeouts(site);
   site.Start();
   ASSERT_TRUE(site.discovery.WaitForWatches(1));
   Client client(site.proxy->address);
   client.Send(Book());
   WaitForAnAttempt(site);
-  site.discovery.Push(
-      ListJson(42, false,
-               Members(MemberJson("s-1", late.address, "terminating"), MemberJson("s-2", other.address()))));
+  site.discovery.Push(ListJson(
+      42, false,
+      Members(MemberJson("s-1", late_listener.address, "terminating"), MemberJson("s-2", other.address()))));
   EXPECT_EQ(client.Read().result_int(), 200u);
   EXPECT_EQ(other.seen.Get().requests.size(), 1u);
 }
 
-// A client that has gone is seen behind what it sent ahead, which nobody reads yet.
-TEST(Departures, AClientThatSentAheadIsSeenToGo) {
+// A disconnect must be noticed behind unread pipelined bytes.
+TEST(ClientDisconnects, AreNoticedBehindPipelinedBytes) {
   for (const std::string& ahead : {std::string("G"), Look(), std::string(200 * 1024, 'x')}) {
-    Site site(Members());  // nothing to send to: the request waits
-    TakeTime(site);
+    Site site(Members());  // no backend: the request stays pending
+    SetLongTimeouts(site);
     site.Start();
     {
       Client client(site.proxy->address);
@@ -77,16 +77,16 @@
       WaitForARequest(site);
       error_code full;
       client.socket.non_blocking(true);
-      asio::write(client.socket, asio::buffer(ahead), full);  // as much as there is room for
+      asio::write(client.socket, asio::buffer(ahead), full);  // as much as the socket takes
     }
     EXPECT_TRUE(site.proxy->WaitUntilNothingIsHeld()) << ahead.size();
   }
 }
 
-TEST(Departures, AClientThatSentAheadAndStaysIsAnsweredInOrder) {
+TEST(ClientDisconnects, PipelinedRequestsOfAConnectedClientAreAnsweredInOrder) {
   Backend backend;
   Site site(Members());
-  TakeTime(site);
+  SetLongTimeouts(site);
   site.Start();
   Client client(site.proxy->address);
   client.Send(Book());
@@ -101,9 +101,9 @@
   EXPECT_EQ(requests[1]["Req-Id"], "0c");
 }
 
-// The time of a repeat is there when its client goes, and the loop comes to it first. The other server has a
-// connection at rest, so that the repeat would be written at once.
-TEST(Departures, NoRepeatBeginsAheadOfTheNewsThatItsClientHasGone) {
+// The retry timer expires as the client disconnects, and the event loop handles the timer first. The other
+// backend has an idle connection, so that the retry would be written at once.
+TEST(ClientDisconnects, NoRetryStartsBeforeTheDisconnectIsHandled) {
   Watched<int> looks, books;
   const auto serve = [&](Tcp::socket& s, const HttpRequest& r) {
     if (r["Req-Kind"] == "look") {
@@ -118,7 +118,7 @@
   };
   Backend one(serve), two(serve);
   Site site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
-  TakeTime(site);
+  SetLongTimeouts(site);
   constexpr std::chrono::milliseconds kPause{500};
   site.operator_text = "version = 1\n[class.book]\npause = \"500ms\"\n";
   site.timeouts.reuse_delay = {};
@@ -134,10 +134,10 @@
   Client client(site.proxy->address);
   client.Send(Book());
   ASSERT_TRUE(books.WaitFor([](int n) { return n == 1; }));
-  // The answer is there, and takes a few turns of the loop: each call is one at least.
+  // The response takes a few iterations of the event loop; each call is at least one.
   for (int turn = 0; turn < 20; ++turn) site.proxy->Ask([](proxy::Proxy& p) { return p.held(); });
-  // The loop stands still until the pause is over. Then it finds the timer, the client goes, and the timer is
-  // served: its turn has looked for events already.
+  // The event loop is blocked until the pause is over. Then it collects the expired timer, the client
+  // disconnects, and the timer runs: this iteration has already polled the sockets.
   std::promise<void> gone;
   site.proxy->Post([&] {
     const auto over = proxy::Steady::now() + 2 * kPause;
@@ -152,17 +152,16 @@
   EXPECT_EQ(books.Get(), 1);
 }
 
-// A repeat that the window permitted when it was decided, on a connection that comes up when the window is
-// over.
-TEST(Departures, AKeyedRepeatDoesNotBeginAfterItsWindow) {
-  LateListener late;
+// A retry that was decided within the deduplication window, on a connection that is established after it.
+TEST(ClientDisconnects, AKeyedRetryDoesNotStartAfterItsWindow) {
+  LateListener late_listener;
   Watched<bool> release;
   Backend first([&](Tcp::socket&, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
     return false;  // it may have run
   });
   Site site(Members(MemberJson("s-1", first.address())));
-  TakeTime(site);
+  SetLongTimeouts(site);
   constexpr std::chrono::milliseconds kWindow{400};
   for (auto& c : site.config["settings"]["classes"]) c["windowMs"] = kWindow.count();
   site.Start();
@@ -170,23 +169,23 @@
   Client client(site.proxy->address);
   client.Send(Change());
   ASSERT_TRUE(first.WaitForRequests(1));
-  site.discovery.Push(ListJson(42, false, Members(MemberJson("s-2", late.address))));
+  site.discovery.Push(ListJson(42, false, Members(MemberJson("s-2", late_listener.address))));
   while (site.proxy->Ask([](proxy::Proxy& p) { return p.backends_known(); }) < 2) std::this_thread::yield();
   release.Do([](bool& r) { r = true; });
   ASSERT_TRUE(first.WaitForClosed(1));
   WaitForAnAttempt(site);
   const auto over = proxy::Steady::now() + kWindow;
   while (proxy::Steady::now() < over) std::this_thread::yield();
-  EXPECT_EQ(late.FirstBytes(), "");
-  EXPECT_EQ(client.Read().result_int(), 502u);  // it may have run, and may not be sent again
+  EXPECT_EQ(late_listener.FirstBytes(), "");
+  EXPECT_EQ(client.Read().result_int(), 502u);  // it may have run and must not be sent again
 }
 
-// One attempt that is wanted for as long as `wanted` says; what the server got of it, and how it ended.
-struct Ended {
+// Result of one attempt, which is wanted as long as `wanted` says, and the bytes that the backend received.
+struct AttemptEnd {
   proxy::AttemptResult result;
   std::string received;
 };
-Ended Attempt(Duration hold, const proxy::Backends::Wanted& wanted) {
+AttemptEnd RunAttempt(Duration hold, const proxy::Backends::Wanted& wanted) {
   Watched<std::optional<std::string>> received;
   Listener listener([&](Tcp::socket& socket) {
     std::string all, some(4096, '\0');
@@ -206,22 +205,22 @@
   return {std::move(*result), *received.Get()};
 }
 
-TEST(Departures, AConnectionThatComesUpForNobodyIsNotWrittenTo) {
-  const auto ended = Attempt(Duration(0), [] { return false; });
-  EXPECT_EQ(ended.result.outcome, Outcome::kMoot);  // it has not run
+TEST(ClientDisconnects, AnUnwantedAttemptIsNotWrittenToItsNewConnection) {
+  const auto ended = RunAttempt(Duration(0), [] { return false; });
+  EXPECT_EQ(ended.result.outcome, Outcome::kMoot);  // not executed
   EXPECT_FALSE(ended.result.local_failure);
   EXPECT_EQ(ended.received, "");
 }
 
-TEST(Departures, TheLastByteOfAHeldRequestIsNotWrittenForNobody) {
+TEST(ClientDisconnects, TheDelayedLastByteOfAnUnwantedAttemptIsNotWritten) {
   int asked = 0;
-  const auto ended = Attempt(Duration(1), [&] { return ++asked == 1; });
+  const auto ended = RunAttempt(Duration(1), [&] { return ++asked == 1; });
   EXPECT_EQ(ended.result.outcome, Outcome::kMoot);
   EXPECT_TRUE(ended.received.ends_with("\r\n\r")) << ended.received;
 }
 
-// The server's end comes after the loop has found that the time of the last byte is there.
-TEST(Departures, AServerThatEndsInTheTurnOfTheLastByteHasNotRunIt) {
+// The backend closes the connection after the event loop has collected the timer of the last byte.
+TEST(ClientDisconnects, ABackendThatClosesAsTheLastByteIsDueHasNotRunTheRequest) {
   Watched<bool> all_but_last, close, closed;
   Listener listener([&](Tcp::socket& socket) {
     std::string all, some(4096, '\0');
@@ -240,27 +239,27 @@
   constexpr std::chrono::seconds kHold{1};
   backends.Send(
       1, message, Duration(20000), kHold, [&](proxy::AttemptResult r) { result = std::move(r); }, kWanted);
-  io.run_one();  // the connection is up, and all but the last byte written
+  io.run_one();  // connects and writes all but the last byte
   ASSERT_TRUE(all_but_last.WaitFor([](bool a) { return a; }));
-  io.poll();  // that write has ended, and with it the timer of the last byte is set
+  io.poll();  // completes the write, which sets the timer of the last byte
   const auto over = proxy::Steady::now() + kHold;
   while (proxy::Steady::now() < over) std::this_thread::yield();
-  // Both timers are found in one turn; this one, due for longer, goes first.
+  // Both timers are collected in one iteration; this one expired earlier and runs first.
   asio::steady_timer first(io, proxy::Steady::now() - std::chrono::hours(1));
   first.async_wait([&](const error_code&) {
     close.Do([](bool& c) { c = true; });
     closed.WaitFor([](bool c) { return c; });
   });
   while (!result) io.run_one();
-  EXPECT_EQ(result->outcome, Outcome::kConnectFailed);  // known not to have run
+  EXPECT_EQ(result->outcome, Outcome::kConnectFailed);  // proven not to have been executed
   EXPECT_TRUE(result->connection_broke);
 }
 
-// How long its client will wait is told as of when the request goes out.
-TEST(Departures, WhatIsLeftToTheClientIsToldAsOfTheWriteAndNotOfTheDecision) {
-  LateListener late;
-  Site site(Members(MemberJson("s-1", late.address)));
-  TakeTime(site);
+// Req-Deadline-Ms is the time left when the request is written, not when the attempt was decided.
+TEST(ClientDisconnects, TheDeadlineHeaderIsComputedWhenTheRequestIsWritten) {
+  LateListener late_listener;
+  Site site(Members(MemberJson("s-1", late_listener.address)));
+  SetLongTimeouts(site);
   site.Start();
   Client client(site.proxy->address);
   client.Send(Post("book", "Req-Deadline-Ms: 500000\r\n"));
@@ -268,7 +267,7 @@
   const auto seen = proxy::Steady::now();
   while (proxy::Steady::now() < seen + std::chrono::milliseconds(200)) std::this_thread::yield();
   const auto passed = std::chrono::duration_cast<std::chrono::milliseconds>(proxy::Steady::now() - seen);
-  const std::string request = late.FirstBytes();
+  const std::string request = late_listener.FirstBytes();
   const std::size_t at = request.find("Req-Deadline-Ms: ");
   ASSERT_NE(at, std::string::npos) << request;
   EXPECT_LE(std::stoi(request.substr(at + 17)), 500000 - passed.count());
--- a/tests/proxy/door_test.cpp
+++ b/tests/proxy/door_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The door on sockets, figures against what clients and servers saw, drains under load.
+// The management interface over sockets, metrics compared with what clients and backends counted, and drains
+// under load.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -14,24 +15,24 @@
 namespace kestrelline::testing {
 namespace {
 
-// A site whose proxy has a door.
-struct Managed : Site {
-  explicit Managed(std::vector<nlohmann::json> known) : Site(std::move(known)) {
+// A site whose proxy has a management interface.
+struct ManagedSite : Site {
+  explicit ManagedSite(std::vector<nlohmann::json> known) : Site(std::move(known)) {
     config["mgmt"] = "127.0.0.1:0";
   }
   void Start() {
     Site::Start();
-    door = proxy->Ask([](proxy::Proxy& p) { return p.management_address(); });
+    management = proxy->Ask([](proxy::Proxy& p) { return p.management_address(); });
   }
-  std::string Say(const std::string& line) const { return Call(door, line + "\n"); }
-  Tcp::endpoint door;
+  std::string Command(const std::string& line) const { return Call(management, line + "\n"); }
+  Tcp::endpoint management;
 };
 
-unsigned Ready(const Tcp::endpoint& address) {
+unsigned ReadyStatusOf(const Tcp::endpoint& address) {
   return Client(address).Ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").result_int();
 }
 
-TEST(Door, WithoutAnAddressThereIsNoListenerAndABadOneIsRefused) {
+TEST(Management, IsOffWithoutAnAddressAndABadAddressIsRefused) {
   Site site(Members());
   EXPECT_FALSE(ConfigOf(site.config).management);
   site.config["mgmt"] = "127.0.0.1:7000";
@@ -46,44 +47,44 @@
   EXPECT_EQ(proxy::ParseConfig(ConfigJson(kAnyPort, {}).dump(), env).management->port(), 7001);
 }
 
-TEST(Door, AnswersAmongTwoHundredCallersWhoSayNothingOrHalf) {
-  Managed site(Members());
+TEST(Management, AnswersDespite200SilentOrIncompleteConnections) {
+  ManagedSite site(Members());
   site.Start();
   std::vector<std::unique_ptr<Client>> callers;
   for (int i = 0; i < 200; ++i) {
-    callers.push_back(std::make_unique<Client>(site.door));
+    callers.push_back(std::make_unique<Client>(site.management));
     if (i % 2) callers.back()->Send("show-st");
   }
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(site.Say("ready"), "NAK starting\n");
-  EXPECT_NE(site.Say("show-stat").find("proxy_active 0\n"), std::string::npos);
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(site.Command("ready"), "NAK starting\n");
+  EXPECT_NE(site.Command("show-stat").find("proxy_active 0\n"), std::string::npos);
 }
 
-TEST(Door, AnswersWhenClientsHaveAllTheirPlaces) {
+TEST(Management, AnswersAtTheClientConnectionLimit) {
   Backend backend;
-  Managed site(Members(MemberJson("s-1", backend.address())));
+  ManagedSite site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 96;
   site.Start();
   std::vector<std::unique_ptr<Client>> crowd;
   for (int i = 0; i < 300; ++i) crowd.push_back(std::make_unique<Client>(site.proxy->address));
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(site.Say("ready"), "ACK ready\n");
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(site.Command("ready"), "ACK ready\n");
 }
 
-TEST(Door, EveryMalformedCallGetsALineOrTheEnd) {
-  Managed site(Members());
+TEST(Management, EveryMalformedCommandGetsAnErrorLineOrAClose) {
+  ManagedSite site(Members());
   site.Start();
-  EXPECT_EQ(Call(site.door, "ready\r\n").substr(0, 3), "NAK");
-  EXPECT_EQ(Call(site.door, std::string(100000, 'x')).substr(0, 3), "NAK");
-  EXPECT_EQ(Call(site.door, std::string("\0\xff\n", 3)).substr(0, 3), "NAK");
-  EXPECT_EQ(Call(site.door, "\n"), "NAK empty line\n");
-  EXPECT_EQ(Call(site.door, "drai", /*end=*/true), "NAK half a line\n");
-  EXPECT_EQ(Call(site.door, "", /*end=*/true), "");
-  EXPECT_EQ(Call(site.door, "ready\nready\ndrain\n"), "NAK starting\n");  // one line to a connection
+  EXPECT_EQ(Call(site.management, "ready\r\n").substr(0, 3), "NAK");
+  EXPECT_EQ(Call(site.management, std::string(100000, 'x')).substr(0, 3), "NAK");
+  EXPECT_EQ(Call(site.management, std::string("\0\xff\n", 3)).substr(0, 3), "NAK");
+  EXPECT_EQ(Call(site.management, "\n"), "NAK empty line\n");
+  EXPECT_EQ(Call(site.management, "drai", /*end=*/true), "NAK half a line\n");
+  EXPECT_EQ(Call(site.management, "", /*end=*/true), "");
+  EXPECT_EQ(Call(site.management, "ready\nready\ndrain\n"), "NAK starting\n");  // one command per connection
   EXPECT_EQ(site.proxy->Ask([](proxy::Proxy& p) { return p.held(); }), 0u);
-  EXPECT_EQ(site.Say("resume"), "ACK was not draining\n");  // the third line was no call
+  EXPECT_EQ(site.Command("resume"), "ACK was not draining\n");  // the third line was not executed
 }
 
-// Served, declined everywhere, failed, repeated; and clients that leave.
-TEST(Figures, AreWhatClientsAndServersCounted) {
+// Requests that are served, declined by each backend, failed or retried, and clients that disconnect.
+TEST(Metrics, EqualTheCountsOfClientsAndBackends) {
   Watched<bool> release;
   const auto answer = [&](Tcp::socket& s, const HttpRequest& r) {
     if (r["X-Do"] == "hold") release.WaitFor([](bool go) { return go; });
@@ -93,7 +94,7 @@
     return true;
   };
   Backend one(answer), two(answer);
-  Managed site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
+  ManagedSite site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
   site.Start();
   std::mt19937 random(7);
   std::map<std::string, double> counted;
@@ -103,12 +104,12 @@
       const char* what[] = {"serve", "decline", "fail"};
       const std::string more = "X-Do: " + std::string(what[random() % 3]) + "\r\n",
                         id = "f" + std::to_string(i);
-      const bool look = random() % 2;
-      const unsigned status = client.Ask(WithId(look ? Look(more) : Post("book", more), id)).result_int();
+      const bool is_look = random() % 2;
+      const unsigned status = client.Ask(WithId(is_look ? Look(more) : Post("book", more), id)).result_int();
       const char* name = status == 200 ? "proxy_ok" : status == 503 ? "proxy_shed" : "proxy_errors";
-      ++counted[std::string(name) + "{kind=\"" + (look ? "look" : "book") + "\"}"];
+      ++counted[std::string(name) + "{kind=\"" + (is_look ? "look" : "book") + "\"}"];
     }
-    // Turned away before the module has seen it, and what is of no class.
+    // A request that is rejected before it reaches the balancer, and one without a class.
     EXPECT_EQ(client.Ask("GET /book HTTP/1.1\r\nReq-Id: x\r\n\r\n").result_int(), 405u);
     ++counted["proxy_errors{kind=\"book\"}"];
     EXPECT_EQ(Client(site.proxy->address).Ask("GET /unheard HTTP/1.1\r\nReq-Id: x\r\n\r\n").result_int(),
@@ -120,17 +121,17 @@
         ASSERT_TRUE(one.seen.WaitFor([](const Backend::Seen& s) { return !s.requests.empty(); }));
         Client other(site.proxy->address);
         other.Send(WithId(Look("X-Do: hold\r\n"), "other"));
-        while (FiguresOf(site.door)["proxy_active"] < 2) std::this_thread::yield();
-        EXPECT_EQ(FiguresOf(site.door)["proxy_active"], 2);
+        while (FiguresOf(site.management)["proxy_active"] < 2) std::this_thread::yield();
+        EXPECT_EQ(FiguresOf(site.management)["proxy_active"], 2);
       }
     }
   }
   release.Do([](bool& go) { go = true; });
   ASSERT_TRUE(site.proxy->WaitUntilNothingIsHeld());
-  while (FiguresOf(site.door)["proxy_active"] != 0) std::this_thread::yield();
-  const auto figures = FiguresOf(site.door);
+  while (FiguresOf(site.management)["proxy_active"] != 0) std::this_thread::yield();
+  const auto figures = FiguresOf(site.management);
   for (const auto& [name, value] : counted) EXPECT_EQ(figures.at(name), value) << name;
-  // What was written to a server is read by a thread of its own, which may not have run yet.
+  // A backend reads in its own thread, which may lag behind.
   const auto seen = [&] { return one.seen.Get().requests.size() + two.seen.Get().requests.size(); };
   const auto until = std::chrono::steady_clock::now() + kGiveUp;
   while (static_cast<double>(seen()) < figures.at("proxy_tries") && std::chrono::steady_clock::now() < until)
@@ -141,16 +142,16 @@
   EXPECT_EQ(figures.size(), 3u * 3 + 4);
 }
 
-TEST(Figures, ThePoolFollowsTheList) {
+TEST(Metrics, ThePoolSizeFollowsTheList) {
   Backend backend;
-  Managed site(Members(MemberJson("s-1", backend.address()), MemberJson("s-2", backend.address())));
+  ManagedSite site(Members(MemberJson("s-1", backend.address()), MemberJson("s-2", backend.address())));
   site.Start();
   ASSERT_TRUE(site.discovery.WaitForWatches(1));
   const auto await = [&](double size) {
     const auto until = std::chrono::steady_clock::now() + kGiveUp;
-    while (FiguresOf(site.door)["proxy_pool_size"] != size && std::chrono::steady_clock::now() < until)
+    while (FiguresOf(site.management)["proxy_pool_size"] != size && std::chrono::steady_clock::now() < until)
       std::this_thread::yield();
-    EXPECT_EQ(FiguresOf(site.door)["proxy_pool_size"], size);
+    EXPECT_EQ(FiguresOf(site.management)["proxy_pool_size"], size);
   };
   await(2);
   site.discovery.Push(ListJson(42, false, Members(MemberJson("s-3", backend.address()))));
@@ -161,16 +162,16 @@
   await(1);
 }
 
-TEST(Drain, SaysNoAtOnceSendsClientsAwayAndComesBackAtOnce) {
+TEST(Drain, IsNotReadyAtOnceClosesConnectionsAndResumesAtOnce) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
     if (r["X-Do"] == "hold") release.WaitFor([](bool go) { return go; });
     SendRaw(s, OkAnswer("fine"));
     return true;
   });
-  Managed site(Members(MemberJson("s-1", backend.address())));
+  ManagedSite site(Members(MemberJson("s-1", backend.address())));
   site.Start();
-  EXPECT_EQ(Ready(site.proxy->address), 200u);
+  EXPECT_EQ(ReadyStatusOf(site.proxy->address), 200u);
   Client held(site.proxy->address), idle(site.proxy->address), half(site.proxy->address),
       used(site.proxy->address);
   EXPECT_EQ(idle.Ask(WithId(Look(), "idle")).result_int(), 200u);
@@ -178,10 +179,10 @@
   held.Send(WithId(Look("X-Do: hold\r\n"), "held"));
   half.Send("GET /look HTT");
   ASSERT_TRUE(backend.WaitForRequests(3));
-  EXPECT_EQ(site.Say("drain"), "ACK draining\n");
-  EXPECT_EQ(Ready(site.proxy->address), 503u);
-  EXPECT_EQ(site.Say("ready"), "NAK draining\n");
-  // Kept connections and new ones are served, and each answer is their last.
+  EXPECT_EQ(site.Command("drain"), "ACK draining\n");
+  EXPECT_EQ(ReadyStatusOf(site.proxy->address), 503u);
+  EXPECT_EQ(site.Command("ready"), "NAK draining\n");
+  // Existing and new connections are served, and each response closes its connection.
   const auto answer = used.Ask(WithId(Look(), "again"));
   EXPECT_EQ(answer.result_int(), 200u);
   EXPECT_FALSE(answer.keep_alive());
@@ -195,15 +196,15 @@
   release.Do([](bool& go) { go = true; });
   EXPECT_EQ(held.Read().result_int(), 200u);
   EXPECT_TRUE(held.Ended());
-  EXPECT_EQ(site.Say("resume"), "ACK no longer draining\n");
-  EXPECT_EQ(Ready(site.proxy->address), 200u);
+  EXPECT_EQ(site.Command("resume"), "ACK no longer draining\n");
+  EXPECT_EQ(ReadyStatusOf(site.proxy->address), 200u);
   Client after(site.proxy->address);
   EXPECT_TRUE(after.Ask(WithId(Look(), "after")).keep_alive());
 }
 
-// Clients that keep and renew connections while drains, resumes and at last a stop come at random moments:
-// each request gets one answer, and is written again only where its connection ended before any byte of one.
-TEST(Drain, AtRandomMomentsNoRequestIsLostAndNoneRunsTwice) {
+// Clients keep and renew connections during drains, resumes and a final stop at random moments. Each request
+// gets one response; clients resend it only if the connection ended before any byte of a response.
+TEST(Drain, AtRandomMomentsLosesNoRequestAndRunsNoneTwice) {
   const unsigned seed = std::random_device{}();
   SCOPED_TRACE("seed " + std::to_string(seed));
   std::mt19937 random(seed);
@@ -213,7 +214,7 @@
     SendRaw(s, OkAnswer(std::string(r["Req-Id"])));
     return true;
   });
-  Managed site(Members(MemberJson("s-1", backend.address())));
+  ManagedSite site(Members(MemberJson("s-1", backend.address())));
   site.Start();
   std::atomic<bool> over{false};
   std::atomic<int> served{0}, wrong{0};
@@ -237,9 +238,9 @@
     });
   }
   for (int i = 0; i < 60; ++i) {
-    const std::string said = site.Say(random() % 2 ? "drain" : "resume");
-    EXPECT_EQ(said.substr(0, 4), "ACK ");
-    const int until = served + static_cast<int>(random() % 60);  // some go on in between
+    const std::string reply = site.Command(random() % 2 ? "drain" : "resume");
+    EXPECT_EQ(reply.substr(0, 4), "ACK ");
+    const int until = served + static_cast<int>(random() % 60);  // some requests pass in between
     while (served < until) std::this_thread::yield();
   }
   over = true;
--- a/tests/proxy/drain_takes_test.cpp
+++ b/tests/proxy/drain_takes_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a proxy takes after SIGTERM: a request that comes late is taken only if it is over before SIGKILL may
-// come; else it is refused before any of it runs. What was taken is answered before the process ends.
+// Requests after SIGTERM: a late request is accepted only if its deadline is before a possible SIGKILL;
+// otherwise it is refused without being executed. Accepted requests are answered before the process exits.
 #include <gtest/gtest.h>
 
 #include "support/long_body.h"
@@ -10,15 +10,16 @@
 namespace kestrelline::testing {
 namespace {
 
-// From here on, what SIGKILL finds unanswered is lost; the rest of a request may come until 1.1 s.
-constexpr std::chrono::milliseconds kLate{800};
-constexpr std::chrono::milliseconds kMuchLater{1500};
+// After this time, requests that are pending at SIGKILL would be lost; the rest of a request may arrive until
+// 1.1 s.
+constexpr std::chrono::milliseconds kLateForPending{800};
+constexpr std::chrono::milliseconds kLateForRest{1500};
 
-// Of the next answer; 0 if there is none, or only a part.
+// Status of a response; 0 if there is none or it is truncated.
 unsigned StatusOf(const Read<false>& answer) { return answer.whole ? answer.head.result_int() : 0; }
 
-// So many servers at one address, each for one request that is held.
-std::vector<nlohmann::json> ServersInCells(std::size_t servers, const Backend& backend) {
+// Backends at one address, each for one pending request.
+std::vector<nlohmann::json> BackendsInCells(std::size_t servers, const Backend& backend) {
   std::vector<nlohmann::json> all;
   while (all.size() < servers) {
     all.push_back(MemberJson("s-" + std::to_string(all.size()), backend.address()));
@@ -27,8 +28,9 @@
   return all;
 }
 
-// The connection was promised to stay open before SIGTERM, and its answer lasts for longer than idle ones do.
-TEST(DrainTakes, TheRequestBehindALongAnswerIsNotPassedOnLongAfterSigterm) {
+// Before SIGTERM the response announced a persistent connection, and it takes longer than idle connections
+// are kept.
+TEST(DrainAccepts, ARequestAfterALongResponseIsNotForwardedLongAfterSigterm) {
   for (const bool sent_ahead : {false, true}) {
     SCOPED_TRACE(sent_ahead ? "sent ahead" : "sent behind the answer");
     const std::string half(100 * 1024, 'x');
@@ -53,7 +55,7 @@
     const auto first = ReadLong<false>(client.socket, buffer, [&](std::uint64_t bytes) {
       if (bytes == 0 || stopped.valid()) return true;
       stopped = site.proxy->Stop();
-      EXPECT_EQ(stopped.wait_for(kMuchLater), std::future_status::timeout);
+      EXPECT_EQ(stopped.wait_for(kLateForRest), std::future_status::timeout);
       release.Do([](bool& r) { r = true; });
       return true;
     });
@@ -61,7 +63,7 @@
     EXPECT_EQ(first.body.bytes, 2 * half.size());
     if (!sent_ahead) client.Send(next);
     const unsigned status = StatusOf(ReadLong<false>(client.socket, buffer));
-    // What comes behind the answer may cross the end of the connection, and then nobody has read it.
+    // A request sent after the response may cross the close of the connection, and is then not read.
     EXPECT_TRUE(status == 503 || (status == 0 && !sent_ahead)) << status;
     EXPECT_EQ(backend.seen.Get().requests.size(), 1u);
     client.socket.close();
@@ -69,8 +71,8 @@
   }
 }
 
-// Its deadline is later than SIGKILL may come.
-TEST(DrainTakes, ARequestWhoseRestComesLateIsNotPassedOn) {
+// Its deadline is after a possible SIGKILL.
+TEST(DrainAccepts, ARequestThatIsCompletedLateIsNotForwarded) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -78,7 +80,7 @@
   const std::string request = Book();
   client.Send(request.substr(0, request.size() / 2));
   const auto stopped = site.proxy->Stop();
-  EXPECT_EQ(stopped.wait_for(kLate), std::future_status::timeout);
+  EXPECT_EQ(stopped.wait_for(kLateForPending), std::future_status::timeout);
   client.Send(request.substr(request.size() / 2));
   const auto answer = client.Read();
   EXPECT_EQ(answer.result_int(), 503u);
@@ -86,8 +88,8 @@
   EXPECT_EQ(backend.seen.Get().requests.size(), 0u);
 }
 
-// A body that passes in pieces: the server has never had the whole request.
-TEST(DrainTakes, ALongBodyWhoseLastByteComesLateIsRefusedBeforeTheServerHasIt) {
+// A streamed body: the backend has never received the complete request.
+TEST(DrainAccepts, AStreamedBodyThatIsCompletedLateIsRefusedBeforeTheBackendHasIt) {
   LongBackend backend([&](Tcp::socket& s, const LongBackend::Request& r) {
     if (r.whole) SendRaw(s, OkAnswer("taken"));
     return r.whole;
@@ -99,15 +101,15 @@
   client.Send(Head("book", "1", "Content-Length: " + std::to_string(2 * half.size()) + "\r\n") + half);
   ASSERT_TRUE(backend.seen.WaitFor([](const LongBackend::Seen& s) { return s.opened == 1; }));
   const auto stopped = site.proxy->Stop();
-  EXPECT_EQ(stopped.wait_for(kMuchLater), std::future_status::timeout);
+  EXPECT_EQ(stopped.wait_for(kLateForRest), std::future_status::timeout);
   client.Send(half);
   EXPECT_EQ(client.Read().result_int(), 503u);
   ASSERT_TRUE(backend.seen.WaitFor([](const LongBackend::Seen& s) { return s.requests.size() == 1; }));
   EXPECT_FALSE(backend.seen.Get().requests[0].whole);
 }
 
-// Serves at once, but bookings only after the release.
-Backend::Answer HoldsBookings(Watched<bool>& release) {
+// Responds at once, but to `book` only after the release.
+Backend::Answer HoldBookRequests(Watched<bool>& release) {
   return [&release](Tcp::socket& s, const HttpRequest& r) {
     if (r["Req-Kind"] == "book") release.WaitFor([](bool r) { return r; });
     SendRaw(s, OkAnswer("served"));
@@ -115,21 +117,21 @@
   };
 }
 
-// Closing an idle connection lets the next client in, which makes room by closing another: the one that the
-// look for the end of the process would come to next. Clients have borrowed places that servers have back by
-// then, and the loop stands still, so that the look comes ahead of the sweep.
-TEST(DrainTakes, RoomThatIsMadeWhileIdleConnectionsEndLosesNothingThatIsHeld) {
-  // The stop comes in the middle between two sweeps, which come every 50 ms from the first connection on.
-  constexpr std::chrono::milliseconds kRipe{2000}, kStop{1575}, kStandStill{550};
-  // All places that there are with 64 sockets; of servers, so many that clients have fewer then.
+// Closing an idle connection accepts the next client, which evicts another connection: the one that the check
+// for the end of the drain visits next. Clients have borrowed descriptors that backends have taken back by
+// then, and the event loop is blocked, so that the check runs before the sweep.
+TEST(DrainAccepts, EvictionsWhileIdleConnectionsCloseLoseNoPendingRequest) {
+  // The stop is halfway between two sweeps, which run every 50 ms from the first connection on.
+  constexpr std::chrono::milliseconds kEvictAfter{2000}, kStopAfter{1575}, kBlocked{550};
+  // All client connections that 64 sockets allow, and enough backend connections to lower that limit.
   constexpr int kClients = 29, kHeld = 10;
   for (int round = 0; round < 3; ++round) {
     Watched<bool> release;
-    Backend backend(HoldsBookings(release));
-    Site site(ServersInCells(kHeld, backend));
+    Backend backend(HoldBookRequests(release));
+    Site site(BackendsInCells(kHeld, backend));
     site.config["limits"]["sockets"] = 64;
     site.timeouts.evict_idle = site.timeouts.linger = std::chrono::minutes(1);
-    site.timeouts.evict_unused = kRipe;
+    site.timeouts.evict_unused = kEvictAfter;
     site.Start();
     std::vector<std::unique_ptr<Client>> clients;
     const auto connect = [&] { clients.push_back(std::make_unique<Client>(site.proxy->address)); };
@@ -138,16 +140,16 @@
     connect();
     EXPECT_FALSE(clients[1]->Ask(Look("Connection: close\r\n")).keep_alive());
     const auto answered = proxy::Steady::now();
-    while (clients.size() <= kClients) connect();  // one too many: it waits for room
+    while (clients.size() <= kClients) connect();  // one too many, which stays in the accept queue
     for (int held = 0; held < kHeld; ++held) {
       clients[2 + static_cast<std::size_t>(held)]->Send(WithId(Book(), std::to_string(held)));
     }
     ASSERT_TRUE(backend.WaitForRequests(2 + kHeld));
-    while (proxy::Steady::now() < answered + kStop) std::this_thread::yield();
+    while (proxy::Steady::now() < answered + kStopAfter) std::this_thread::yield();
     std::promise<void> over;
     site.proxy->Ask([&](proxy::Proxy& p) {
       p.Stop([&] { over.set_value(); });
-      const auto until = proxy::Steady::now() + kStandStill;
+      const auto until = proxy::Steady::now() + kBlocked;
       while (proxy::Steady::now() < until) std::this_thread::yield();
       return true;
     });
@@ -160,12 +162,12 @@
   }
 }
 
-// The system has accepted connections for which there is no place; the listener's end would reset them.
-TEST(DrainTakes, ConnectionsThatWaitForRoomAreTakenOnceThereIsSome) {
-  constexpr std::size_t kHeld = 10, kEnding = 20;  // all places that there are with 64 sockets
+// Connections beyond the limit wait in the kernel's queue; closing the listener would reset them.
+TEST(DrainAccepts, QueuedConnectionsAreAcceptedOnceThereIsRoom) {
+  constexpr std::size_t kHeld = 10, kEnding = 20;  // all client connections that 64 sockets allow
   Watched<bool> release;
-  Backend backend(HoldsBookings(release));
-  Site site(ServersInCells(kHeld, backend));
+  Backend backend(HoldBookRequests(release));
+  Site site(BackendsInCells(kHeld, backend));
   site.config["limits"]["sockets"] = 64;
   site.timeouts.evict_unused = site.timeouts.evict_idle = site.timeouts.linger = std::chrono::minutes(1);
   site.Start();
@@ -185,11 +187,11 @@
     waiting.back()->Send(WithId(Look("Req-Deadline-Ms: 1000\r\n"), id));
   }
   const auto stopped = site.proxy->Stop();
-  EXPECT_EQ(stopped.wait_for(kLate), std::future_status::timeout);
+  EXPECT_EQ(stopped.wait_for(kLateForPending), std::future_status::timeout);
   ending.clear();
   for (const auto& client : waiting) {
     const unsigned status = client->Read().result_int();
-    EXPECT_TRUE(status == 200 || status == 503) << status;  // a young process refuses some by chance
+    EXPECT_TRUE(status == 200 || status == 503) << status;  // a new process refuses some at random
   }
   release.Do([](bool& r) { r = true; });
   for (const auto& client : held) EXPECT_EQ(client->Read().result_int(), 200u);
@@ -197,8 +199,8 @@
   EXPECT_EQ(stopped.wait_for(kGiveUp), std::future_status::ready);
 }
 
-// What is held is over at its deadline, also where its server says nothing.
-TEST(DrainTakes, WhatIsHeldIsAnsweredAtItsDeadlineAndThenTheProcessEnds) {
+// A pending request ends at its deadline, also if its backend never responds.
+TEST(DrainAccepts, PendingRequestsEndAtTheirDeadlineAndThenTheProcessExits) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket&, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
@@ -210,15 +212,15 @@
   client->Send(Post("book", "Req-Deadline-Ms: 1000\r\n"));
   ASSERT_TRUE(backend.WaitForRequests(1));
   const auto stopped = site.proxy->Stop();
-  EXPECT_EQ(client->Read().result_int(), 502u);  // it may have run
+  EXPECT_EQ(client->Read().result_int(), 502u);  // the request may have been executed
   client.reset();
   EXPECT_EQ(stopped.wait_for(kGiveUp), std::future_status::ready);
   release.Do([](bool& r) { r = true; });
 }
 
-// The answer says that the connection ends with it (RFC 9112, 9.6): what was sent ahead has not run, and its
-// bytes do not make the end a reset.
-TEST(DrainTakes, TheAnswerOfAHeldRequestIsWholeAndItsConnectionEndsThoughMoreWasSentAhead) {
+// The response announces the close (RFC 9112, 9.6): the pipelined request is not executed, and its unread
+// bytes must not turn the close into a reset.
+TEST(DrainAccepts, APendingRequestGetsItsCompleteResponseDespitePipelinedBytes) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
@@ -245,8 +247,8 @@
   EXPECT_EQ(backend.seen.Get().requests.size(), 1u);
 }
 
-// The program: signals that come while it drains neither end it early nor cut what is held.
-TEST(DrainTakes, AnotherSigtermAndAReloadInTheDrainCutNothing) {
+// Further signals during the drain neither end the process early nor cut off pending requests.
+TEST(DrainAccepts, AnotherSigtermAndAReloadDuringTheDrainCutOffNothing) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
@@ -254,7 +256,7 @@
     return true;
   });
   FakeDiscovery here, there;
-  there.SetWhole(ListJson(7, true, {}));  // it does not name the server that has the request
+  there.SetWhole(ListJson(7, true, {}));  // without the backend that has the request
   const auto known = Members(MemberJson("s-1", backend.address()));
   const ConfigFile file(ConfigJson(here.address(), known).dump());
   const auto address = FreePort();
@@ -270,7 +272,7 @@
   child.Signal(SIGHUP);
   child.Signal(SIGTERM);
   child.Signal(SIGINT);
-  ASSERT_TRUE(there.WaitForWatches(1));  // the list is taken over
+  ASSERT_TRUE(there.WaitForWatches(1));  // the list was applied
   release.Do([](bool& r) { r = true; });
   EXPECT_EQ(client->Read().body(), "held");
   client.reset();
--- a/tests/proxy/endings_test.cpp
+++ b/tests/proxy/endings_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The end of the process, and of connections, while bytes are on their way.
+// Shutdown of the process and of connections while bytes are in transit.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/stat.h>
@@ -13,15 +13,15 @@
 namespace kestrelline::testing {
 namespace {
 
-// What the system has accepted by the time the listener closes is answered; a loop that was busy until then
-// has not seen it yet.
-TEST(Endings, ConnectionsInTheQueueAreTakenBeforeTheListenerCloses) {
+// Connections that are in the kernel's queue when the listener closes must be answered, even if the event
+// loop was blocked and has not accepted them.
+TEST(Shutdown, QueuedConnectionsAreAcceptedBeforeTheListenerCloses) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
   std::vector<std::unique_ptr<Client>> clients;
   std::promise<void> over;
-  site.proxy->Ask([&](proxy::Proxy& p) {  // the loop stands still meanwhile
+  site.proxy->Ask([&](proxy::Proxy& p) {  // blocks the event loop
     p.Stop([&] { over.set_value(); });
     for (int i = 0; i < 4; ++i) {
       clients.push_back(std::make_unique<Client>(site.proxy->address));
@@ -31,7 +31,7 @@
     while (proxy::Steady::now() < late) std::this_thread::yield();
     return true;
   });
-  // Each has its answer; the module may refuse some of so many at once.
+  // Each gets a response; the balancer may refuse some of so many at once.
   for (const auto& client : clients) {
     const unsigned status = client->Read().result_int();
     EXPECT_TRUE(status == 200 || status == 503) << status;
@@ -40,9 +40,8 @@
   EXPECT_EQ(over.get_future().wait_for(kGiveUp), std::future_status::ready);
 }
 
-// The end of the process closes what is open; over unread bytes that is a reset, which may overtake the
-// answer.
-TEST(Endings, TheProcessOutlivesItsLastAnswersUntilTheirClientsHaveClosed) {
+// Exiting closes all sockets; with unread bytes that is a reset, which may overtake the response.
+TEST(Shutdown, WaitsUntilClientsHaveClosedAfterTheirLastResponse) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
@@ -60,16 +59,16 @@
   const auto answer = client->Read();
   EXPECT_EQ(answer.body(), "last");
   EXPECT_FALSE(answer.keep_alive());
-  // Longer than it goes on accepting.
+  // Longer than the process accepts connections.
   EXPECT_EQ(stopped.wait_for(2 * kestrelline::lifecycle::Times().stop_accepting),
             std::future_status::timeout);
   client.reset();
   EXPECT_EQ(stopped.wait_for(kGiveUp), std::future_status::ready);
 }
 
-// Where places run short an answer ends its connection; what the client sends behind it finds no closed
-// socket, whose reset would go for the answer too.
-TEST(Endings, AConnectionThatEndsForWantOfPlacesIsNotReset) {
+// Near the connection limit a response closes its connection. Bytes that the client sends after it must not
+// meet a closed socket, whose reset could destroy the response.
+TEST(Shutdown, AConnectionThatIsClosedNearTheLimitIsNotReset) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
@@ -87,17 +86,18 @@
   EXPECT_FALSE(failed);
   EXPECT_TRUE(client.Ended());
   asio::write(client.socket, asio::buffer("E", 1), failed);
-  EXPECT_FALSE(failed) << failed.message();  // a reset would have come with the one before
+  EXPECT_FALSE(failed) << failed.message();  // the previous write would have caused a reset
 }
 
-// A file that is read only when the test writes it: what comes meanwhile comes in the middle of the start.
+// A configuration file whose reader blocks until the test writes it, so that the test can act in the middle
+// of the start.
 class Fifo {
  public:
   Fifo() : path(folder_ / "config.json") {
     if (mkfifo(path.c_str(), 0600) != 0) throw std::runtime_error("no fifo");
   }
 
-  // Once somebody reads; then `meanwhile`, then the text. False if nobody does.
+  // Waits for a reader, calls `meanwhile` and writes the text. False if there is no reader in time.
   bool Write(
       const std::string& text, const std::function<void()>& meanwhile = [] {}) const {
     const auto until = std::chrono::steady_clock::now() + kGiveUp;
@@ -132,8 +132,8 @@
   return false;
 }
 
-// A start that waits for its plug-ins runs the loop, which hears of the signal before anybody can reload.
-TEST(Endings, AReloadThatIsAskedForInTheMiddleOfTheStartHolds) {
+// While the start waits for plug-ins, the event loop already receives signals, before a reload is possible.
+TEST(Shutdown, AReloadRequestedDuringTheStartIsApplied) {
   const kestrelline::testing::TemporaryFolder folder;
   folder.Write("operator.toml", R"(version = 1
 [[plugin]]
@@ -159,7 +159,7 @@
     return ConfigJson(discovery.address(), Members(MemberJson("s-1", backend.address()))).dump();
   };
   ASSERT_TRUE(file.Write(config(here, before), [&] { child.Signal(SIGHUP); }));
-  ASSERT_TRUE(WaitUntilItListens(address));  // the file has been read to its end
+  ASSERT_TRUE(WaitUntilItListens(address));  // the file has been read
   ASSERT_TRUE(file.Write(config(there, before)));
   ASSERT_TRUE(there.WaitForWatches(1));
   Client client(address);
--- a/tests/proxy/forms_test.cpp
+++ b/tests/proxy/forms_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// All forms of HTTP/1.1 (RFC 9112 and 9110), from clients and from servers: whole, byte by byte and cut at
-// random, with equal results.
+// The message forms of HTTP/1.1 (RFC 9112 and 9110), from clients and from backends: sent at once, byte by
+// byte and in random segments, with equal results.
 #include <gtest/gtest.h>
 
 #include <boost/asio/read_until.hpp>
@@ -12,21 +12,23 @@
 namespace kestrelline::testing {
 namespace {
 
-enum class Cut { kWhole, kBytes, kRandom };
-constexpr Cut kCuts[] = {Cut::kWhole, Cut::kBytes, Cut::kRandom};
+enum class Segments { kWhole, kSingleBytes, kRandom };
+constexpr Segments kAllSegments[] = {Segments::kWhole, Segments::kSingleBytes, Segments::kRandom};
 
-void SendCut(Tcp::socket& socket, const std::string& bytes, Cut cut) {
+void SendSegmented(Tcp::socket& socket, const std::string& bytes, Segments segments) {
   std::mt19937 random(20261201);
   socket.set_option(Tcp::no_delay(true));
   for (std::size_t at = 0; at < bytes.size();) {
-    const std::size_t n = cut == Cut::kWhole ? bytes.size() : cut == Cut::kBytes ? 1 : 1 + random() % 40;
+    const std::size_t n = segments == Segments::kWhole         ? bytes.size()
+                          : segments == Segments::kSingleBytes ? 1
+                                                               : 1 + random() % 40;
     SendRaw(socket, bytes.substr(at, n));
     at += n;
   }
 }
 
-// What the backend is to see of a request.
-struct Asked {
+// A request, and what the backend must receive of it.
+struct RequestForm {
   const char* name;
   std::string bytes;
   std::string target, body;
@@ -37,7 +39,7 @@
 const std::string kLook = "Host: x\r\nReq-Id: 1\r\nReq-Kind: look\r\n";
 const std::string kBook = "Host: x\r\nReq-Id: 1\r\nReq-Kind: book\r\n";
 
-std::vector<Asked> Requests() {
+std::vector<RequestForm> Requests() {
   return {
       {"9112 6.3 length", "POST /book HTTP/1.1\r\n" + kBook + "Content-Length: 4\r\n\r\ntext", "/book",
        "text"},
@@ -80,15 +82,15 @@
   };
 }
 
-TEST(Forms, OfRequestsAreReadAlikeHoweverTheyAreCut) {
-  for (const Asked& form : Requests()) {
-    for (const Cut cut : kCuts) {
-      SCOPED_TRACE(std::string(form.name) + ", cut " + std::to_string(static_cast<int>(cut)));
+TEST(MessageForms, RequestsAreParsedAlikeInEachSegmentation) {
+  for (const RequestForm& form : Requests()) {
+    for (const Segments segments : kAllSegments) {
+      SCOPED_TRACE(std::string(form.name) + ", cut " + std::to_string(static_cast<int>(segments)));
       Backend backend;
       Site site(Members(MemberJson("s-1", backend.address())));
       site.Start();
       Client client(site.proxy->address);
-      SendCut(client.socket, form.bytes, cut);
+      SendSegmented(client.socket, form.bytes, segments);
       const auto answer = client.Read();
       EXPECT_EQ(answer.result_int(), form.status);
       EXPECT_EQ(answer.keep_alive(), form.kept);
@@ -107,8 +109,8 @@
   }
 }
 
-TEST(Forms, PipelinedRequestsAreAnsweredInOrderHoweverTheyAreCut) {
-  for (const Cut cut : kCuts) {
+TEST(MessageForms, PipelinedRequestsAreAnsweredInOrderInEachSegmentation) {
+  for (const Segments segments : kAllSegments) {
     Backend backend([](Tcp::socket& s, const HttpRequest& r) {
       SendRaw(s, OkAnswer(std::string(r["Req-Id"]) + std::string(r.body())));
       return true;
@@ -124,12 +126,12 @@
                           : "\r\nPOST /book HTTP/1.1\r\nReq-Id: " + id +
                                 "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ntext\r\n0\r\n\r\n";
     }
-    SendCut(client.socket, all, cut);
+    SendSegmented(client.socket, all, segments);
     for (int i = 0; i < 6; ++i) EXPECT_EQ(client.Read().body(), std::to_string(i) + (i % 3 ? "text" : ""));
   }
 }
 
-TEST(Forms, ExpectIsAnsweredBeforeTheBodyAndNotPassedOn) {
+TEST(MessageForms, ExpectIsAnsweredBeforeTheBodyAndNotForwarded) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -144,12 +146,12 @@
     EXPECT_EQ(backend.seen.Get().requests.back().count("Expect"), 0u);
     EXPECT_EQ(backend.seen.Get().requests.back().body(), "text");
   }
-  Client old(site.proxy->address);  // 1.0 knows no interim answers (RFC 9110, 10.1.1)
+  Client old(site.proxy->address);  // HTTP/1.0 has no interim responses (RFC 9110, 10.1.1)
   old.Send("POST /book HTTP/1.0\r\n" + kBook + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\ntext");
   EXPECT_EQ(old.Read().result_int(), 200u);
 }
 
-TEST(Forms, HeadHasNoBodyAndKeepsTheConnectionInStep) {
+TEST(MessageForms, AHeadResponseHasNoBody) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -161,16 +163,16 @@
   EXPECT_GT(n, 4096u);
 }
 
-struct Said {
+struct ResponseForm {
   const char* name;
   std::string bytes;
   std::string body;
   unsigned status = 200;
-  bool ends = false;  // the server ends the connection
+  bool ends = false;  // the backend closes the connection
 };
 
-TEST(Forms, OfAnswersAreReadAlikeHoweverTheyAreCut) {
-  const std::vector<Said> answers = {
+TEST(MessageForms, ResponsesAreParsedAlikeInEachSegmentation) {
+  const std::vector<ResponseForm> answers = {
       {"9112 6.3 length", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine", "fine"},
       {"9112 7.1 chunks, extensions, trailers",
        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=\"y\"\r\nfi\r\n2\r\nne\r\n0\r\nX-T: "
@@ -190,11 +192,11 @@
        "failed\n", 502, true},
       {"9110 15.2.2 another protocol", "HTTP/1.1 101 Switching Protocols\r\n\r\n", "failed\n", 502},
   };
-  for (const Said& form : answers) {
-    for (const Cut cut : kCuts) {
-      SCOPED_TRACE(std::string(form.name) + ", cut " + std::to_string(static_cast<int>(cut)));
+  for (const ResponseForm& form : answers) {
+    for (const Segments segments : kAllSegments) {
+      SCOPED_TRACE(std::string(form.name) + ", cut " + std::to_string(static_cast<int>(segments)));
       Backend backend([&](Tcp::socket& s, const HttpRequest&) {
-        SendCut(s, form.bytes, cut);
+        SendSegmented(s, form.bytes, segments);
         return !form.ends;
       });
       Site site(Members(MemberJson("s-1", backend.address())));
--- a/tests/proxy/upgrade_test.cpp
+++ b/tests/proxy/upgrade_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Two processes on one inherited listener: upgrades under load, and what can go wrong with them.
+// Two processes on one inherited listener: upgrades under load, and their failures.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -18,20 +18,20 @@
 
 using kestrelline::testing::TemporaryFolder;
 
-// What the platform holds: the listening socket, the folder, the list.
+// What the platform provides: the listening socket, the shared folder, the list of backends.
 struct Platform {
   explicit Platform(int sockets = 384) {
     config = ConfigJson(discovery.address(), Members(MemberJson("s-1", backend.address())));
     config["limits"]["sockets"] = sockets;
     file = std::make_unique<ConfigFile>(config.dump());
   }
-  std::unique_ptr<Child> Start(const Tcp::endpoint& door, int descriptor = -1,
+  std::unique_ptr<Child> Start(const Tcp::endpoint& management, int descriptor = -1,
                                std::map<std::string, std::string> more = {},
                                std::vector<std::string> arguments = {}) {
     std::map<std::string, std::string> env{
         {"ROUTER_CONFIG", file->path},
         {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(listener.local_endpoint().port())},
-        {"ROUTER_MGMT", "127.0.0.1:" + std::to_string(door.port())},
+        {"ROUTER_MGMT", "127.0.0.1:" + std::to_string(management.port())},
         {"ROUTER_INHERITED_FD", std::to_string(Child::kInherited)},
         {"TMPDIR", folder.path()}};
     for (const auto& [name, value] : more) env[name] = value;
@@ -54,9 +54,9 @@
   Tcp::acceptor listener{io, kAnyPort};
 };
 
-bool AwaitYes(const Tcp::endpoint& door) {
+bool AwaitReady(const Tcp::endpoint& management) {
   const auto until = std::chrono::steady_clock::now() + kGiveUp;
-  while (Call(door, "ready\n") != "ACK ready\n") {
+  while (Call(management, "ready\n") != "ACK ready\n") {
     if (std::chrono::steady_clock::now() > until) return false;
     std::this_thread::yield();
   }
@@ -65,7 +65,7 @@
 std::size_t Descriptors(pid_t pid) {
   std::size_t n = 0;
   std::error_code gone;
-  // Between its fork and its exec a child has what this process has.
+  // Between fork and exec, a child has the descriptors of this process.
   if (std::filesystem::read_symlink("/proc/" + std::to_string(pid) + "/exe", gone) != PROXY_PATH) return 0;
   for (auto it = std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/fd", gone);
        !gone && it != std::filesystem::directory_iterator(); it.increment(gone))
@@ -73,21 +73,21 @@
   return n;
 }
 
-// Clients that keep connections and clients that open one for each request, until told to stop. What is
-// neither answered nor allowed to be asked again is counted.
-class Load {
+// Clients with persistent connections and clients that open one for each request, until stopped. Counts
+// requests that got neither a response nor a result that permits a retry.
+class BackgroundLoad {
  public:
-  Load(Platform& platform, int clients) : platform_(platform) {
+  BackgroundLoad(Platform& platform, int clients) : platform_(platform) {
     for (int c = 0; c < clients; ++c) threads_.emplace_back([this, c] { Run(c); });
   }
-  ~Load() { Stop(); }
+  ~BackgroundLoad() { Stop(); }
   void Stop() {
     over = true;
     for (auto& thread : threads_)
       if (thread.joinable()) thread.join();
   }
-  // Until so many more have been served.
-  bool Pass(int more) {
+  // Waits until `more` further requests have been served.
+  bool AwaitServed(int more) {
     const int before = served;
     const auto until = std::chrono::steady_clock::now() + kGiveUp;
     while (served < before + more && std::chrono::steady_clock::now() < until) std::this_thread::yield();
@@ -108,17 +108,17 @@
         try {
           if (!client) client = std::make_unique<Client>(platform_.address());
         } catch (const std::exception&) {
-          ++wrong;  // refused: nobody listens
+          ++wrong;  // connection refused: no listener
           return;
         }
         answer = client->Ask(WithId(Book(), id));
-        if (answer.result_int() == 503) {  // a process that is young refuses some by chance: it is harmless
+        if (answer.result_int() == 503) {  // a new process refuses some at random, which is harmless
           ++refused, ++refusals;
           if (!answer.keep_alive()) client.reset();
           continue;
         }
         if (answer.result_int() != 0) break;
-        client.reset();  // its end crossed the request
+        client.reset();  // the close crossed the request
         ++unread, ++tries;
       }
       const bool right = answer.result_int() == 200 && answer.body() == id;
@@ -133,13 +133,13 @@
   std::vector<std::thread> threads_;
 };
 
-TEST(Upgrade, TenInARowUnderLoadLoseNothingAndKeepToOneLimit) {
+TEST(Upgrade, TenUpgradesUnderLoadLoseNoRequestAndShareOneLimit) {
   constexpr int kLimit = 384;
   Platform platform(kLimit);
-  auto door = FreePort();
-  auto running = platform.Start(door);
-  ASSERT_TRUE(AwaitYes(door));
-  Load load(platform, 8);
+  auto management = FreePort();
+  auto running = platform.Start(management);
+  ASSERT_TRUE(AwaitReady(management));
+  BackgroundLoad load(platform, 8);
   std::atomic<bool> over{false};
   std::atomic<pid_t> pids[2] = {running->pid(), -1};
   std::size_t most = 0;
@@ -152,34 +152,34 @@
     }
   });
   for (int upgrade = 0; upgrade < 10; ++upgrade) {
-    EXPECT_TRUE(load.Pass(50)) << upgrade;
-    const auto next_door = FreePort();
-    auto next = platform.Start(next_door);
+    EXPECT_TRUE(load.AwaitServed(50)) << upgrade;
+    const auto next_management = FreePort();
+    auto next = platform.Start(next_management);
     pids[1] = next->pid();
-    ASSERT_TRUE(AwaitYes(next_door)) << upgrade;
+    ASSERT_TRUE(AwaitReady(next_management)) << upgrade;
     running->Signal(SIGTERM);
     EXPECT_EQ(running->Wait(), 0);
     running = std::move(next);
     pids[0] = running->pid();
     pids[1] = -1;
   }
-  EXPECT_TRUE(load.Pass(50));
+  EXPECT_TRUE(load.AwaitServed(50));
   load.Stop();
   over = true;
   sampler.join();
   EXPECT_EQ(load.wrong, 0);
-  // Whose end crosses a request may be asked again; that it does is a matter of microseconds.
+  // A request that crosses the close of its connection may be sent again; this window is microseconds.
   EXPECT_LE(load.unread, 10 * 8);
   for (const auto& [id, times] : platform.ran.Get()) EXPECT_EQ(times, 1) << id;
   EXPECT_LE(most, static_cast<std::size_t>(kLimit));
   EXPECT_GT(most, 20u);
 }
 
-// What may have run, and where, is known to the process that goes on, though no other proxy is there to ask:
-// also of what is sent after the other one has been told to end.
-TEST(Upgrade, AProxyThatIsAloneLeavesItsClaimsToItsSuccessor) {
+// The succeeding process knows which keyed requests may have run, and where, although there is no other proxy
+// to ask. This includes attempts sent after the old process received SIGTERM.
+TEST(Upgrade, AProxyWithoutPeersHandsItsClaimsToItsSuccessor) {
   Platform platform;
-  // A converter that takes as long as the test says over some requests, and has no room the first time.
+  // A backend that delays some requests until the release, and declines the first one.
   Watched<bool> release;
   std::atomic<int> held{0};
   Backend slow([&](Tcp::socket& s, const HttpRequest& r) {
@@ -195,12 +195,12 @@
   const std::string listen = "\"127.0.0.1:" + std::to_string(FreePort().port()) + "\"";
   platform.folder.Write("peers.toml", "version = 1\n[peers]\nlisten = " + listen + "\nseeds = [" + listen +
                                           "]\nkey_file = \"peers.key\"\n[replica]\nclaim = \"tell\"\n");
-  const auto start = [&](const Tcp::endpoint& door) {
-    return platform.Start(door, -1, {}, {"--operator", platform.folder / "peers.toml"});
+  const auto start = [&](const Tcp::endpoint& management) {
+    return platform.Start(management, -1, {}, {"--operator", platform.folder / "peers.toml"});
   };
-  // What is held, and up to which number of the origin that wrote most.
-  const auto holds = [](const Tcp::endpoint& door) {
-    const std::string said = Call(door, "replica\n");
+  // Number of replicated entries, and the highest sequence number of any origin.
+  const auto holds = [](const Tcp::endpoint& management) {
+    const std::string said = Call(management, "replica\n");
     std::pair<int, int> all{-1, 0};
     if (!said.starts_with("ACK ")) return all;
     const auto report = nlohmann::json::parse(said.substr(4));
@@ -208,112 +208,113 @@
     for (const auto& o : report["origins"]) all.second = std::max(all.second, o["upto"].get<int>());
     return all;
   };
-  const auto door = FreePort(), next_door = FreePort();
-  const auto running = start(door);
-  ASSERT_TRUE(AwaitYes(door));
-  constexpr int kKeys = 2000;  // more than a slice
+  const auto management = FreePort(), next_management = FreePort();
+  const auto running = start(management);
+  ASSERT_TRUE(AwaitReady(management));
+  constexpr int kKeys = 2000;  // more than one slice of a transfer
   Client client(platform.address());
   for (int k = 0; k < kKeys; ++k) {
     const auto request = Post("change", "Idempotency-Key: k" + std::to_string(k) + "\r\n");
-    while (client.Ask(request).result_int() == 503) continue;  // a young process refuses some by chance
+    while (client.Ask(request).result_int() == 503) continue;  // a new process refuses some at random
   }
   Client waits(platform.address());
   while (held == 0) {
     waits.Send(WithId(Post("change", "Idempotency-Key: held\r\nReq-Deadline-Ms: 20000\r\n"), "waits"));
     while (held == 0 && waits.socket.available() == 0) std::this_thread::yield();
-    if (held == 0) waits.Read();  // refused by chance
+    if (held == 0) waits.Read();  // refused at random
   }
-  const auto next = start(next_door);
-  ASSERT_TRUE(AwaitYes(next_door));
-  ASSERT_EQ(holds(next_door), std::pair(0, 0));
-  // An attempt that never left wrote more than once.
-  const auto before = holds(door);
+  const auto next = start(next_management);
+  ASSERT_TRUE(AwaitReady(next_management));
+  ASSERT_EQ(holds(next_management), std::pair(0, 0));
+  // Each attempt that was not sent wrote more than one record.
+  const auto before = holds(management);
   ASSERT_EQ(before.first, kKeys + 1);
   ASSERT_GE(before.second, kKeys + 1);
   running->Signal(SIGTERM);
-  // What the successor holds once it is the same, or when the time is over.
+  // What the successor holds once it equals `what`, or after the time limit.
   const auto awaited = [&](std::pair<int, int> what) {
     const auto until = std::chrono::steady_clock::now() + kGiveUp;
-    while (holds(next_door) != what && std::chrono::steady_clock::now() < until) std::this_thread::yield();
-    return holds(next_door);
+    while (holds(next_management) != what && std::chrono::steady_clock::now() < until)
+      std::this_thread::yield();
+    return holds(next_management);
   };
   EXPECT_EQ(awaited(before), before);
   release.Do([](bool& go) { go = true; });
   EXPECT_EQ(waits.Read().result_int(), 200u);
-  // The first attempt's is taken back, the second one's made.
+  // The claim of the first attempt is withdrawn, and the second one's is added.
   const std::pair after(before.first, before.second + 2);
   EXPECT_EQ(awaited(after), after);
   EXPECT_EQ(running->Wait(), 0);
 }
 
-TEST(Upgrade, TheNewOneKilledBeforeItsYesChangesNothing) {
+TEST(Upgrade, KillingTheNewProcessBeforeItIsReadyChangesNothing) {
   Platform platform;
-  const auto door = FreePort(), next_door = FreePort();
-  const auto running = platform.Start(door);
-  ASSERT_TRUE(AwaitYes(door));
-  Load load(platform, 3);
+  const auto management = FreePort(), next_management = FreePort();
+  const auto running = platform.Start(management);
+  ASSERT_TRUE(AwaitReady(management));
+  BackgroundLoad load(platform, 3);
   for (int i = 0; i < 5; ++i) {
-    const auto next = platform.Start(next_door);
+    const auto next = platform.Start(next_management);
     if (i % 2) {
-      EXPECT_TRUE(load.Pass(20));
+      EXPECT_TRUE(load.AwaitServed(20));
     }
     next->Signal(SIGKILL);
     next->Wait();
-    EXPECT_TRUE(load.Pass(20));
+    EXPECT_TRUE(load.AwaitServed(20));
   }
   load.Stop();
   EXPECT_EQ(load.wrong, 0);
   EXPECT_EQ(load.unread, 0);
-  EXPECT_EQ(Call(door, "ready\n"), "ACK ready\n");
+  EXPECT_EQ(Call(management, "ready\n"), "ACK ready\n");
 }
 
-TEST(Upgrade, TheOldOneKilledEarlyLeavesTheQueueToTheNewOne) {
+TEST(Upgrade, KillingTheOldProcessLeavesTheQueueToTheNewOne) {
   Platform platform;
-  const auto door = FreePort(), next_door = FreePort();
-  auto running = platform.Start(door);
-  ASSERT_TRUE(AwaitYes(door));
-  const auto next = platform.Start(next_door);
-  ASSERT_TRUE(AwaitYes(next_door));
+  const auto management = FreePort(), next_management = FreePort();
+  auto running = platform.Start(management);
+  ASSERT_TRUE(AwaitReady(management));
+  const auto next = platform.Start(next_management);
+  ASSERT_TRUE(AwaitReady(next_management));
   running->Signal(SIGKILL);
   running->Wait();
-  Load load(platform, 3);
-  EXPECT_TRUE(load.Pass(50));
+  BackgroundLoad load(platform, 3);
+  EXPECT_TRUE(load.AwaitServed(50));
   load.Stop();
   EXPECT_EQ(load.wrong, 0);
 }
 
-TEST(Upgrade, ASecondOneAtOnceServesToo) {
+TEST(Upgrade, ThreeProcessesServeAtOnce) {
   Platform platform;
   const auto a = FreePort(), b = FreePort(), c = FreePort();
   auto first = platform.Start(a), second = platform.Start(b), third = platform.Start(c);
-  for (const auto& door : {a, b, c}) ASSERT_TRUE(AwaitYes(door));
-  Load load(platform, 4);
-  EXPECT_TRUE(load.Pass(50));
+  for (const auto& management : {a, b, c}) ASSERT_TRUE(AwaitReady(management));
+  BackgroundLoad load(platform, 4);
+  EXPECT_TRUE(load.AwaitServed(50));
   for (auto* old : {&first, &second}) {
     (*old)->Signal(SIGTERM);
     EXPECT_EQ((*old)->Wait(), 0);
-    EXPECT_TRUE(load.Pass(50));
+    EXPECT_TRUE(load.AwaitServed(50));
   }
   load.Stop();
   EXPECT_EQ(load.wrong, 0);
 }
 
-TEST(Upgrade, WithoutAListItSaysYesAfterAWaitByTheOneItKnows) {
+TEST(Upgrade, BecomesReadyWithTheKnownListIfNoFreshListArrives) {
   Platform platform;
-  const auto door = FreePort();
-  const auto running = platform.Start(door);  // this discovery pushes nothing
-  EXPECT_TRUE(AwaitYes(door));
+  const auto management = FreePort();
+  const auto running = platform.Start(management);  // this discovery sends no list
+  EXPECT_TRUE(AwaitReady(management));
 }
 
-TEST(Upgrade, AFolderThatIsMissingMeansThatItServesAlone) {
+TEST(Upgrade, ServesAloneIfTheSharedFolderIsMissing) {
   Platform platform;
-  const auto door = FreePort();
-  const auto running = platform.Start(door, -1, {{"TMPDIR", platform.folder / "missing"}});
-  EXPECT_TRUE(AwaitYes(door));
+  const auto management = FreePort();
+  const auto running = platform.Start(management, -1, {{"TMPDIR", platform.folder / "missing"}});
+  EXPECT_TRUE(AwaitReady(management));
   EXPECT_NE(running->StderrLine().find("cannot share limits with other processes"), std::string::npos);
 }
 
-TEST(Upgrade, ADescriptorThatIsNoListenerOfThisAddressIsRefusedWithWhatItIs) {
+TEST(Upgrade, AnUnsuitableInheritedDescriptorIsRefusedWithTheReason) {
   Platform platform;
   asio::io_context io;
   Tcp::acceptor elsewhere(io, kAnyPort);
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -15,8 +15,8 @@
 namespace kestrelline::testing {
 namespace {
 
-// ---- one final answer ---------------------------------------------------------------------------------
-TEST(Proxy, PassesARequestOnAndItsAnswerBackUnchanged) {
+// ---- one final response -------------------------------------------------------------------------------
+TEST(Proxy, ForwardsARequestAndItsResponseUnchanged) {
   Backend backend("a body");
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -39,7 +39,7 @@
   EXPECT_EQ(backend.seen.Get().requests[1].target(), "/look/it?page=2");
 }
 
-TEST(Proxy, AnAnswerCutShortIsAFailureAndUnsafeWorkIsNotSentAgain) {
+TEST(Proxy, ATruncatedResponseIsAFailureAndAnUnsafeRequestIsNotRetried) {
   const auto cut = [](Tcp::socket& s, const HttpRequest&) {
     SendRaw(s, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
     return false;
@@ -52,7 +52,7 @@
   EXPECT_EQ(one.seen.Get().requests.size() + two.seen.Get().requests.size(), 1u);
 }
 
-TEST(Proxy, AnAnswerThatOnlyTheConnectionsEndDelimitsIsNotTrusted) {
+TEST(Proxy, AResponseDelimitedOnlyByTheEndOfTheConnectionIsNotTrusted) {
   Backend backend([](Tcp::socket& s, const HttpRequest&) {
     SendRaw(s, "HTTP/1.1 200 OK\r\n\r\nperhaps not all");
     return false;
@@ -63,7 +63,7 @@
   EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
 }
 
-TEST(Proxy, BodiesOf64KiBPassBothWays) {
+TEST(Proxy, BodiesOf64KiBAreForwardedBothWays) {
   Backend backend([](Tcp::socket& s, const HttpRequest& r) {
     SendRaw(s, OkAnswer(r.body()));
     return true;
@@ -75,7 +75,7 @@
   EXPECT_EQ(client.Ask(Post("book", "", body)).body(), body);
 }
 
-TEST(Proxy, GarbageFromABackendIsAFailureAndTheProxyLivesOn) {
+TEST(Proxy, AMalformedResponseIsAFailureAndTheProxyContinues) {
   Watched<int> asked;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     asked.Do([](int& n) { ++n; });
@@ -89,8 +89,8 @@
   EXPECT_EQ(client.Ask(Book()).body(), "well");
 }
 
-// ---- no double effect ---------------------------------------------------------------------------------
-TEST(Proxy, UnsafeWorkGoesElsewhereOnlyWhenDeclined) {
+// ---- no double execution ------------------------------------------------------------------------------
+TEST(Proxy, AnUnsafeRequestIsRetriedOnlyWhenDeclined) {
   Watched<int> declined;
   const auto decline_first = [&](Tcp::socket& s, const HttpRequest&) {
     int n = 0;
@@ -106,7 +106,7 @@
   EXPECT_EQ(declined.Get(), 2);
 }
 
-TEST(Proxy, A503WithoutTheBackendsWordMayHaveRun) {
+TEST(Proxy, A503WithoutSrvDeclinedMayHaveRun) {
   const auto busy = [](Tcp::socket& s, const HttpRequest&) {
     SendRaw(s, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     return true;
@@ -115,11 +115,11 @@
   Site site(Members(MemberJson("s-1", one.address()), MemberJson("s-2", two.address())));
   site.Start();
   Client client(site.proxy->address);
-  EXPECT_EQ(client.Ask(Book()).result_int(), 502u);  // failed, not refused
+  EXPECT_EQ(client.Ask(Book()).result_int(), 502u);  // failed, and not refused as safe to retry
   EXPECT_EQ(one.seen.Get().requests.size() + two.seen.Get().requests.size(), 1u);
 }
 
-TEST(Proxy, ARefusedConnectionNeverRanAndAnotherBackendServes) {
+TEST(Proxy, ARefusedConnectionIsRetriedAtAnotherBackend) {
   Tcp::endpoint nobody;
   {
     Backend gone;
@@ -132,7 +132,7 @@
   for (int i = 0; i < 6; ++i) EXPECT_EQ(client.Ask(Book()).result_int(), 200u) << i;
 }
 
-TEST(Proxy, AConnectionThatBreaksAfterTheRequestIsAReset) {
+TEST(Proxy, AConnectionThatClosesAfterTheRequestIsAReset) {
   Watched<int> asked;
   const auto drop = [&](Tcp::socket&, const HttpRequest&) {
     asked.Do([](int& n) { ++n; });
@@ -144,13 +144,13 @@
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
   EXPECT_EQ(asked.Get(), 1);
-  // A safe one is sent again, up to maxAttempts.
+  // A safe request is retried, up to maxAttempts.
   client.Ask(Look());
   EXPECT_GT(asked.Get(), 2);
   EXPECT_LE(asked.Get(), 5);
 }
 
-TEST(Proxy, AtTheTimeOutTheConnectionIsClosedAndALateAnswerDropped) {
+TEST(Proxy, ATimeoutClosesTheConnectionAndDropsALateResponse) {
   Watched<bool> release;
   Watched<int> asked;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
@@ -169,7 +169,7 @@
   EXPECT_EQ(client.Ask(Book()).body(), "in time");
 }
 
-TEST(Proxy, AClientThatLeavesIsForgottenAndItsAttemptStillReports) {
+TEST(Proxy, AnAttemptStillReportsAfterItsClientDisconnects) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
@@ -186,14 +186,14 @@
   }
   release.Do([](bool& r) { r = true; });
   EXPECT_TRUE(site.proxy->WaitUntilNothingIsHeld());
-  // The answer came in whole, so that the connection is good for the next request.
+  // The response was read completely, so the connection is reused.
   Client next(site.proxy->address);
   EXPECT_EQ(next.Ask(Book()).body(), "for nobody");
   EXPECT_EQ(backend.seen.Get().opened, 1);
 }
 
-// ---- idle pool ----------------------------------------------------------------------------------------
-TEST(Proxy, RequestsOneAfterTheOtherShareAConnection) {
+// ---- idle connections ---------------------------------------------------------------------------------
+TEST(Proxy, ConsecutiveRequestsShareAConnection) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.timeouts.reuse_delay = {};
@@ -203,10 +203,10 @@
   EXPECT_EQ(backend.seen.Get().opened, 1);
 }
 
-TEST(Proxy, AConnectionThatTheBackendClosedIsNotUsedAgain) {
+TEST(Proxy, AConnectionThatTheBackendClosedIsNotReused) {
   Backend backend([](Tcp::socket& s, const HttpRequest&) {
     SendRaw(s, OkAnswer("once"));
-    return false;  // closes, without saying so
+    return false;  // closes without announcing it
   });
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -227,7 +227,7 @@
   EXPECT_TRUE(backend.WaitForClosed(1));
 }
 
-TEST(Proxy, ARestartOrAMoveDropsIdleConnections) {
+TEST(Proxy, ARestartOrANewAddressClosesIdleConnections) {
   Backend backend, elsewhere("elsewhere");
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -242,7 +242,7 @@
   EXPECT_EQ(client.Ask(Look()).body(), "elsewhere");
 }
 
-TEST(Proxy, ABackendThatIsGoneAndNeverHadAnAddressIsNoCrash) {
+TEST(Proxy, ARemovedBackendWithoutAnAddressIsAccepted) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -254,7 +254,7 @@
 }
 
 // ---- discovery ----------------------------------------------------------------------------------------
-TEST(Proxy, WatchesFromTheKnownRevisionAndGoesOnFromTheLastOneApplied) {
+TEST(Proxy, WatchesFromTheKnownRevisionAndResumesFromTheLastOneApplied) {
   Backend one("one"), two("two");
   Site site(Members(MemberJson("s-1", one.address())));
   site.Start();
@@ -262,7 +262,8 @@
   EXPECT_EQ(site.discovery.seen.Get().watches[0], "/v1/endpoints?stream=1&index=41");
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Look()).body(), "one");
-  // A drain and a newcomer in one change: all goes to the newcomer, and the drained one's connection closes.
+  // One update drains a backend and adds another: all requests go to the new one, and the connection to the
+  // drained one closes.
   site.discovery.Push(ListJson(
       43, false, Members(MemberJson("s-1", one.address(), "terminating"), MemberJson("s-2", two.address()))));
   EXPECT_TRUE(one.WaitForClosed(1));
@@ -270,14 +271,14 @@
   site.discovery.EndWatch();
   ASSERT_TRUE(site.discovery.WaitForWatches(2));
   EXPECT_EQ(site.discovery.seen.Get().watches[1], "/v1/endpoints?stream=1&index=43");
-  // Addresses go on being used while discovery is away; a complete list takes the place of all.
+  // Known addresses stay in use while discovery is unavailable; a full list replaces them all.
   EXPECT_EQ(client.Ask(Look()).body(), "two");
   site.discovery.Push(ListJson(50, true, Members(MemberJson("s-1", one.address()))));
   EXPECT_TRUE(two.WaitForClosed(1));
   EXPECT_EQ(client.Ask(Look()).body(), "one");
 }
 
-TEST(Proxy, AGarbledLineEndsTheWatchAndNotTheProxy) {
+TEST(Proxy, AMalformedLineEndsTheWatchButNotTheProxy) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -296,7 +297,7 @@
   EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
 }
 
-TEST(DiscoveryWatch, AWatchWhoseHeartbeatStaysAwayIsAskedAgain) {
+TEST(DiscoveryWatch, ReconnectsWhenHeartbeatsStop) {
   FakeDiscovery fake;
   asio::io_context io(1);
   proxy::Discovery::Options options;
@@ -312,8 +313,8 @@
   loop.join();
 }
 
-// What changes while a call hangs must not wait for as long as a watch may be silent.
-TEST(DiscoveryWatch, ACallThatIsTakenAndNotAnsweredIsGivenUpLongBeforeAWatchWouldBe) {
+// A hanging call must time out much earlier than a silent watch, because changes are missed meanwhile.
+TEST(DiscoveryWatch, AHangingCallTimesOutLongBeforeASilentWatch) {
   Watched<int> calls;
   Listener hangs([&](Tcp::socket& socket) {
     boost::beast::flat_buffer buffer;
@@ -322,7 +323,7 @@
     http::read(socket, buffer, request, failed);
     if (!failed) calls.Do([](int& n) { ++n; });
     char byte;
-    asio::read(socket, asio::buffer(&byte, 1), failed);  // until it is given up
+    asio::read(socket, asio::buffer(&byte, 1), failed);  // until the client closes
   });
   asio::io_context io(1);
   proxy::Discovery::Options options;
@@ -338,9 +339,9 @@
   loop.join();
 }
 
-// Six seconds hold one call that hangs, the longest pause after it, and the next call's wait of 2 s. A watch
-// that falls silent is found out in time for one call more.
-TEST(DiscoveryWatch, ItsTimesLeaveRoomForTheNextCall) {
+// Within 6 s there must be time for one hanging call, the longest backoff after it, and the 2 s of the next
+// call. A silent watch must be detected early enough for one more call.
+TEST(DiscoveryWatch, TimeoutsLeaveRoomForTheNextCall) {
   using std::chrono::milliseconds;
   const proxy::Discovery::Options options;
   EXPECT_LE(options.call_timeout + milliseconds(500) + milliseconds(2000), milliseconds(6000));
@@ -359,7 +360,7 @@
   }
 }
 
-TEST(DiscoveryWatch, WhereItMustBeAskedAFailureIsReportedAndNotMended) {
+TEST(DiscoveryWatch, WithReconnectOnRequestAFailureIsReportedAndNotRetried) {
   Tcp::endpoint nobody;
   {
     FakeDiscovery gone;
@@ -373,11 +374,11 @@
   proxy::Discovery discovery(
       io, options, [](const proxy::MemberList&) {}, [&] { ++failures; });
   discovery.Watch();
-  io.run();  // comes to an end: nothing is tried again
+  io.run();  // returns, because nothing is retried
   EXPECT_EQ(failures, 1);
 }
 
-TEST(ServerNumbers, ComeFromTheIdAloneAndCollisionsFromTheNames) {
+TEST(ServerNumbers, DependOnTheIdAloneAndCollisionsOnTheOrderOfIds) {
   const auto list = [](std::vector<std::string> ids) {
     std::vector<proxy::Member> members;
     for (const auto& id : ids) members.emplace_back().id = id;
@@ -401,7 +402,7 @@
   EXPECT_EQ(distinct.size(), 3u);
 }
 
-TEST(BalancerClock, LongAgoStaysLongAgoAndTimesKeepTheirDistance) {
+TEST(BalancerClock, KeepsLongAgoAndDifferencesOfTimes) {
   const proxy::BalancerClock clock;
   EXPECT_EQ(clock.FromUnix(0), TimePoint{});
   const double unix_now = Duration(std::chrono::system_clock::now().time_since_epoch()).count();
@@ -413,7 +414,7 @@
 }
 
 // ---- refusals, start and stop -------------------------------------------------------------------------
-TEST(Proxy, WithoutAListItIsNotReadyAndRefusesWithoutHarm) {
+TEST(Proxy, WithoutAListItIsNotReadyAndRefusesRequests) {
   Site site(Members());
   site.config["settings"]["classes"][2]["goalTimeMs"] = 50;
   site.Start();
@@ -422,10 +423,10 @@
   EXPECT_EQ(client.Ask(Book()).result_int(), 503u);
 }
 
-TEST(Proxy, ARefusalSaysWhenToComeBack) {
+TEST(Proxy, ARefusalHasARetryAfterHeader) {
   Site site(Members());
   site.config["settings"]["classes"][2]["goalTimeMs"] = 50;
-  // Also where the simulator's clients are not told: on sockets the answer itself carries the advice.
+  // Although Retry-After is disabled for the simulator's clients: HTTP responses always carry it.
   site.config["settings"]["permissions"]["retryAfter"] = false;
   site.config["settings"]["permissions"]["maxRetryAfterMs"] = 1500;
   site.Start();
@@ -446,7 +447,7 @@
   EXPECT_EQ(status, 200u);
 }
 
-TEST(Proxy, AtTheStopItServesWhatItHoldsAndWhatComesAndThenEnds) {
+TEST(Proxy, StoppingServesPendingAndLateRequestsAndThenEnds) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
     if (r["Req-Kind"] == "book") release.WaitFor([](bool r) { return r; });
@@ -460,7 +461,7 @@
   holding.Send(Book());
   ASSERT_TRUE(backend.WaitForRequests(2));
   auto stopped = site.proxy->Stop();
-  // The first that the stopping proxy says: it takes no new front traffic.
+  // The stopping proxy reports first that it is not ready for new traffic.
   Client asks(site.proxy->address);
   EXPECT_EQ(asks.Ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").result_int(), 503u);
   Client late(site.proxy->address);
@@ -477,8 +478,8 @@
   EXPECT_EQ(stopped.wait_for(kGiveUp), std::future_status::ready);
 }
 
-// ---- backends that are not to be believed ---------------------------------------------------------------
-TEST(Proxy, InterimAnswersAreSkippedAndTheFinalOneServed) {
+// ---- untrusted backends -------------------------------------------------------------------------------
+TEST(Proxy, InterimResponsesAreSkipped) {
   Backend backend([](Tcp::socket& s, const HttpRequest&) {
     SendRaw(
         s, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n" + OkAnswer("final"));
@@ -490,7 +491,7 @@
   EXPECT_EQ(client.Ask(Book()).body(), "final");
 }
 
-TEST(Proxy, InterimAnswersWithoutEndAreAFailure) {
+TEST(Proxy, TooManyInterimResponsesAreAFailure) {
   Backend backend([](Tcp::socket& s, const HttpRequest&) {
     for (int i = 0; i < 50; ++i) SendRaw(s, "HTTP/1.1 103 Early Hints\r\n\r\n");
     SendRaw(s, OkAnswer("too late"));
@@ -502,11 +503,11 @@
   EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
 }
 
-TEST(Proxy, AnswersThatCanBeReadInTwoWaysAreFailuresAndTheirConnectionsCloseAtOnce) {
+TEST(Proxy, AResponseWithAmbiguousFramingIsAFailureAndClosesItsConnection) {
   for (const char* head : {"Content-Length: 4\r\nContent-Length: 4\r\n", "Content-Length: 4, 4\r\n",
                            "Content-Length: +4\r\n", "Transfer-Encoding: gzip\r\nContent-Length: 4\r\n",
                            "Transfer-Encoding: gzip, chunked\r\n", "Connection: keep-alive\r\n"}) {
-    // The backend keeps its side open, so that only the proxy can end the connection.
+    // The backend keeps its connection open, so that only the proxy can close it.
     Backend backend([head](Tcp::socket& s, const HttpRequest&) {
       SendRaw(s, std::string("HTTP/1.1 200 OK\r\n") + head + "\r\nbody");
       return true;
@@ -520,7 +521,7 @@
   }
 }
 
-TEST(Proxy, AnAnswerThatBeginsAndStallsIsGivenUp) {
+TEST(Proxy, AStalledResponseTimesOut) {
   Backend backend([](Tcp::socket& s, const HttpRequest& r) {
     SendRaw(s, r["Req-Kind"] == "book" ? "HTTP/1.1 200 OK\r\nContent-" : OkAnswer("well"));
     return true;
@@ -529,13 +530,13 @@
   site.timeouts.response_read = std::chrono::milliseconds(20);
   site.Start();
   Client client(site.proxy->address);
-  // Its deadline is a minute away: longer than the test waits.
+  // The deadline of a minute is longer than the time limit of the test.
   EXPECT_EQ(client.Ask(Book()).result_int(), 502u);
   EXPECT_TRUE(backend.WaitForClosed(1));
   EXPECT_EQ(client.Ask(Look()).body(), "well");
 }
 
-TEST(Proxy, AttemptsThatFellSilentDoNotTakeThePlacesOfOthers) {
+TEST(Proxy, StalledAttemptsDoNotBlockOthers) {
   Watched<bool> over;
   Watched<int> silent;
   Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
@@ -551,7 +552,7 @@
   site.Start();
   Client client(site.proxy->address);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(client.Ask(Book()).result_int(), 200u);
-  // All of them go out, and others still do: far more than the proxy's limit for one backend.
+  // All of them are sent, far more than the proxy's limit for one backend, and further ones still are.
   constexpr int kSilent = 40;
   std::vector<std::unique_ptr<Client>> waiting;
   for (int i = 0; i < kSilent; ++i) {
@@ -563,7 +564,7 @@
   over.Do([](bool& o) { o = true; });
 }
 
-TEST(Proxy, AConnectionThatBroughtMoreThanItsAnswerIsNotUsedAgain) {
+TEST(Proxy, AConnectionWithExcessBytesIsNotReused) {
   Backend backend([](Tcp::socket& s, const HttpRequest& r) {
     const std::string answer = OkAnswer(std::string(r["Req-Id"]));
     SendRaw(s, answer + answer);
@@ -577,7 +578,7 @@
   EXPECT_EQ(backend.seen.Get().opened, 3);
 }
 
-TEST(Proxy, AConnectionRestsBeforeItIsUsedAgain) {
+TEST(Proxy, AConnectionIsReusedOnlyAfterADelay) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.timeouts.reuse_delay = std::chrono::hours(1);
@@ -588,7 +589,7 @@
   EXPECT_EQ(site.proxy->Ask([](proxy::Proxy& p) { return p.backend_connections(); }), 3u);
 }
 
-TEST(Proxy, WhatABackendFindsFaultyIsNotTriedElsewhereNorHeldAgainstIt) {
+TEST(Proxy, ARequestThatABackendRejectsIsNotRetriedAndNotTheBackendsFailure) {
   Watched<int> asked;
   const auto judge = [&](Tcp::socket& s, const HttpRequest& r) {
     if (r["Req-Id"] == "odd") {
@@ -610,7 +611,7 @@
   }
 }
 
-TEST(Proxy, WantOfPlacesHereIsRefusedWithoutAnAttempt) {
+TEST(Proxy, AFullPoolFailsAnAttemptAsALocalFailure) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool r) { return r; });
@@ -631,12 +632,13 @@
   backends.Send(1, message, Duration(60000), Duration(0), keep, kWanted);
   backends.Send(1, message, Duration(60000), Duration(0), keep, kWanted);
   while (results.size() < 2) io.run_one();
-  EXPECT_EQ(results[0].outcome, Outcome::kMoot);  // never ran, and says nothing of the backend
+  EXPECT_EQ(results[0].outcome, Outcome::kMoot);  // not executed, and no failure of the backend
   EXPECT_TRUE(results[0].local_failure);
   EXPECT_EQ(results[1].outcome, Outcome::kOk);
 }
 
-// One attempt with its last byte held back, at a server that does with the connection what `serve` says.
+// Result of one attempt with its last byte delayed by `hold`, at a backend that runs `serve` on the
+// connection.
 proxy::AttemptResult Attempted(const std::function<void(Tcp::socket&)>& serve, Duration hold,
                                const std::string& body) {
   Listener listener(serve);
@@ -660,7 +662,7 @@
   return text;
 }
 
-TEST(Proxy, AConnectionThatBreaksUnderAHeldRequestProvesThatItNeverRan) {
+TEST(Proxy, AResetBeforeTheDelayedLastByteProvesThatTheRequestNeverRan) {
   const auto reset = [](Tcp::socket& socket) {
     ReadSome(socket);
     socket.set_option(Tcp::socket::linger(true, 0));
@@ -671,18 +673,18 @@
     EXPECT_EQ(held.outcome, Outcome::kConnectFailed);
     EXPECT_TRUE(held.connection_broke);
     const auto at_once = Attempted(reset, Duration(0), body);
-    EXPECT_EQ(at_once.outcome, Outcome::kReset);  // it may have run
+    EXPECT_EQ(at_once.outcome, Outcome::kReset);  // the request may have been executed
     EXPECT_TRUE(at_once.connection_broke);
   }
 }
 
-TEST(Proxy, AHeldRequestComesWholeAndIsAnsweredOnce) {
+TEST(Proxy, ARequestWithADelayedLastByteIsCompleteAndAnsweredOnce) {
   for (const std::string body : {"", "deed"}) {
     const std::string last = body.empty() ? "\r\n\r|\n" : "\r\n\r\ndee|d",
                       whole = last.substr(0, last.size() - 2);
     std::string read;
-    // A server that is not run for as long as the byte is held reads all at once, which says nothing: held
-    // longer, it has to see two parts.
+    // A backend thread that is not scheduled while the byte is delayed reads everything at once, which proves
+    // nothing: with a longer delay it must see two parts.
     for (Duration hold(5); hold < Duration(10000) && !read.ends_with(last); hold *= 8) {
       read.clear();
       const auto serve = [&](Tcp::socket& socket) {
@@ -700,7 +702,7 @@
   }
 }
 
-TEST(Proxy, AnAnswerLargerThanTheProtocolsIsPassedOnWhole) {
+TEST(Proxy, AResponseAboveTheProtocolsMaximumIsForwardedCompletely) {
   const std::string deed(400 * 1024, 'd');
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     SendRaw(s, OkAnswer(deed));
@@ -714,16 +716,17 @@
     EXPECT_EQ(answer.result_int(), 200u);
     EXPECT_EQ(answer.body(), deed);
   }
-  EXPECT_EQ(backend.seen.Get().requests.size(), 3u);  // at the first attempt each
+  EXPECT_EQ(backend.seen.Get().requests.size(), 3u);  // one attempt each
 }
 
-TEST(Proxy, ForWantOfRoomHereAnAnswerIsGivenUpAndNoServerIsToBlame) {
+TEST(Proxy, AResponseIsCancelledWithoutMemoryForItsBody) {
   Listener listener([](Tcp::socket& socket) {
     while (!ReadSome(socket).empty()) SendRaw(socket, OkAnswer(std::string(700 * 1024, 'd')));
   });
   asio::io_context io(1);
   proxy::Backends::Limits limits;
-  kestrelline::bodies::Budget bodies(kestrelline::bodies::Budget::kMinPiece);  // for one answer at a time
+  kestrelline::bodies::Budget bodies(
+      kestrelline::bodies::Budget::kMinPiece);  // for one streamed response at a time
   limits.bodies = &bodies;
   proxy::Backends backends(io, limits);
   backends.Set(1, listener.address, 0);
@@ -737,7 +740,7 @@
     while (results.size() == before) io.run_one();
   };
   ask();
-  ask();  // the first is still held by a client that takes it slowly
+  ask();  // the first one is still being read by a slow client
   EXPECT_EQ(results[0].outcome, Outcome::kOk);
   EXPECT_EQ(results[1].outcome, Outcome::kCancelled);
   results.clear();
@@ -745,7 +748,7 @@
   EXPECT_EQ(results[0].outcome, Outcome::kOk);
 }
 
-TEST(Proxy, AServerThatDeclinesAheadOfTheLastByteIsBelieved) {
+TEST(Proxy, ABackendMayDeclineBeforeTheLastByte) {
   const auto result = Attempted(
       [](Tcp::socket& socket) {
         ReadSome(socket);
@@ -756,7 +759,7 @@
   EXPECT_EQ(result.outcome, Outcome::kFull);
 }
 
-TEST(Proxy, ATimeOutClosesTheIdleConnectionsToo) {
+TEST(Proxy, ATimeoutClosesIdleConnectionsToo) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest& r) {
     if (r["Req-Kind"] == "book") release.WaitFor([](bool go) { return go; });
@@ -764,7 +767,7 @@
     return true;
   });
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.timeouts.reuse_delay = std::chrono::hours(1);  // so that each request opens a connection
+  site.timeouts.reuse_delay = std::chrono::hours(1);  // each request opens a new connection
   site.Start();
   Client client(site.proxy->address);
   EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
@@ -773,7 +776,7 @@
   release.Do([](bool& go) { go = true; });
 }
 
-TEST(Proxy, BackendsLongGoneAreForgotten) {
+TEST(Proxy, RemovedBackendsAreForgotten) {
   Backend backend;
   Site site(Members(MemberJson("s-0", backend.address())));
   site.timeouts.forget_backend = {};
@@ -785,14 +788,14 @@
                          MemberJson("s-" + std::to_string(i), backend.address()))));
   }
   Client client(site.proxy->address);
-  // The last of them serves once the list has come; the one at its address before has left nothing behind.
+  // The last backend serves once its list was applied; earlier ones at the same address leave no state.
   while (site.proxy->Ask([](proxy::Proxy& p) { return p.last_revision(); }) < 61) std::this_thread::yield();
   EXPECT_EQ(client.Ask(Look()).result_int(), 200u);
   EXPECT_LE(site.proxy->Ask([](proxy::Proxy& p) { return p.backends_known(); }), 2u);
 }
 
-// ---- clients that are not to be believed ----------------------------------------------------------------
-TEST(Proxy, RequestsThatCanBeReadInTwoWaysAreTurnedAwayAndTheirConnectionsClose) {
+// ---- untrusted clients --------------------------------------------------------------------------------
+TEST(Proxy, RequestsWithAmbiguousFramingAreRejectedAndTheirConnectionsClose) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -821,7 +824,7 @@
   EXPECT_EQ(backend.seen.Get().requests.at(0).body(), "text");
 }
 
-TEST(Proxy, HeadersThatDoNotFitTogetherAreTurnedAwayAndTheConnectionCloses) {
+TEST(Proxy, RequestsWithInconsistentHeadersAreRejectedAndTheirConnectionsClose) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -840,7 +843,7 @@
   EXPECT_EQ(backend.seen.Get().requests.size(), 0u);
 }
 
-TEST(Proxy, ABodyAnnouncedTooLargeIsTurnedAwayAtItsHeader) {
+TEST(Proxy, ATooLargeContentLengthIsRejectedAtTheHeader) {
   Site site(Members());
   site.Start();
   for (const char* length : {"1099511627777", "18446744073709551615", "99999999999999999999999"}) {
@@ -853,10 +856,10 @@
   }
 }
 
-TEST(Proxy, BodiesBeyondTheMemoryAreTurnedAwayAndTheirPlaceComesBack) {
+TEST(Proxy, BodiesBeyondTheMemoryLimitAreRejectedAndMemoryIsReleased) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.config["limits"]["memory_mb"] = 8;  // a quarter for bodies, each counted twice: sixteen of the largest
+  site.config["limits"]["memory_mb"] = 8;  // a quarter for bodies, each counted twice: 16 of the maximum size
   site.Start();
   const std::string head =
       "POST /book HTTP/1.1\r\nReq-Id: 1\r\nExpect: 100-continue\r\nContent-Length: 65536\r\n\r\n";
@@ -864,7 +867,7 @@
   unsigned turned_away = 0;
   for (int i = 0; i < 17; ++i) {
     uploads.push_back(std::make_unique<Client>(site.proxy->address));
-    // Only who may send is asked to go on.
+    // 100 Continue only if there is memory for the body.
     uploads.back()->Send(WithId(head, std::to_string(i) + "u"));
     turned_away += uploads.back()->Read().result_int() == 503;
   }
@@ -877,7 +880,7 @@
   EXPECT_EQ(status, 200u);
 }
 
-TEST(Proxy, TheIdOfAnOpenRequestIsTurnedAway) {
+TEST(Proxy, TheReqIdOfAnOpenRequestIsRejected) {
   Watched<bool> release;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     release.WaitFor([](bool go) { return go; });
@@ -894,10 +897,10 @@
   release.Do([](bool& go) { go = true; });
   EXPECT_EQ(first.Read().result_int(), 200u);
   EXPECT_EQ(backend.seen.Get().requests.size(), 1u);
-  EXPECT_EQ(first.Ask(Book()).result_int(), 200u);  // it is over
+  EXPECT_EQ(first.Ask(Book()).result_int(), 200u);  // the first one has ended
 }
 
-TEST(Proxy, RequestsRightBehindOneAnotherAreServedInOrder) {
+TEST(Proxy, PipelinedRequestsAreServedInOrder) {
   Backend backend([](Tcp::socket& s, const HttpRequest& r) {
     SendRaw(s, OkAnswer(std::string(r["Req-Id"])));
     return true;
@@ -916,7 +919,7 @@
   site.Start();
   Client silent(site.proxy->address);
   EXPECT_TRUE(silent.Ended());
-  // Bytes go on coming, each soon after the last, until the proxy has had enough.
+  // Sends byte after byte without a pause, until the proxy gives up.
   Client slow(site.proxy->address);
   slow.Send("GET /look HTTP/1.1\r\nX: ");
   error_code failed;
@@ -924,25 +927,24 @@
   char byte;
   do {
     asio::write(slow.socket, asio::buffer("x", 1), failed);
-    std::this_thread::sleep_for(std::chrono::milliseconds(1));  // or it would be a header too large
+    std::this_thread::sleep_for(std::chrono::milliseconds(1));  // otherwise the header would become too large
     if (!failed) slow.socket.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, failed);
   } while (failed == asio::error::would_block);
   slow.socket.non_blocking(false);
   EXPECT_EQ(slow.Read().result_int(), 408u);
-  // A next request has its own deadline, from its first byte.
+  // The next request has its own deadline, from its first byte.
   Client kept(site.proxy->address);
   EXPECT_EQ(kept.Ask(Look()).result_int(), 200u);
   kept.Send("GET /look HTTP/1.1\r\n");
   EXPECT_EQ(kept.Read().result_int(), 408u);
 }
 
-// Incident rf19165: ever-new clients, each of which keeps its connection, fill the places faster than rest
-// frees them. Without the end of connections while places run short, the client after the last place waits
-// for ever.
-TEST(Proxy, EverNewClientsThatKeepTheirConnectionsAreAllAnswered) {
+// New clients that all keep their connections use up the connection limit faster than idle connections are
+// evicted. Unless responses near the limit close their connections, the next client waits forever.
+TEST(Proxy, ManyNewClientsThatKeepTheirConnectionsAreAllAnswered) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
-  site.config["limits"]["sockets"] = 64;  // 24 places of clients, 32 with all that may be borrowed
+  site.config["limits"]["sockets"] = 64;  // 24 client connections, 32 with all that may be borrowed
   site.timeouts.evict_idle = site.timeouts.keep_alive = std::chrono::minutes(10);
   site.Start();
   constexpr int kClients = 200;
@@ -962,7 +964,7 @@
   EXPECT_EQ(backend.seen.Get().requests.size(), static_cast<std::size_t>(kClients));
 }
 
-TEST(Proxy, AnswersTellToCloseOnlyWhilePlacesRunShort) {
+TEST(Proxy, ResponsesCloseConnectionsOnlyNearTheLimit) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
@@ -982,7 +984,7 @@
   ADD_FAILURE() << "no answer told to close";
 }
 
-TEST(Descriptors, TheTwoSidesNeverHoldMoreThanTheSumAndEachKeepsItsQuarter) {
+TEST(DescriptorShares, BothSidesStayWithinTheSumAndKeepTheirReserve) {
   std::mt19937 random(7);
   for (const auto& [clients, backends] : {std::pair{216, 144}, {24, 16}, {600, 400}, {1, 1}}) {
     const proxy::DescriptorShares shares(clients, backends);
@@ -1009,7 +1011,7 @@
   }
 }
 
-TEST(Proxy, SilentConnectionsMakeRoomAndDoNotShutOthersOut) {
+TEST(Proxy, UnusedConnectionsAreEvictedForNewClients) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
@@ -1023,8 +1025,8 @@
   EXPECT_TRUE(silent.front()->Ended());
 }
 
-// ---- bad input ----------------------------------------------------------------------------------------
-TEST(Proxy, BadRequestsGetAPlain4xxAndTheProxyLivesOn) {
+// ---- malformed input ----------------------------------------------------------------------------------
+TEST(Proxy, MalformedRequestsGetA4xxAndTheProxyContinues) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.Start();
@@ -1056,7 +1058,7 @@
       200u);
 }
 
-TEST(ParseClientRequest, ReadsWhatTheModuleIsTold) {
+TEST(ParseClientRequest, ReadsTheFieldsForTheBalancer) {
   Backend backend;
   auto json = ConfigJson(backend.address(), {});
   json["settings"]["tenants"] = {{{"name", "acme"}, {"quotaPerS", 5.0}},
@@ -1097,7 +1099,7 @@
   EXPECT_TRUE(proxy::ParseClientRequest(message, at, config, &other));
 }
 
-TEST(Proxy, MoreClientsThanItMayHoldTakeThePlacesOfIdleOnes) {
+TEST(Proxy, IdleClientsAreEvictedForNewOnesAtTheLimit) {
   Backend backend;
   Site site(Members(MemberJson("s-1", backend.address())));
   site.config["limits"]["sockets"] = 64;
@@ -1111,9 +1113,9 @@
   EXPECT_TRUE(clients.front()->Ended());
 }
 
-// The loop stands still while an answer of several reads comes and its time runs out: once it goes on, the
-// time-out is handled between two of these reads.
-TEST(Proxy, AnAnswerThatArrivesAsItsTimeIsUpIsNoCrash) {
+// The event loop is blocked while a response of several reads arrives and its timeout expires. When it
+// continues, the timeout is handled between two of these reads.
+TEST(Proxy, AResponseMayArriveAsItsTimeoutExpires) {
   Watched<bool> go;
   Backend backend([&](Tcp::socket& s, const HttpRequest&) {
     go.WaitFor([](bool g) { return g; });
@@ -1127,7 +1129,7 @@
   ASSERT_TRUE(backend.WaitForRequests(1));
   site.proxy->Ask([&](proxy::Proxy&) {
     go.Do([](bool& g) { g = true; });
-    std::this_thread::sleep_for(std::chrono::milliseconds(400));  // the fault itself
+    std::this_thread::sleep_for(std::chrono::milliseconds(400));  // blocks the event loop
     return 0;
   });
   EXPECT_GT(client.Read().result_int(), 0u);
