--- a/src/bodies/passage.h
+++ b/src/bodies/upload_progress.h
@@ -6,8 +6,8 @@
 // The first bytes are buffered. Until a later piece is passed on, a failed attempt can be repeated from the
 // first byte. The first piece that is passed on without being buffered binds the request to its attempt: the
 // buffer is dropped.
-#ifndef KESTRELLINE_BODIES_PASSAGE_H_
-#define KESTRELLINE_BODIES_PASSAGE_H_
+#ifndef KESTRELLINE_BODIES_UPLOAD_PROGRESS_H_
+#define KESTRELLINE_BODIES_UPLOAD_PROGRESS_H_
 
 #include <cstddef>
 #include <utility>
@@ -70,4 +70,4 @@
 
 }  // namespace kestrelline::bodies
 
-#endif  // KESTRELLINE_BODIES_PASSAGE_H_
+#endif  // KESTRELLINE_BODIES_UPLOAD_PROGRESS_H_
--- a/src/proxy/upload.h
+++ b/src/proxy/upload.h
@@ -11,7 +11,7 @@
 #include <utility>
 
 #include "bodies/budget.h"
-#include "bodies/passage.h"
+#include "bodies/upload_progress.h"
 #include "body_source.h"
 #include "clock.h"
 
--- a/tests/bodies/bodies_test.cpp
+++ b/tests/bodies/bodies_test.cpp
@@ -9,7 +9,7 @@
 
 #include "bodies/budget.h"
 #include "bodies/pace.h"
-#include "bodies/passage.h"
+#include "bodies/upload_progress.h"
 #include "harness.h"
 
 namespace kestrelline::bodies {
