--- a/src/bodies/pace.h
+++ b/src/bodies/minimum_rate.h
@@ -2,8 +2,8 @@
 //
 // Minimum rate of a body sent by a peer: an initial allowance, and then an average rate. Only time spent
 // waiting for the peer counts, not time in which nothing was read from it. No I/O, no clock.
-#ifndef KESTRELLINE_BODIES_PACE_H_
-#define KESTRELLINE_BODIES_PACE_H_
+#ifndef KESTRELLINE_BODIES_MINIMUM_RATE_H_
+#define KESTRELLINE_BODIES_MINIMUM_RATE_H_
 
 #include <chrono>
 #include <cstddef>
@@ -36,4 +36,4 @@
 
 }  // namespace kestrelline::bodies
 
-#endif  // KESTRELLINE_BODIES_PACE_H_
+#endif  // KESTRELLINE_BODIES_MINIMUM_RATE_H_
--- a/src/proxy/session.h
+++ b/src/proxy/session.h
@@ -15,7 +15,7 @@
 #include <string_view>
 #include <vector>
 
-#include "bodies/pace.h"
+#include "bodies/minimum_rate.h"
 #include "clients.h"
 #include "upload.h"
 
--- a/tests/bodies/bodies_test.cpp
+++ b/tests/bodies/bodies_test.cpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "bodies/budget.h"
-#include "bodies/pace.h"
+#include "bodies/minimum_rate.h"
 #include "bodies/upload_progress.h"
 #include "harness.h"
 
