--- a/src/proxy/upload.h
+++ b/src/proxy/upload.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A streamed request body, between the session that reads it and the attempts that send it. For the effect on
-// retries see bodies/passage.h.
+// retries see bodies/upload_progress.h.
 #ifndef KESTRELLINE_PROXY_UPLOAD_H_
 #define KESTRELLINE_PROXY_UPLOAD_H_
 
