--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -66,7 +66,7 @@
       AwaitSignal();
       try {
         Load(kestrelline::proxy::ReloadConfig(Environment));
-      } catch (const kestrelline::proxy::BadConfig& error) {
+      } catch (const kestrelline::proxy::ConfigError& error) {
         LogRejected(error.what());
       }
     });
@@ -156,9 +156,9 @@
     };
     hooks.leave = [link, replica] { replica->Leave(), link->Leave(); };
     hooks.hand_over = [link, replica] { replica->Leave(), link->HandOver(), replica->HandOver(); };
-    hooks.when_held_elsewhere = [replica](auto done) { replica->WhenReplicated(std::move(done)); };
-    if (config.await_copies)
-      replica->WhenCurrent(replica_settings->ready_within, [&proxy] { proxy.OnCopies(); });
+    hooks.await_handover = [replica](auto done) { replica->WhenReplicated(std::move(done)); };
+    if (config.await_replica)
+      replica->WhenCurrent(replica_settings->ready_within, [&proxy] { proxy.OnReplicaReady(); });
   }
   if (concert_settings) {
     const kestrelline::quota::Link::Identity place{config.settings.me, config.settings.balancers,
@@ -209,7 +209,7 @@
       routes = loaded->routes;
       // A process that takes over from another does not wait here: it receives its predecessor's data once it
       // is ready.
-      config.await_copies =
+      config.await_replica =
           loaded->replica && loaded->replica->ready_within.count() > 0 && config.inherited_listener < 0;
       if (loaded->peers) config.sockets -= kestrelline::peers::Link::kDescriptors;
     }
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -99,8 +99,8 @@
     const auto found = requests_.find(e.request);
     if (found == requests_.end()) return;
     Request& r = found->second;
-    r.body_dropped |= e.bound;
-    if (!e.whole || !std::exchange(r.receiving, false)) return;
+    r.body_dropped |= e.body_dropped;
+    if (!e.complete || !std::exchange(r.receiving, false)) return;
     r.due = e.due;
     for (Attempt& a : r.attempts) {
       if (a.outstanding) a.sent_at = now_, CountInFlight(r, servers_[a.server]);
--- a/src/proxy/upload.h
+++ b/src/proxy/upload.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The body of one request that is passed on as it comes: between the session that reads it and the attempts
-// that write it. See bodies/passage.h for what it means to repeats.
+// A streamed request body, between the session that reads it and the attempts that send it. For the effect on
+// retries see bodies/upload_progress.h.
 #ifndef KESTRELLINE_PROXY_UPLOAD_H_
 #define KESTRELLINE_PROXY_UPLOAD_H_
 
@@ -11,7 +11,7 @@
 #include <utility>
 
 #include "bodies/budget.h"
-#include "bodies/passage.h"
+#include "bodies/upload_progress.h"
 #include "body_source.h"
 #include "clock.h"
 
@@ -19,43 +19,44 @@
 
 class Upload : public BodySource {
  public:
-  // `first`: what has come so far, which is kept. `deadline`: of the answer, from the last byte on.
-  // `whole`: that was all, as of `now`.
-  Upload(std::string first, bool whole, Steady::time_point now, Steady::duration deadline,
+  // `first`: the part read so far, which is buffered. `complete`: it is the whole body, as of `now`.
+  // `deadline`: for the response, from the last byte of the body.
+  Upload(std::string first, bool complete, Steady::time_point now, Steady::duration deadline,
          std::unique_ptr<kestrelline::bodies::Budget::Share> share)
-      : kept_(std::move(first)),
+      : buffered_(std::move(first)),
         deadline_(deadline),
-        share_(std::move(share)),
-        passage_(kept_.size(), whole),
+        budget_share_(std::move(share)),
+        progress_(buffered_.size(), complete),
         due_(now + deadline) {}
 
-  // The session's side. `want`: more is to be read, which ends in Add or Break.
-  void OnWant(std::function<void()> want) { want_ = std::move(want); }
-  std::size_t Room() { return share_->Renew(); }
+  // For the session. `on_read` is called when the next piece is needed; the session then calls Add or Break.
+  void SetReadCallback(std::function<void()> on_read) { on_read_ = std::move(on_read); }
+  std::size_t NextPieceSize() { return budget_share_->ReservePiece(); }
   void Add(std::string piece, bool last, Steady::time_point at);
   void Break();
-  bool whole() const { return passage_.whole(); }
+  bool complete() const { return progress_.complete(); }
 
-  // The proxy's: `news` is called when the request is bound to its attempt, and when its last byte has come.
-  void OnNews(std::function<void()> news) { news_ = std::move(news); }
-  bool bound() const { return passage_.bound(); }
-  Steady::time_point due() const { return due_; }  // once it is whole
+  // For the proxy. `on_progress` is called when part of the body is no longer buffered, which rules out a
+  // retry, and when the last byte was read.
+  void SetProgressCallback(std::function<void()> on_progress) { on_progress_ = std::move(on_progress); }
+  bool body_dropped() const { return progress_.dropped(); }
+  Steady::time_point due() const { return due_; }  // valid once complete
   Steady::duration deadline() const { return deadline_; }
 
-  // The attempt's. False if there can be none any more.
+  // For an attempt: starts over from the first byte. False if that is no longer possible.
   bool Begin();
   void Next(OnPiece on_piece) override;
-  void Drop() override { waiting_ = nullptr; }
+  void Drop() override { on_piece_ = nullptr; }
 
  private:
-  std::string kept_;
+  std::string buffered_;
   Steady::duration deadline_;
-  std::unique_ptr<kestrelline::bodies::Budget::Share> share_;
-  kestrelline::bodies::Passage passage_;
+  std::unique_ptr<kestrelline::bodies::Budget::Share> budget_share_;
+  kestrelline::bodies::UploadProgress progress_;
   Steady::time_point due_{};
-  std::function<void()> want_, news_;
-  OnPiece waiting_;
-  bool wanting_ = false;  // more is being read
+  std::function<void()> on_read_, on_progress_;
+  OnPiece on_piece_;
+  bool read_requested_ = false;  // a piece was requested and has not arrived
 };
 
 }  // namespace kestrelline::proxy
