--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -30,10 +30,10 @@
 #include "management/door.h"
 #include "management/figures.h"
 #include "members.h"
-#include "pair/registry.h"
 #include "plugin/tagger.h"
 #include "replica/claims.h"
 #include "routing/table.h"
+#include "shared_limits/registry.h"
 
 namespace kestrelline::proxy {
 
--- a/src/pair/registry.cpp
+++ b/src/shared_limits/registry.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pair/registry.h"
+#include "shared_limits/registry.h"
 
 #include <fcntl.h>
 #include <unistd.h>
--- a/src/pair/share.cpp
+++ b/src/shared_limits/share.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "pair/share.h"
+#include "shared_limits/share.h"
 
 #include <algorithm>
 
--- a/tests/pair/share_test.cpp
+++ b/tests/pair/share_test.cpp
@@ -2,14 +2,14 @@
 //
 // Several processes of one proxy: their limits when each has a stale view of the other's usage, and how they
 // find each other.
-#include "pair/share.h"
+#include "shared_limits/share.h"
 
 #include <gtest/gtest.h>
 
 #include <filesystem>
 #include <random>
 
-#include "pair/registry.h"
+#include "shared_limits/registry.h"
 #include "support/temporary.h"
 
 namespace kestrelline::pair {
