--- a/src/lifecycle/life.cpp
+++ b/src/lifecycle/life.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "lifecycle/life.h"
+#include "lifecycle/process_lifecycle.h"
 
 namespace kestrelline::lifecycle {
 namespace {
--- a/src/lifecycle/life.h
+++ b/src/lifecycle/process_lifecycle.h
@@ -12,8 +12,8 @@
 //
 // A drain takes effect in any state but stopping, even before there is a backend list. A resume returns to
 // the state that the process would be in without the drain. Both are idempotent. Stopping is final.
-#ifndef KESTRELLINE_LIFECYCLE_LIFE_H_
-#define KESTRELLINE_LIFECYCLE_LIFE_H_
+#ifndef KESTRELLINE_LIFECYCLE_PROCESS_LIFECYCLE_H_
+#define KESTRELLINE_LIFECYCLE_PROCESS_LIFECYCLE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -99,4 +99,4 @@
 
 }  // namespace kestrelline::lifecycle
 
-#endif  // KESTRELLINE_LIFECYCLE_LIFE_H_
+#endif  // KESTRELLINE_LIFECYCLE_PROCESS_LIFECYCLE_H_
--- a/src/management/commands.h
+++ b/src/management/commands.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-#include "lifecycle/life.h"
+#include "lifecycle/process_lifecycle.h"
 
 namespace kestrelline::management {
 
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -18,7 +18,7 @@
 #include "backends.h"
 #include "clock.h"
 #include "config.h"
-#include "lifecycle/life.h"
+#include "lifecycle/process_lifecycle.h"
 #include "management/figures.h"
 
 namespace kestrelline::proxy {
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -26,7 +26,7 @@
 #include "discovery.h"
 #include "handover/last_byte.h"
 #include "kestrelline/balancer.h"
-#include "lifecycle/life.h"
+#include "lifecycle/process_lifecycle.h"
 #include "management/door.h"
 #include "management/figures.h"
 #include "members.h"
