--- a/tests/lifecycle/life_test.cpp
+++ b/tests/lifecycle/process_lifecycle_test.cpp
@@ -2,13 +2,13 @@
 //
 // Compares the lifecycle state machine with a naive model over every sequence of six events, and checks the
 // delays that follow from its state.
+#include "lifecycle/process_lifecycle.h"
+
 #include <gtest/gtest.h>
 
 #include <set>
 #include <string>
 
-#include "lifecycle/process_lifecycle.h"
-
 namespace kestrelline::lifecycle {
 namespace {
 
