--- a/src/shared_limits/share.h
+++ b/src/shared_limits/process_limits.h
@@ -4,8 +4,8 @@
 //
 // The usage of the other process is known as of some milliseconds ago. The total is kept nevertheless: while
 // both use half or less, neither may exceed half, and a process that uses more than half can only shrink.
-#ifndef KESTRELLINE_SHARED_LIMITS_SHARE_H_
-#define KESTRELLINE_SHARED_LIMITS_SHARE_H_
+#ifndef KESTRELLINE_SHARED_LIMITS_PROCESS_LIMITS_H_
+#define KESTRELLINE_SHARED_LIMITS_PROCESS_LIMITS_H_
 
 #include <vector>
 
@@ -29,4 +29,4 @@
 
 }  // namespace kestrelline::pair
 
-#endif  // KESTRELLINE_SHARED_LIMITS_SHARE_H_
+#endif  // KESTRELLINE_SHARED_LIMITS_PROCESS_LIMITS_H_
--- a/src/shared_limits/registry.h
+++ b/src/shared_limits/registry.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "shared_limits/share.h"
+#include "shared_limits/process_limits.h"
 
 namespace kestrelline::pair {
 
--- a/tests/shared_limits/share_test.cpp
+++ b/tests/shared_limits/share_test.cpp
@@ -2,13 +2,12 @@
 //
 // Several processes of one proxy: their limits when each has a stale view of the other's usage, and how they
 // find each other.
-#include "shared_limits/share.h"
-
 #include <gtest/gtest.h>
 
 #include <filesystem>
 #include <random>
 
+#include "shared_limits/process_limits.h"
 #include "shared_limits/registry.h"
 #include "support/temporary.h"
 
