--- a/src/shared_limits/share.cpp
+++ b/src/shared_limits/process_limits.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-#include <algorithm>
-
 #include "shared_limits/process_limits.h"
 
+#include <algorithm>
+
 namespace kestrelline::pair {
 
 Allowance AllowanceOf(int total, const Usage& own, const std::vector<Usage>& others) {
