--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -33,7 +33,7 @@
 #include "plugin/tagger.h"
 #include "replica/claims.h"
 #include "routing/table.h"
-#include "shared_limits/registry.h"
+#include "shared_limits/process_registry.h"
 
 namespace kestrelline::proxy {
 
--- a/src/shared_limits/registry.h
+++ b/src/shared_limits/process_registry.h
@@ -7,8 +7,8 @@
 // query locks without taking them (open file description locks, F_OFD_GETLK), so that they never block a
 // process that is starting. If the directory is missing, full or contains garbage, the process serves on its
 // own.
-#ifndef KESTRELLINE_SHARED_LIMITS_REGISTRY_H_
-#define KESTRELLINE_SHARED_LIMITS_REGISTRY_H_
+#ifndef KESTRELLINE_SHARED_LIMITS_PROCESS_REGISTRY_H_
+#define KESTRELLINE_SHARED_LIMITS_PROCESS_REGISTRY_H_
 
 #include <array>
 #include <string>
@@ -48,4 +48,4 @@
 
 }  // namespace kestrelline::pair
 
-#endif  // KESTRELLINE_SHARED_LIMITS_REGISTRY_H_
+#endif  // KESTRELLINE_SHARED_LIMITS_PROCESS_REGISTRY_H_
--- a/src/shared_limits/registry.cpp
+++ b/src/shared_limits/registry.cpp
@@ -1,6 +1,4 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "shared_limits/registry.h"
-
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -9,6 +7,8 @@
 #include <cstdint>
 #include <cstring>
 
+#include "shared_limits/process_registry.h"
+
 namespace kestrelline::pair {
 namespace {
 
--- a/tests/shared_limits/share_test.cpp
+++ b/tests/shared_limits/share_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 
 #include "shared_limits/process_limits.h"
-#include "shared_limits/registry.h"
+#include "shared_limits/process_registry.h"
 #include "support/temporary.h"
 
 namespace kestrelline::pair {
