--- a/src/shared_limits/registry.cpp
+++ b/src/shared_limits/process_registry.cpp
@@ -1,4 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
+#include "shared_limits/process_registry.h"
+
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -7,8 +9,6 @@
 #include <cstdint>
 #include <cstring>
 
-#include "shared_limits/process_registry.h"
-
 namespace kestrelline::pair {
 namespace {
 
