--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -78,7 +78,7 @@
       life_, figures_, bodies_, *this);
   if (!config_.known.members.empty()) AwaitList();
   if (!config_.shared_folder.empty()) {
-    companions_ = std::make_unique<kestrelline::pair::Registry>(config_.shared_folder, config_.name);
+    companions_ = std::make_unique<kestrelline::shared_limits::Registry>(config_.shared_folder, config_.name);
     if (!companions_->joined()) {
       std::fprintf(stderr, "kestrelline: no look at other processes: %s\n", companions_->why().c_str());
       companions_.reset();
@@ -141,12 +141,12 @@
 
 // While there is another process of this proxy: see pair/share.h.
 void Proxy::ShareLimits() {
-  kestrelline::pair::Usage own;
+  kestrelline::shared_limits::Usage own;
   own.descriptors = static_cast<int>(clients_->connections() + backends_->connections()) + kOtherDescriptors +
                     (door_ ? static_cast<int>(door_->callers()) : 0);
   own.leaving = life_.Stopping();
   companions_->Publish(own);
-  const auto allowance = kestrelline::pair::AllowanceOf(config_.sockets, own, companions_->Others());
+  const auto allowance = kestrelline::shared_limits::AllowanceOf(config_.sockets, own, companions_->Others());
   shares_ = SharesOf(config_, allowance.descriptors);
   backends_->Trim();
   clients_->SetMemoryShare(allowance.memory);
--- a/src/shared_limits/process_limits.cpp
+++ b/src/shared_limits/process_limits.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace kestrelline::pair {
+namespace kestrelline::shared_limits {
 
 Allowance AllowanceOf(int total, const Usage& own, const std::vector<Usage>& others) {
   if (others.empty()) return {total, 1};
@@ -21,4 +21,4 @@
   return {all_others_leave ? remaining : std::min(even.descriptors, remaining), even.memory};
 }
 
-}  // namespace kestrelline::pair
+}  // namespace kestrelline::shared_limits
--- a/src/shared_limits/process_limits.h
+++ b/src/shared_limits/process_limits.h
@@ -9,7 +9,7 @@
 
 #include <vector>
 
-namespace kestrelline::pair {
+namespace kestrelline::shared_limits {
 
 // The usage that a process publishes.
 struct Usage {
@@ -27,6 +27,6 @@
 // the processes that run beside this one.
 Allowance AllowanceOf(int total, const Usage& own, const std::vector<Usage>& others);
 
-}  // namespace kestrelline::pair
+}  // namespace kestrelline::shared_limits
 
 #endif  // KESTRELLINE_SHARED_LIMITS_PROCESS_LIMITS_H_
--- a/src/shared_limits/process_registry.cpp
+++ b/src/shared_limits/process_registry.cpp
@@ -9,7 +9,7 @@
 #include <cstdint>
 #include <cstring>
 
-namespace kestrelline::pair {
+namespace kestrelline::shared_limits {
 namespace {
 
 // The contents of a file. Anything else is treated as no usage published.
@@ -95,4 +95,4 @@
   return others;
 }
 
-}  // namespace kestrelline::pair
+}  // namespace kestrelline::shared_limits
--- a/src/shared_limits/process_registry.h
+++ b/src/shared_limits/process_registry.h
@@ -16,7 +16,7 @@
 
 #include "shared_limits/process_limits.h"
 
-namespace kestrelline::pair {
+namespace kestrelline::shared_limits {
 
 class Registry {
  public:
@@ -46,6 +46,6 @@
   Usage published_{-1, false};
 };
 
-}  // namespace kestrelline::pair
+}  // namespace kestrelline::shared_limits
 
 #endif  // KESTRELLINE_SHARED_LIMITS_PROCESS_REGISTRY_H_
--- a/tests/shared_limits/shared_limits_test.cpp
+++ b/tests/shared_limits/shared_limits_test.cpp
@@ -11,7 +11,7 @@
 #include "shared_limits/process_registry.h"
 #include "support/temporary.h"
 
-namespace kestrelline::pair {
+namespace kestrelline::shared_limits {
 namespace {
 
 TEST(Share, AloneAProcessHasAll) {
@@ -105,4 +105,4 @@
 }
 
 }  // namespace
-}  // namespace kestrelline::pair
+}  // namespace kestrelline::shared_limits
