--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -139,7 +139,7 @@
          (peers_.figures ? peers_.figures() : std::string());
 }
 
-// While there is another process of this proxy: see pair/share.h.
+// While there is another process of this proxy: see shared_limits/process_limits.h.
 void Proxy::ShareLimits() {
   kestrelline::shared_limits::Usage own;
   own.descriptors = static_cast<int>(clients_->connections() + backends_->connections()) + kOtherDescriptors +
