--- a/src/shared_limits/process_registry.cpp
+++ b/src/shared_limits/process_registry.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-Registry::Registry(const std::string& folder, const std::string& name) {
+ProcessRegistry::ProcessRegistry(const std::string& folder, const std::string& name) {
   files_.fill(-1);
   for (int slot = 0; slot < kSlots; ++slot) {
     const std::string path = folder + '/' + FileName(name, slot);
@@ -57,13 +57,13 @@
   if (own_slot_ >= 0) Publish({});
 }
 
-Registry::~Registry() {
+ProcessRegistry::~ProcessRegistry() {
   for (const int file : files_) {
     if (file >= 0) ::close(file);
   }
 }
 
-void Registry::Publish(const Usage& usage) {
+void ProcessRegistry::Publish(const Usage& usage) {
   if (own_slot_ < 0 || (usage.descriptors == published_.descriptors && usage.leaving == published_.leaving))
     return;
   published_ = usage;
@@ -75,7 +75,7 @@
       ::pwrite(files_[static_cast<std::size_t>(own_slot_)], &record, sizeof record, 0);
 }
 
-std::vector<Usage> Registry::Others() const {
+std::vector<Usage> ProcessRegistry::Others() const {
   std::vector<Usage> others;
   if (own_slot_ < 0) return others;
   for (int slot = 0; slot < kSlots; ++slot) {
--- a/src/shared_limits/process_registry.h
+++ b/src/shared_limits/process_registry.h
@@ -18,16 +18,16 @@
 
 namespace kestrelline::shared_limits {
 
-class Registry {
+class ProcessRegistry {
  public:
   // Slots for two processes, and one that starts while another is being killed.
   static constexpr int kSlots = 3;
 
   // Takes the first free slot of the proxy called `name`; see why() if there is none.
-  Registry(const std::string& folder, const std::string& name);
-  ~Registry();
-  Registry(const Registry&) = delete;
-  Registry& operator=(const Registry&) = delete;
+  ProcessRegistry(const std::string& folder, const std::string& name);
+  ~ProcessRegistry();
+  ProcessRegistry(const ProcessRegistry&) = delete;
+  ProcessRegistry& operator=(const ProcessRegistry&) = delete;
 
   bool joined() const { return own_slot_ >= 0; }
   // The reason why it could not join.
--- a/tests/shared_limits/shared_limits_test.cpp
+++ b/tests/shared_limits/shared_limits_test.cpp
@@ -52,55 +52,56 @@
   }
 }
 
-TEST(Registry, ProcessesOfOneFolderSeeEachOtherAndWhatTheySay) {
+TEST(ProcessRegistry, ProcessesOfOneFolderSeeEachOtherAndWhatTheySay) {
   const testing::TemporaryFolder folder;
-  Registry first(folder.path(), "n1"), second(folder.path(), "n1");
+  ProcessRegistry first(folder.path(), "n1"), second(folder.path(), "n1");
   ASSERT_TRUE(first.joined() && second.joined());
   second.Publish({77, true});
   ASSERT_EQ(first.Others().size(), 1u);
   EXPECT_EQ(first.Others()[0].descriptors, 77);
   EXPECT_TRUE(first.Others()[0].leaving);
   EXPECT_EQ(second.Others()[0].descriptors, 0);
-  EXPECT_TRUE(Registry(folder.path(), "n2").Others().empty());  // another proxy
+  EXPECT_TRUE(ProcessRegistry(folder.path(), "n2").Others().empty());  // another proxy
 }
 
-TEST(Registry, WhoEndsLeavesNothingFalseAndItsPlaceIsTakenAgain) {
+TEST(ProcessRegistry, WhoEndsLeavesNothingFalseAndItsPlaceIsTakenAgain) {
   const testing::TemporaryFolder folder;
-  Registry first(folder.path(), "n1");
+  ProcessRegistry first(folder.path(), "n1");
   for (int upgrade = 0; upgrade < 10; ++upgrade) {
-    Registry next(folder.path(), "n1");
+    ProcessRegistry next(folder.path(), "n1");
     ASSERT_TRUE(next.joined()) << next.why();
     next.Publish({500, true});
     EXPECT_EQ(first.Others().size(), 1u);
   }
   EXPECT_TRUE(first.Others().empty());
-  Registry after(folder.path(), "n1");
+  ProcessRegistry after(folder.path(), "n1");
   EXPECT_EQ(first.Others()[0].descriptors, 0);  // not the usage of the previous owner of the slot
 }
 
-TEST(Registry, AFourthProcessAndAFolderThatIsNoneServeAlone) {
+TEST(ProcessRegistry, AFourthProcessAndAFolderThatIsNoneServeAlone) {
   const testing::TemporaryFolder folder;
-  Registry a(folder.path(), "n1"), b(folder.path(), "n1"), c(folder.path(), "n1"), d(folder.path(), "n1");
+  ProcessRegistry a(folder.path(), "n1"), b(folder.path(), "n1"), c(folder.path(), "n1"),
+      d(folder.path(), "n1");
   EXPECT_TRUE(c.joined());
   EXPECT_FALSE(d.joined());
   EXPECT_FALSE(d.why().empty());
   EXPECT_TRUE(d.Others().empty());
-  Registry nowhere(folder / "missing", "n1");
+  ProcessRegistry nowhere(folder / "missing", "n1");
   EXPECT_FALSE(nowhere.joined());
   EXPECT_NE(nowhere.why().find("missing"), std::string::npos);
   nowhere.Publish({1, false});
 }
 
-TEST(Registry, GarbageInTheFolderSaysNothing) {
+TEST(ProcessRegistry, GarbageInTheFolderSaysNothing) {
   const testing::TemporaryFolder folder;
   folder.Write("kestrelline-n1.0.lock", std::string(100000, 'x'));
   folder.Write("kestrelline-n1.1.lock", "");
   std::filesystem::create_directory(folder / "kestrelline-n1.2.lock");
-  Registry first(folder.path(), "n1"), second(folder.path(), "n1");
+  ProcessRegistry first(folder.path(), "n1"), second(folder.path(), "n1");
   ASSERT_TRUE(first.joined() && second.joined());
   EXPECT_EQ(first.Others().size(), 1u);
   EXPECT_EQ(first.Others()[0].descriptors, 0);
-  EXPECT_TRUE(Registry(folder.path(), "../n1/\n").joined());  // the name is not used as a path
+  EXPECT_TRUE(ProcessRegistry(folder.path(), "../n1/\n").joined());  // the name is not used as a path
   EXPECT_FALSE(std::filesystem::exists(folder / "../n1"));
 }
 
