--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -78,7 +78,8 @@
       life_, figures_, bodies_, *this);
   if (!config_.known.members.empty()) AwaitList();
   if (!config_.shared_folder.empty()) {
-    companions_ = std::make_unique<kestrelline::shared_limits::Registry>(config_.shared_folder, config_.name);
+    companions_ =
+        std::make_unique<kestrelline::shared_limits::ProcessRegistry>(config_.shared_folder, config_.name);
     if (!companions_->joined()) {
       std::fprintf(stderr, "kestrelline: no look at other processes: %s\n", companions_->why().c_str());
       companions_.reset();
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -189,8 +189,9 @@
   std::unique_ptr<Backends> backends_;
   std::unique_ptr<Clients> clients_;
   std::unique_ptr<Discovery> discovery_;
-  std::unique_ptr<kestrelline::management::Door> door_;               // null: none
-  std::unique_ptr<kestrelline::shared_limits::Registry> companions_;  // null: this process is the only one
+  std::unique_ptr<kestrelline::management::Door> door_;  // null: none
+  std::unique_ptr<kestrelline::shared_limits::ProcessRegistry>
+      companions_;  // null: this process is the only one
   boost::asio::steady_timer list_wait_, sharing_;
 };
 
