--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -147,7 +147,8 @@
                     (door_ ? static_cast<int>(door_->callers()) : 0);
   own.leaving = life_.Stopping();
   companions_->Publish(own);
-  const auto allowance = kestrelline::shared_limits::AllowanceOf(config_.sockets, own, companions_->Others());
+  const auto allowance =
+      kestrelline::shared_limits::ComputeLimits(config_.sockets, own, companions_->Others());
   shares_ = SharesOf(config_, allowance.descriptors);
   backends_->Trim();
   clients_->SetMemoryShare(allowance.memory);
--- a/src/shared_limits/process_limits.cpp
+++ b/src/shared_limits/process_limits.cpp
@@ -5,7 +5,7 @@
 
 namespace kestrelline::shared_limits {
 
-Allowance AllowanceOf(int total, const Usage& own, const std::vector<Usage>& others) {
+Allowance ComputeLimits(int total, const Usage& own, const std::vector<Usage>& others) {
   if (others.empty()) return {total, 1};
   const int processes = static_cast<int>(others.size()) + 1;
   const Allowance even{total / processes, 1.0 / processes};
--- a/src/shared_limits/process_limits.h
+++ b/src/shared_limits/process_limits.h
@@ -25,7 +25,7 @@
 
 // Returns the limits of this process. `total` is the descriptor limit of all processes together; `others` are
 // the processes that run beside this one.
-Allowance AllowanceOf(int total, const Usage& own, const std::vector<Usage>& others);
+Allowance ComputeLimits(int total, const Usage& own, const std::vector<Usage>& others);
 
 }  // namespace kestrelline::shared_limits
 
--- a/tests/shared_limits/shared_limits_test.cpp
+++ b/tests/shared_limits/shared_limits_test.cpp
@@ -15,17 +15,17 @@
 namespace {
 
 TEST(Share, AloneAProcessHasAll) {
-  EXPECT_EQ(AllowanceOf(384, {100, false}, {}).descriptors, 384);
-  EXPECT_EQ(AllowanceOf(384, {100, false}, {}).memory, 1);
+  EXPECT_EQ(ComputeLimits(384, {100, false}, {}).descriptors, 384);
+  EXPECT_EQ(ComputeLimits(384, {100, false}, {}).memory, 1);
 }
 
 TEST(Share, WhoHoldsMoreThanItsHalfOnlyShrinksAndTheOtherHasTheRest) {
-  EXPECT_EQ(AllowanceOf(384, {300, false}, {{10, false}}).descriptors, 192);
-  EXPECT_EQ(AllowanceOf(384, {10, false}, {{300, false}}).descriptors, 84);
-  EXPECT_EQ(AllowanceOf(384, {10, false}, {{1000, false}}).descriptors, 0);
-  EXPECT_EQ(AllowanceOf(384, {10, false}, {{50, true}}).descriptors, 334);
-  EXPECT_EQ(AllowanceOf(384, {50, true}, {{10, false}}).descriptors, 50);
-  EXPECT_EQ(AllowanceOf(384, {10, false}, {{50, true}}).memory, 0.5);
+  EXPECT_EQ(ComputeLimits(384, {300, false}, {{10, false}}).descriptors, 192);
+  EXPECT_EQ(ComputeLimits(384, {10, false}, {{300, false}}).descriptors, 84);
+  EXPECT_EQ(ComputeLimits(384, {10, false}, {{1000, false}}).descriptors, 0);
+  EXPECT_EQ(ComputeLimits(384, {10, false}, {{50, true}}).descriptors, 334);
+  EXPECT_EQ(ComputeLimits(384, {50, true}, {{10, false}}).descriptors, 50);
+  EXPECT_EQ(ComputeLimits(384, {10, false}, {{50, true}}).memory, 0.5);
 }
 
 // Each process moves towards a random target as far as its limit allows, with a view of the other that is
@@ -41,7 +41,7 @@
       const auto i = random() % 2;
       if (random() % 3 == 0) seen[i] = {now[1 - i]};
       if (step == 200) now[0].leaving = true;
-      const int allowed = AllowanceOf(total, now[i], seen[i]).descriptors;
+      const int allowed = ComputeLimits(total, now[i], seen[i]).descriptors;
       const int wish = static_cast<int>(random() % static_cast<unsigned>(total));
       int& mine = now[i].descriptors;
       if (mine < std::min(wish, allowed))
