--- a/src/shared_limits/process_limits.cpp
+++ b/src/shared_limits/process_limits.cpp
@@ -5,10 +5,10 @@
 
 namespace kestrelline::shared_limits {
 
-Allowance ComputeLimits(int total, const Usage& own, const std::vector<Usage>& others) {
+ProcessLimits ComputeLimits(int total, const Usage& own, const std::vector<Usage>& others) {
   if (others.empty()) return {total, 1};
   const int processes = static_cast<int>(others.size()) + 1;
-  const Allowance even{total / processes, 1.0 / processes};
+  const ProcessLimits even{total / processes, 1.0 / processes};
   // A leaving process may still open descriptors for the requests that it holds, up to what it has in use.
   if (own.leaving) return {std::min(even.descriptors, own.descriptors), even.memory};
   int remaining = total;
--- a/src/shared_limits/process_limits.h
+++ b/src/shared_limits/process_limits.h
@@ -18,14 +18,14 @@
 };
 
 // The limits of a process.
-struct Allowance {
+struct ProcessLimits {
   int descriptors = 0;
   double memory = 1;  // share of the memory limit of the proxy
 };
 
 // Returns the limits of this process. `total` is the descriptor limit of all processes together; `others` are
 // the processes that run beside this one.
-Allowance ComputeLimits(int total, const Usage& own, const std::vector<Usage>& others);
+ProcessLimits ComputeLimits(int total, const Usage& own, const std::vector<Usage>& others);
 
 }  // namespace kestrelline::shared_limits
 
