--- a/src/shared_limits/process_limits.cpp
+++ b/src/shared_limits/process_limits.cpp
@@ -5,7 +5,7 @@
 
 namespace kestrelline::shared_limits {
 
-ProcessLimits ComputeLimits(int total, const Usage& own, const std::vector<Usage>& others) {
+ProcessLimits ComputeLimits(int total, const ProcessUsage& own, const std::vector<ProcessUsage>& others) {
   if (others.empty()) return {total, 1};
   const int processes = static_cast<int>(others.size()) + 1;
   const ProcessLimits even{total / processes, 1.0 / processes};
@@ -13,7 +13,7 @@
   if (own.leaving) return {std::min(even.descriptors, own.descriptors), even.memory};
   int remaining = total;
   bool all_others_leave = true;
-  for (const Usage& other : others) {
+  for (const ProcessUsage& other : others) {
     remaining -= other.descriptors;
     all_others_leave &= other.leaving;
   }
--- a/src/shared_limits/process_limits.h
+++ b/src/shared_limits/process_limits.h
@@ -12,7 +12,7 @@
 namespace kestrelline::shared_limits {
 
 // The usage that a process publishes.
-struct Usage {
+struct ProcessUsage {
   int descriptors = 0;   // open descriptors
   bool leaving = false;  // it is shutting down and accepts no new work
 };
@@ -25,7 +25,7 @@
 
 // Returns the limits of this process. `total` is the descriptor limit of all processes together; `others` are
 // the processes that run beside this one.
-ProcessLimits ComputeLimits(int total, const Usage& own, const std::vector<Usage>& others);
+ProcessLimits ComputeLimits(int total, const ProcessUsage& own, const std::vector<ProcessUsage>& others);
 
 }  // namespace kestrelline::shared_limits
 
--- a/src/shared_limits/process_registry.cpp
+++ b/src/shared_limits/process_registry.cpp
@@ -63,7 +63,7 @@
   }
 }
 
-void ProcessRegistry::Publish(const Usage& usage) {
+void ProcessRegistry::Publish(const ProcessUsage& usage) {
   if (own_slot_ < 0 || (usage.descriptors == published_.descriptors && usage.leaving == published_.leaving))
     return;
   published_ = usage;
@@ -75,8 +75,8 @@
       ::pwrite(files_[static_cast<std::size_t>(own_slot_)], &record, sizeof record, 0);
 }
 
-std::vector<Usage> ProcessRegistry::Others() const {
-  std::vector<Usage> others;
+std::vector<ProcessUsage> ProcessRegistry::Others() const {
+  std::vector<ProcessUsage> others;
   if (own_slot_ < 0) return others;
   for (int slot = 0; slot < kSlots; ++slot) {
     const int file = files_[static_cast<std::size_t>(slot)];
@@ -85,7 +85,7 @@
     if (::fcntl(file, F_OFD_GETLK, &lock) != 0 || lock.l_type == F_UNLCK) continue;
     Record record;
     const bool complete = ::pread(file, &record, sizeof record, 0) == sizeof record;
-    Usage usage;
+    ProcessUsage usage;
     if (complete && record.magic == Record().magic) {
       usage.descriptors = std::clamp(record.descriptors, 0, kMaxDescriptors);
       usage.leaving = record.leaving != 0;
--- a/src/shared_limits/process_registry.h
+++ b/src/shared_limits/process_registry.h
@@ -34,16 +34,16 @@
   const std::string& why() const { return why_; }
 
   // Writes the usage of this process for the others to read.
-  void Publish(const Usage& usage);
+  void Publish(const ProcessUsage& usage);
   // Returns the usage of the other running processes. One that has joined but published nothing yet is
   // included with a usage of zero.
-  std::vector<Usage> Others() const;
+  std::vector<ProcessUsage> Others() const;
 
  private:
   std::array<int, kSlots> files_;
   int own_slot_ = -1;
   std::string why_;
-  Usage published_{-1, false};
+  ProcessUsage published_{-1, false};
 };
 
 }  // namespace kestrelline::shared_limits
--- a/tests/shared_limits/shared_limits_test.cpp
+++ b/tests/shared_limits/shared_limits_test.cpp
@@ -36,7 +36,7 @@
     std::mt19937 random(seed);
     const int total = 128 + static_cast<int>(random() % 1000);
     const int first = static_cast<int>(random() % static_cast<unsigned>(total));
-    std::vector<Usage> now{{first, false}, {0, false}}, seen[2] = {{now[1]}, {now[0]}};
+    std::vector<ProcessUsage> now{{first, false}, {0, false}}, seen[2] = {{now[1]}, {now[0]}};
     for (int step = 0; step < 300; ++step) {
       const auto i = random() % 2;
       if (random() % 3 == 0) seen[i] = {now[1 - i]};
