--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -142,7 +142,7 @@
 
 // While there is another process of this proxy: see shared_limits/process_limits.h.
 void Proxy::ShareLimits() {
-  kestrelline::shared_limits::Usage own;
+  kestrelline::shared_limits::ProcessUsage own;
   own.descriptors = static_cast<int>(clients_->connections() + backends_->connections()) + kOtherDescriptors +
                     (door_ ? static_cast<int>(door_->callers()) : 0);
   own.leaving = life_.Stopping();
