--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -148,7 +148,7 @@
   own.leaving = life_.Stopping();
   companions_->Publish(own);
   const auto allowance =
-      kestrelline::shared_limits::ComputeLimits(config_.sockets, own, companions_->Others());
+      kestrelline::shared_limits::ComputeLimits(config_.sockets, own, companions_->OtherProcesses());
   shares_ = SharesOf(config_, allowance.descriptors);
   backends_->Trim();
   clients_->SetMemoryShare(allowance.memory);
@@ -167,7 +167,7 @@
     // Another process of this proxy goes on under its name: then nobody has left.
     bool taken_over = false;
     if (companions_)
-      for (const auto& other : companions_->Others()) taken_over |= !other.leaving;
+      for (const auto& other : companions_->OtherProcesses()) taken_over |= !other.leaving;
     if (taken_over) {
       peers_.hand_over();
       done = [this, done = std::move(done)] { peers_.when_held_elsewhere(done); };
--- a/src/shared_limits/process_registry.h
+++ b/src/shared_limits/process_registry.h
@@ -37,7 +37,7 @@
   void Publish(const ProcessUsage& usage);
   // Returns the usage of the other running processes. One that has joined but published nothing yet is
   // included with a usage of zero.
-  std::vector<ProcessUsage> Others() const;
+  std::vector<ProcessUsage> OtherProcesses() const;
 
  private:
   std::array<int, kSlots> files_;
--- a/tests/shared_limits/shared_limits_test.cpp
+++ b/tests/shared_limits/shared_limits_test.cpp
@@ -57,10 +57,10 @@
   ProcessRegistry first(folder.path(), "n1"), second(folder.path(), "n1");
   ASSERT_TRUE(first.joined() && second.joined());
   second.Publish({77, true});
-  ASSERT_EQ(first.Others().size(), 1u);
-  EXPECT_EQ(first.Others()[0].descriptors, 77);
-  EXPECT_TRUE(first.Others()[0].leaving);
-  EXPECT_EQ(second.Others()[0].descriptors, 0);
+  ASSERT_EQ(first.OtherProcesses().size(), 1u);
+  EXPECT_EQ(first.OtherProcesses()[0].descriptors, 77);
+  EXPECT_TRUE(first.OtherProcesses()[0].leaving);
+  EXPECT_EQ(second.OtherProcesses()[0].descriptors, 0);
   EXPECT_TRUE(ProcessRegistry(folder.path(), "n2").Others().empty());  // another proxy
 }
 
@@ -71,11 +71,11 @@
     ProcessRegistry next(folder.path(), "n1");
     ASSERT_TRUE(next.joined()) << next.why();
     next.Publish({500, true});
-    EXPECT_EQ(first.Others().size(), 1u);
+    EXPECT_EQ(first.OtherProcesses().size(), 1u);
   }
-  EXPECT_TRUE(first.Others().empty());
+  EXPECT_TRUE(first.OtherProcesses().empty());
   ProcessRegistry after(folder.path(), "n1");
-  EXPECT_EQ(first.Others()[0].descriptors, 0);  // not the usage of the previous owner of the slot
+  EXPECT_EQ(first.OtherProcesses()[0].descriptors, 0);  // not the usage of the previous owner of the slot
 }
 
 TEST(ProcessRegistry, AFourthProcessAndAFolderThatIsNoneServeAlone) {
@@ -85,7 +85,7 @@
   EXPECT_TRUE(c.joined());
   EXPECT_FALSE(d.joined());
   EXPECT_FALSE(d.why().empty());
-  EXPECT_TRUE(d.Others().empty());
+  EXPECT_TRUE(d.OtherProcesses().empty());
   ProcessRegistry nowhere(folder / "missing", "n1");
   EXPECT_FALSE(nowhere.joined());
   EXPECT_NE(nowhere.why().find("missing"), std::string::npos);
@@ -99,8 +99,8 @@
   std::filesystem::create_directory(folder / "kestrelline-n1.2.lock");
   ProcessRegistry first(folder.path(), "n1"), second(folder.path(), "n1");
   ASSERT_TRUE(first.joined() && second.joined());
-  EXPECT_EQ(first.Others().size(), 1u);
-  EXPECT_EQ(first.Others()[0].descriptors, 0);
+  EXPECT_EQ(first.OtherProcesses().size(), 1u);
+  EXPECT_EQ(first.OtherProcesses()[0].descriptors, 0);
   EXPECT_TRUE(ProcessRegistry(folder.path(), "../n1/\n").joined());  // the name is not used as a path
   EXPECT_FALSE(std::filesystem::exists(folder / "../n1"));
 }
