--- a/src/shared_limits/process_registry.h
+++ b/src/shared_limits/process_registry.h
@@ -23,7 +23,7 @@
   // Slots for two processes, and one that starts while another is being killed.
   static constexpr int kSlots = 3;
 
-  // Takes the first free slot of the proxy called `name`; see why() if there is none.
+  // Takes the first free slot of the proxy called `name`; see failure_reason() if there is none.
   ProcessRegistry(const std::string& folder, const std::string& name);
   ~ProcessRegistry();
   ProcessRegistry(const ProcessRegistry&) = delete;
@@ -31,7 +31,7 @@
 
   bool joined() const { return own_slot_ >= 0; }
   // The reason why it could not join.
-  const std::string& why() const { return why_; }
+  const std::string& failure_reason() const { return why_; }
 
   // Writes the usage of this process for the others to read.
   void Publish(const ProcessUsage& usage);
--- a/tests/shared_limits/shared_limits_test.cpp
+++ b/tests/shared_limits/shared_limits_test.cpp
@@ -69,7 +69,7 @@
   ProcessRegistry first(folder.path(), "n1");
   for (int upgrade = 0; upgrade < 10; ++upgrade) {
     ProcessRegistry next(folder.path(), "n1");
-    ASSERT_TRUE(next.joined()) << next.why();
+    ASSERT_TRUE(next.joined()) << next.failure_reason();
     next.Publish({500, true});
     EXPECT_EQ(first.OtherProcesses().size(), 1u);
   }
@@ -84,11 +84,11 @@
       d(folder.path(), "n1");
   EXPECT_TRUE(c.joined());
   EXPECT_FALSE(d.joined());
-  EXPECT_FALSE(d.why().empty());
+  EXPECT_FALSE(d.failure_reason().empty());
   EXPECT_TRUE(d.OtherProcesses().empty());
   ProcessRegistry nowhere(folder / "missing", "n1");
   EXPECT_FALSE(nowhere.joined());
-  EXPECT_NE(nowhere.why().find("missing"), std::string::npos);
+  EXPECT_NE(nowhere.failure_reason().find("missing"), std::string::npos);
   nowhere.Publish({1, false});
 }
 
