--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -81,7 +81,8 @@
     companions_ =
         std::make_unique<kestrelline::shared_limits::ProcessRegistry>(config_.shared_folder, config_.name);
     if (!companions_->joined()) {
-      std::fprintf(stderr, "kestrelline: no look at other processes: %s\n", companions_->why().c_str());
+      std::fprintf(stderr, "kestrelline: no look at other processes: %s\n",
+                   companions_->failure_reason().c_str());
       companions_.reset();
     } else {
       ShareLimits();
