--- a/src/shared_limits/process_registry.cpp
+++ b/src/shared_limits/process_registry.cpp
@@ -46,14 +46,15 @@
     int& file = files_[static_cast<std::size_t>(slot)];
     file = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW | O_NONBLOCK, 0600);
     if (file < 0) {
-      why_ = path + ": " + std::strerror(errno);
+      failure_reason_ = path + ": " + std::strerror(errno);
       continue;
     }
     if (own_slot_ >= 0) continue;
     struct flock lock = WholeFile(F_WRLCK);
     if (::fcntl(file, F_OFD_SETLK, &lock) == 0) own_slot_ = slot;
   }
-  if (own_slot_ < 0 && why_.empty()) why_ = "all " + std::to_string(kSlots) + " places are taken";
+  if (own_slot_ < 0 && failure_reason_.empty())
+    failure_reason_ = "all " + std::to_string(kSlots) + " slots are in use";
   if (own_slot_ >= 0) Publish({});
 }
 
@@ -75,7 +76,7 @@
       ::pwrite(files_[static_cast<std::size_t>(own_slot_)], &record, sizeof record, 0);
 }
 
-std::vector<ProcessUsage> ProcessRegistry::Others() const {
+std::vector<ProcessUsage> ProcessRegistry::OtherProcesses() const {
   std::vector<ProcessUsage> others;
   if (own_slot_ < 0) return others;
   for (int slot = 0; slot < kSlots; ++slot) {
--- a/src/shared_limits/process_registry.h
+++ b/src/shared_limits/process_registry.h
@@ -31,7 +31,7 @@
 
   bool joined() const { return own_slot_ >= 0; }
   // The reason why it could not join.
-  const std::string& failure_reason() const { return why_; }
+  const std::string& failure_reason() const { return failure_reason_; }
 
   // Writes the usage of this process for the others to read.
   void Publish(const ProcessUsage& usage);
@@ -42,7 +42,7 @@
  private:
   std::array<int, kSlots> files_;
   int own_slot_ = -1;
-  std::string why_;
+  std::string failure_reason_;
   ProcessUsage published_{-1, false};
 };
 
--- a/tests/shared_limits/shared_limits_test.cpp
+++ b/tests/shared_limits/shared_limits_test.cpp
@@ -61,7 +61,7 @@
   EXPECT_EQ(first.OtherProcesses()[0].descriptors, 77);
   EXPECT_TRUE(first.OtherProcesses()[0].leaving);
   EXPECT_EQ(second.OtherProcesses()[0].descriptors, 0);
-  EXPECT_TRUE(ProcessRegistry(folder.path(), "n2").Others().empty());  // another proxy
+  EXPECT_TRUE(ProcessRegistry(folder.path(), "n2").OtherProcesses().empty());  // another proxy
 }
 
 TEST(ProcessRegistry, WhoEndsLeavesNothingFalseAndItsPlaceIsTakenAgain) {
