--- a/src/lifecycle/process_lifecycle.cpp
+++ b/src/lifecycle/process_lifecycle.cpp
@@ -32,26 +32,26 @@
   return servable() ? State::kReady : State::kStarting;
 }
 
-Done ProcessLifecycle::Drain(Time now) {
-  if (stopping_) return Done::kStopping;
-  if (drained_) return Done::kAlready;  // the delays still count from the first call
+CommandResult ProcessLifecycle::Drain(Time now) {
+  if (stopping_) return CommandResult::kStopping;
+  if (drained_) return CommandResult::kAlready;  // the delays still count from the first call
   drained_ = true;
   drained_since_ = now;
-  return Done::kDone;
+  return CommandResult::kDone;
 }
 
-Done ProcessLifecycle::Resume() {
-  if (stopping_) return Done::kStopping;
-  if (!drained_) return Done::kAlready;
+CommandResult ProcessLifecycle::Resume() {
+  if (stopping_) return CommandResult::kStopping;
+  if (!drained_) return CommandResult::kAlready;
   drained_ = false;
-  return Done::kDone;
+  return CommandResult::kDone;
 }
 
-Done ProcessLifecycle::Stop(Time now) {
-  if (stopping_) return Done::kAlready;
+CommandResult ProcessLifecycle::Stop(Time now) {
+  if (stopping_) return CommandResult::kAlready;
   stopping_ = true;
   stopping_since_ = now;
-  return Done::kDone;
+  return CommandResult::kDone;
 }
 
 bool ProcessLifecycle::Accepts(Time now) const {
--- a/src/lifecycle/process_lifecycle.h
+++ b/src/lifecycle/process_lifecycle.h
@@ -50,7 +50,7 @@
 };
 
 // The outcome of a command.
-enum class Done { kDone, kAlready, kStopping };
+enum class CommandResult { kDone, kAlready, kStopping };
 
 class ProcessLifecycle {
  public:
@@ -64,9 +64,9 @@
   // timed out. Both return true if this makes the process able to serve.
   bool Listed() { return SetAndCheckServable(&listed_); }
   bool CopiesCame() { return SetAndCheckServable(&copied_); }
-  Done Drain(Time now);
-  Done Resume();
-  Done Stop(Time now);
+  CommandResult Drain(Time now);
+  CommandResult Resume();
+  CommandResult Stop(Time now);
 
   State state() const;
   bool Ready() const { return state() == State::kReady; }
--- a/src/management/commands.cpp
+++ b/src/management/commands.cpp
@@ -4,7 +4,7 @@
 namespace kestrelline::management {
 namespace {
 
-using lifecycle::Done;
+using lifecycle::CommandResult;
 using lifecycle::State;
 
 std::string Line(const char* word, std::string_view text) {
@@ -13,13 +13,13 @@
 std::string Ack(std::string_view text) { return Line("ACK", text); }
 std::string Nak(std::string_view text) { return Line("NAK", text); }
 
-std::string Told(Done done, std::string_view now, std::string_view already) {
+std::string Told(CommandResult done, std::string_view now, std::string_view already) {
   switch (done) {
-    case Done::kDone:
+    case CommandResult::kDone:
       return Ack(now);
-    case Done::kAlready:
+    case CommandResult::kAlready:
       return Ack(already);
-    case Done::kStopping:
+    case CommandResult::kStopping:
       break;
   }
   return Nak("stopping");
--- a/src/management/commands.h
+++ b/src/management/commands.h
@@ -22,8 +22,8 @@
  public:
   virtual ~Operations() = default;
   virtual lifecycle::State state() const = 0;
-  virtual lifecycle::Done Drain() = 0;
-  virtual lifecycle::Done Resume() = 0;
+  virtual lifecycle::CommandResult Drain() = 0;
+  virtual lifecycle::CommandResult Resume() = 0;
   virtual std::string FiguresText() const = 0;
   // What is known of the other proxies, one JSON object; empty where that is off.
   virtual std::string PeersText() const { return {}; }
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -120,18 +120,19 @@
 
 void Proxy::OnLife() { clients_->OnLife(); }
 
-kestrelline::lifecycle::Done Proxy::Drain() {
+kestrelline::lifecycle::CommandResult Proxy::Drain() {
   const auto done = life_.Drain(Steady::now());
-  if (done == kestrelline::lifecycle::Done::kDone) std::fprintf(stderr, "kestrelline: draining\n");
-  if (done == kestrelline::lifecycle::Done::kDone && peers_.leave) peers_.leave();
+  if (done == kestrelline::lifecycle::CommandResult::kDone) std::fprintf(stderr, "kestrelline: draining\n");
+  if (done == kestrelline::lifecycle::CommandResult::kDone && peers_.leave) peers_.leave();
   OnLife();
   return done;
 }
 
-kestrelline::lifecycle::Done Proxy::Resume() {
+kestrelline::lifecycle::CommandResult Proxy::Resume() {
   const auto done = life_.Resume();
-  if (done == kestrelline::lifecycle::Done::kDone) std::fprintf(stderr, "kestrelline: no longer draining\n");
-  if (done == kestrelline::lifecycle::Done::kDone && peers_.stay) peers_.stay();
+  if (done == kestrelline::lifecycle::CommandResult::kDone)
+    std::fprintf(stderr, "kestrelline: no longer draining\n");
+  if (done == kestrelline::lifecycle::CommandResult::kDone && peers_.stay) peers_.stay();
   OnLife();
   return done;
 }
@@ -163,7 +164,7 @@
 void Proxy::Reload(const Config& config) { discovery_->Move(config.discovery); }
 
 void Proxy::Stop(std::function<void()> done) {
-  if (life_.Stop(Steady::now()) != kestrelline::lifecycle::Done::kDone) return;
+  if (life_.Stop(Steady::now()) != kestrelline::lifecycle::CommandResult::kDone) return;
   if (peers_.leave) {
     // Another process of this proxy goes on under its name: then nobody has left.
     bool taken_over = false;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -122,8 +122,8 @@
 
   // What operators call for.
   kestrelline::lifecycle::State state() const override { return life_.state(); }
-  kestrelline::lifecycle::Done Drain() override;
-  kestrelline::lifecycle::Done Resume() override;
+  kestrelline::lifecycle::CommandResult Drain() override;
+  kestrelline::lifecycle::CommandResult Resume() override;
   std::string FiguresText() const override;
   std::string PeersText() const override { return peers_.report ? peers_.report() : std::string(); }
   std::string ReplicaText() const override { return peers_.replica ? peers_.replica() : std::string(); }
--- a/tests/lifecycle/process_lifecycle_test.cpp
+++ b/tests/lifecycle/process_lifecycle_test.cpp
@@ -36,7 +36,7 @@
     Naive naive;
     naive.copied = !waits;
     for (int step = 0, rest = code / 2; step < 6; ++step, rest /= 5) {
-      const Done usual = naive.stopped ? Done::kStopping : Done::kDone;
+      const CommandResult usual = naive.stopped ? CommandResult::kStopping : CommandResult::kDone;
       switch (rest % 5) {
         case 0:
           EXPECT_EQ(life.Listed(), !naive.listed && naive.copied);
@@ -47,15 +47,15 @@
           naive.copied = true;
           break;
         case 1:
-          EXPECT_EQ(life.Drain(kStart), naive.stopped || !naive.drains ? usual : Done::kAlready);
+          EXPECT_EQ(life.Drain(kStart), naive.stopped || !naive.drains ? usual : CommandResult::kAlready);
           if (!naive.stopped) naive.drains = 1;
           break;
         case 2:
-          EXPECT_EQ(life.Resume(), naive.stopped || naive.drains ? usual : Done::kAlready);
+          EXPECT_EQ(life.Resume(), naive.stopped || naive.drains ? usual : CommandResult::kAlready);
           if (!naive.stopped) naive.drains = 0;
           break;
         case 3:
-          EXPECT_EQ(life.Stop(kStart), naive.stopped ? Done::kAlready : Done::kDone);
+          EXPECT_EQ(life.Stop(kStart), naive.stopped ? CommandResult::kAlready : CommandResult::kDone);
           naive.stopped = true;
           break;
       }
--- a/tests/management/commands_test.cpp
+++ b/tests/management/commands_test.cpp
@@ -17,8 +17,8 @@
   lifecycle::ProcessLifecycle life;
   Figures figures{{"preview", "a\"b\\c\nd"}};
   lifecycle::State state() const override { return life.state(); }
-  lifecycle::Done Drain() override { return life.Drain({}); }
-  lifecycle::Done Resume() override { return life.Resume(); }
+  lifecycle::CommandResult Drain() override { return life.Drain({}); }
+  lifecycle::CommandResult Resume() override { return life.Resume(); }
   std::string FiguresText() const override { return figures.Text({15, 2}); }
 };
 
