--- a/src/lifecycle/process_lifecycle.cpp
+++ b/src/lifecycle/process_lifecycle.cpp
@@ -34,7 +34,7 @@
 
 CommandResult ProcessLifecycle::Drain(Time now) {
   if (stopping_) return CommandResult::kStopping;
-  if (drained_) return CommandResult::kAlready;  // the delays still count from the first call
+  if (drained_) return CommandResult::kNoChange;  // the delays still count from the first call
   drained_ = true;
   drained_since_ = now;
   return CommandResult::kDone;
@@ -42,13 +42,13 @@
 
 CommandResult ProcessLifecycle::Resume() {
   if (stopping_) return CommandResult::kStopping;
-  if (!drained_) return CommandResult::kAlready;
+  if (!drained_) return CommandResult::kNoChange;
   drained_ = false;
   return CommandResult::kDone;
 }
 
 CommandResult ProcessLifecycle::Stop(Time now) {
-  if (stopping_) return CommandResult::kAlready;
+  if (stopping_) return CommandResult::kNoChange;
   stopping_ = true;
   stopping_since_ = now;
   return CommandResult::kDone;
--- a/src/management/commands.cpp
+++ b/src/management/commands.cpp
@@ -17,7 +17,7 @@
   switch (done) {
     case CommandResult::kDone:
       return Ack(now);
-    case CommandResult::kAlready:
+    case CommandResult::kNoChange:
       return Ack(already);
     case CommandResult::kStopping:
       break;
--- a/tests/lifecycle/process_lifecycle_test.cpp
+++ b/tests/lifecycle/process_lifecycle_test.cpp
@@ -47,15 +47,15 @@
           naive.copied = true;
           break;
         case 1:
-          EXPECT_EQ(life.Drain(kStart), naive.stopped || !naive.drains ? usual : CommandResult::kAlready);
+          EXPECT_EQ(life.Drain(kStart), naive.stopped || !naive.drains ? usual : CommandResult::kNoChange);
           if (!naive.stopped) naive.drains = 1;
           break;
         case 2:
-          EXPECT_EQ(life.Resume(), naive.stopped || naive.drains ? usual : CommandResult::kAlready);
+          EXPECT_EQ(life.Resume(), naive.stopped || naive.drains ? usual : CommandResult::kNoChange);
           if (!naive.stopped) naive.drains = 0;
           break;
         case 3:
-          EXPECT_EQ(life.Stop(kStart), naive.stopped ? CommandResult::kAlready : CommandResult::kDone);
+          EXPECT_EQ(life.Stop(kStart), naive.stopped ? CommandResult::kNoChange : CommandResult::kDone);
           naive.stopped = true;
           break;
       }
