--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -103,7 +103,7 @@
 }
 
 void Proxy::OnListed() {
-  if (life_.Listed()) OnLife();
+  if (life_.BackendListReceived()) OnLife();
 }
 
 void Proxy::OnCopies() {
--- a/tests/lifecycle/process_lifecycle_test.cpp
+++ b/tests/lifecycle/process_lifecycle_test.cpp
@@ -39,7 +39,7 @@
       const CommandResult usual = naive.stopped ? CommandResult::kStopping : CommandResult::kDone;
       switch (rest % 5) {
         case 0:
-          EXPECT_EQ(life.Listed(), !naive.listed && naive.copied);
+          EXPECT_EQ(life.BackendListReceived(), !naive.listed && naive.copied);
           naive.listed = true;
           break;
         case 4:
@@ -71,7 +71,7 @@
 TEST(ProcessLifecycle, IdleConnectionsEndInASpreadWellBeforeFourSeconds) {
   for (const bool stop : {false, true}) {
     ProcessLifecycle life;
-    life.Listed();
+    life.BackendListReceived();
     EXPECT_FALSE(life.EndsIdle(After(100000), kStart, 1));
     stop ? life.Stop(kStart) : life.Drain(kStart);
     const Time long_idle = kStart - Ms(1000);
@@ -89,7 +89,7 @@
 
 TEST(ProcessLifecycle, WhoHasJustComeIsAboutToAskAndMayStayAMoment) {
   ProcessLifecycle life;
-  life.Listed();
+  life.BackendListReceived();
   life.Drain(kStart);
   const Time came = After(1600);
   EXPECT_FALSE(life.EndsIdle(came + Ms(149), came, 7));
@@ -98,7 +98,7 @@
 
 TEST(ProcessLifecycle, HalfARequestMayStayLongerAndEndsBeforeTheFourSecondsLookBack) {
   ProcessLifecycle life;
-  life.Listed();
+  life.BackendListReceived();
   EXPECT_FALSE(life.EndsHalfRead(After(100000), kStart));
   life.Drain(kStart);
   EXPECT_FALSE(life.EndsHalfRead(After(1899), kStart));
@@ -114,7 +114,7 @@
 
 TEST(ProcessLifecycle, WhatHasJustBegunToComeIsNotHalfARequestYet) {
   ProcessLifecycle life;
-  life.Listed();
+  life.BackendListReceived();
   life.Stop(kStart);
   EXPECT_FALSE(life.EndsHalfRead(After(3149), After(3000)));
   EXPECT_TRUE(life.EndsHalfRead(After(3150), After(3000)));
@@ -122,7 +122,7 @@
 
 TEST(ProcessLifecycle, ALateRequestIsTakenOnlyIfItIsOverBeforeTheProcessMayBeKilled) {
   ProcessLifecycle life;
-  life.Listed();
+  life.BackendListReceived();
   EXPECT_TRUE(life.Takes(After(100000), Time::max()));
   life.Drain(kStart);  // a drain does not stop the process
   EXPECT_TRUE(life.Takes(After(100000), Time::max()));
@@ -137,7 +137,7 @@
 TEST(ProcessLifecycle, AListenerOfItsOwnTakesWhatComesUntilTheFrontHasNoticed) {
   ProcessLifecycle life;
   EXPECT_TRUE(life.Accepts(kStart));  // /ready must be answered before there is a backend list
-  life.Listed();
+  life.BackendListReceived();
   life.Drain(kStart);
   EXPECT_TRUE(life.Accepts(After(3600000)));  // a resume may follow
   life.Stop(kStart);
@@ -148,7 +148,7 @@
 TEST(ProcessLifecycle, AQueueThatOthersHaveTooIsLeftToWhoCanServe) {
   ProcessLifecycle life(/*listener_is_shared=*/true);
   EXPECT_FALSE(life.Accepts(kStart));
-  life.Listed();
+  life.BackendListReceived();
   EXPECT_TRUE(life.Accepts(kStart));
   life.Drain(kStart);
   EXPECT_TRUE(life.Accepts(After(60000)));  // there may be no other process
--- a/tests/management/commands_test.cpp
+++ b/tests/management/commands_test.cpp
@@ -25,7 +25,7 @@
 TEST(Commands, EachHasADefinedAnswerInEachState) {
   Process p;
   EXPECT_EQ(AnswerTo("ready\n", p), "NAK starting\n");
-  p.life.Listed();
+  p.life.BackendListReceived();
   EXPECT_EQ(AnswerTo("ready\r\n", p), "ACK ready\n");
   EXPECT_EQ(AnswerTo("resume\n", p), "ACK was not draining\n");
   EXPECT_EQ(AnswerTo("drain\n", p), "ACK draining\n");
