--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -107,7 +107,7 @@
 }
 
 void Proxy::OnCopies() {
-  if (life_.CopiesCame()) OnLife();
+  if (life_.CopiesReceived()) OnLife();
 }
 
 void Proxy::OnShare(double share, Steady::time_point until, double after) {
--- a/tests/lifecycle/process_lifecycle_test.cpp
+++ b/tests/lifecycle/process_lifecycle_test.cpp
@@ -43,7 +43,7 @@
           naive.listed = true;
           break;
         case 4:
-          EXPECT_EQ(life.CopiesCame(), !naive.copied && naive.listed);
+          EXPECT_EQ(life.CopiesReceived(), !naive.copied && naive.listed);
           naive.copied = true;
           break;
         case 1:
