--- a/src/lifecycle/process_lifecycle.cpp
+++ b/src/lifecycle/process_lifecycle.cpp
@@ -66,7 +66,7 @@
   return Since(now) >= from + std::chrono::duration_cast<Span>((to - from) * SpreadPoint(serial));
 }
 
-bool ProcessLifecycle::EndsHalfRead(Time now, Time read_since) const {
+bool ProcessLifecycle::ClosesIncomplete(Time now, Time read_since) const {
   return Leaving() && now - read_since >= times_.fresh &&
          Since(now) >= (stopping_ ? times_.stop_half : times_.drain_half);
 }
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -80,7 +80,7 @@
   const auto& life = owner_->life_;
   if (state_ == State::kWaiting) {
     if (life.EndsIdle(now, since_, serial_) && Idle()) Close();
-  } else if (state_ == State::kReading && life.EndsHalfRead(now, since_)) {
+  } else if (state_ == State::kReading && life.ClosesIncomplete(now, since_)) {
     Error ignored;
     socket_.cancel(ignored);
     TurnAway(http::status::service_unavailable, kNothingNew);
--- a/tests/lifecycle/process_lifecycle_test.cpp
+++ b/tests/lifecycle/process_lifecycle_test.cpp
@@ -99,25 +99,25 @@
 TEST(ProcessLifecycle, HalfARequestMayStayLongerAndEndsBeforeTheFourSecondsLookBack) {
   ProcessLifecycle life;
   life.BackendListReceived();
-  EXPECT_FALSE(life.EndsHalfRead(After(100000), kStart));
+  EXPECT_FALSE(life.ClosesIncomplete(After(100000), kStart));
   life.Drain(kStart);
-  EXPECT_FALSE(life.EndsHalfRead(After(1899), kStart));
-  EXPECT_TRUE(life.EndsHalfRead(After(1900), kStart));
+  EXPECT_FALSE(life.ClosesIncomplete(After(1899), kStart));
+  EXPECT_TRUE(life.ClosesIncomplete(After(1900), kStart));
   life.Drain(After(1800));  // a repeated drain does not restart the delays
-  EXPECT_TRUE(life.EndsHalfRead(After(1900), kStart));
+  EXPECT_TRUE(life.ClosesIncomplete(After(1900), kStart));
   life.Resume();
-  EXPECT_FALSE(life.EndsHalfRead(After(1900), kStart));
+  EXPECT_FALSE(life.ClosesIncomplete(After(1900), kStart));
   life.Stop(After(5000));
-  EXPECT_FALSE(life.EndsHalfRead(After(6099), kStart));
-  EXPECT_TRUE(life.EndsHalfRead(After(6100), kStart));
+  EXPECT_FALSE(life.ClosesIncomplete(After(6099), kStart));
+  EXPECT_TRUE(life.ClosesIncomplete(After(6100), kStart));
 }
 
 TEST(ProcessLifecycle, WhatHasJustBegunToComeIsNotHalfARequestYet) {
   ProcessLifecycle life;
   life.BackendListReceived();
   life.Stop(kStart);
-  EXPECT_FALSE(life.EndsHalfRead(After(3149), After(3000)));
-  EXPECT_TRUE(life.EndsHalfRead(After(3150), After(3000)));
+  EXPECT_FALSE(life.ClosesIncomplete(After(3149), After(3000)));
+  EXPECT_TRUE(life.ClosesIncomplete(After(3150), After(3000)));
 }
 
 TEST(ProcessLifecycle, ALateRequestIsTakenOnlyIfItIsOverBeforeTheProcessMayBeKilled) {
