--- a/src/lifecycle/process_lifecycle.cpp
+++ b/src/lifecycle/process_lifecycle.cpp
@@ -59,7 +59,7 @@
   return !stopping_ || Since(now) < times_.stop_accepting;
 }
 
-bool ProcessLifecycle::EndsIdle(Time now, Time idle_since, std::uint64_t serial) const {
+bool ProcessLifecycle::ClosesIdle(Time now, Time idle_since, std::uint64_t serial) const {
   if (!Leaving() || now - idle_since < times_.fresh) return false;
   const auto from = stopping_ ? times_.stop_from : times_.drain_from;
   const auto to = stopping_ ? times_.stop_to : times_.drain_to;
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -79,7 +79,7 @@
 void Session::EndIfLeaving(Steady::time_point now) {
   const auto& life = owner_->life_;
   if (state_ == State::kWaiting) {
-    if (life.EndsIdle(now, since_, serial_) && Idle()) Close();
+    if (life.ClosesIdle(now, since_, serial_) && Idle()) Close();
   } else if (state_ == State::kReading && life.ClosesIncomplete(now, since_)) {
     Error ignored;
     socket_.cancel(ignored);
--- a/tests/lifecycle/process_lifecycle_test.cpp
+++ b/tests/lifecycle/process_lifecycle_test.cpp
@@ -72,13 +72,13 @@
   for (const bool stop : {false, true}) {
     ProcessLifecycle life;
     life.BackendListReceived();
-    EXPECT_FALSE(life.EndsIdle(After(100000), kStart, 1));
+    EXPECT_FALSE(life.ClosesIdle(After(100000), kStart, 1));
     stop ? life.Stop(kStart) : life.Drain(kStart);
     const Time long_idle = kStart - Ms(1000);
     std::set<int> ends;
     for (std::uint64_t serial = 1; serial <= 200; ++serial) {
       int at = 0;
-      while (!life.EndsIdle(After(at), long_idle, serial)) ++at;
+      while (!life.ClosesIdle(After(at), long_idle, serial)) ++at;
       ends.insert(at);
       EXPECT_GE(at, 300);  // the 0.2 s in which new connections still arrive, and a margin
       EXPECT_LE(at, stop ? 600 : 1500);
@@ -92,8 +92,8 @@
   life.BackendListReceived();
   life.Drain(kStart);
   const Time came = After(1600);
-  EXPECT_FALSE(life.EndsIdle(came + Ms(149), came, 7));
-  EXPECT_TRUE(life.EndsIdle(came + Ms(150), came, 7));
+  EXPECT_FALSE(life.ClosesIdle(came + Ms(149), came, 7));
+  EXPECT_TRUE(life.ClosesIdle(came + Ms(150), came, 7));
 }
 
 TEST(ProcessLifecycle, HalfARequestMayStayLongerAndEndsBeforeTheFourSecondsLookBack) {
