--- a/src/lifecycle/process_lifecycle.cpp
+++ b/src/lifecycle/process_lifecycle.cpp
@@ -71,7 +71,7 @@
          Since(now) >= (stopping_ ? times_.stop_half : times_.drain_half);
 }
 
-bool ProcessLifecycle::Takes(Time now, Time due) const {
+bool ProcessLifecycle::AcceptsRequest(Time now, Time due) const {
   return !stopping_ || Since(now) < times_.stop_take || Since(due) <= times_.stop_end;
 }
 
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -311,7 +311,7 @@
   const auto upload = upload_;
   const auto now = Steady::now();
   // Its server has never had the whole of it.
-  if (last && !owner_->life_.Takes(now, now + upload->deadline()))
+  if (last && !owner_->life_.AcceptsRequest(now, now + upload->deadline()))
     return GiveUpload(http::status::service_unavailable, kNothingNew);
   read_whole_ = last;
   upload->Add(std::exchange(body, {}), last, now);
@@ -364,7 +364,7 @@
     return std::nullopt;
   }
   // When a body that is still coming will be over is not known.
-  if (!owner_->life_.Takes(at, whole ? request.due : Steady::time_point::max())) {
+  if (!owner_->life_.AcceptsRequest(at, whole ? request.due : Steady::time_point::max())) {
     TurnAway(http::status::service_unavailable, kNothingNew);
     return std::nullopt;
   }
--- a/tests/lifecycle/process_lifecycle_test.cpp
+++ b/tests/lifecycle/process_lifecycle_test.cpp
@@ -123,15 +123,16 @@
 TEST(ProcessLifecycle, ALateRequestIsTakenOnlyIfItIsOverBeforeTheProcessMayBeKilled) {
   ProcessLifecycle life;
   life.BackendListReceived();
-  EXPECT_TRUE(life.Takes(After(100000), Time::max()));
+  EXPECT_TRUE(life.AcceptsRequest(After(100000), Time::max()));
   life.Drain(kStart);  // a drain does not stop the process
-  EXPECT_TRUE(life.Takes(After(100000), Time::max()));
+  EXPECT_TRUE(life.AcceptsRequest(After(100000), Time::max()));
   life.Stop(kStart);
-  EXPECT_TRUE(life.Takes(After(699), Time::max()));  // not counted as lost if SIGKILL finds it unanswered
-  EXPECT_FALSE(life.Takes(After(700), Time::max()));
-  EXPECT_TRUE(life.Takes(After(700), After(3500)));
-  EXPECT_FALSE(life.Takes(After(700), After(3501)));
-  EXPECT_TRUE(life.Takes(After(3400), After(3500)));
+  EXPECT_TRUE(
+      life.AcceptsRequest(After(699), Time::max()));  // not counted as lost if SIGKILL finds it unanswered
+  EXPECT_FALSE(life.AcceptsRequest(After(700), Time::max()));
+  EXPECT_TRUE(life.AcceptsRequest(After(700), After(3500)));
+  EXPECT_FALSE(life.AcceptsRequest(After(700), After(3501)));
+  EXPECT_TRUE(life.AcceptsRequest(After(3400), After(3500)));
 }
 
 TEST(ProcessLifecycle, AListenerOfItsOwnTakesWhatComesUntilTheFrontHasNoticed) {
