--- a/src/lifecycle/process_lifecycle.cpp
+++ b/src/lifecycle/process_lifecycle.cpp
@@ -54,7 +54,7 @@
   return CommandResult::kDone;
 }
 
-bool ProcessLifecycle::Accepts(Time now) const {
+bool ProcessLifecycle::AcceptsConnections(Time now) const {
   if (listener_is_shared_) return !stopping_ && servable();
   return !stopping_ || Since(now) < times_.stop_accepting;
 }
--- a/src/proxy/clients.cpp
+++ b/src/proxy/clients.cpp
@@ -63,7 +63,7 @@
 
 void Clients::Accept() {
   waiting_for_room_ = false;
-  if (accepting_ || !acceptor_.is_open() || !life_.Accepts(Steady::now())) return;
+  if (accepting_ || !acceptor_.is_open() || !life_.AcceptsConnections(Steady::now())) return;
   if (sessions_.size() >= places_.most() && !MakeRoom()) {
     waiting_for_room_ = true;  // the next connections wait in the kernel's queue
     return;
@@ -181,7 +181,7 @@
 // resets it.
 void Clients::LookWhetherOver() {
   const auto now = Steady::now();
-  const bool accepts = life_.Accepts(now);
+  const bool accepts = life_.AcceptsConnections(now);
   if (!accepts && acceptor_.is_open()) {
     const bool own = config_.inherited_listener < 0;
     if (own) TakeQueue();
--- a/tests/lifecycle/process_lifecycle_test.cpp
+++ b/tests/lifecycle/process_lifecycle_test.cpp
@@ -137,24 +137,24 @@
 
 TEST(ProcessLifecycle, AListenerOfItsOwnTakesWhatComesUntilTheFrontHasNoticed) {
   ProcessLifecycle life;
-  EXPECT_TRUE(life.Accepts(kStart));  // /ready must be answered before there is a backend list
+  EXPECT_TRUE(life.AcceptsConnections(kStart));  // /ready must be answered before there is a backend list
   life.BackendListReceived();
   life.Drain(kStart);
-  EXPECT_TRUE(life.Accepts(After(3600000)));  // a resume may follow
+  EXPECT_TRUE(life.AcceptsConnections(After(3600000)));  // a resume may follow
   life.Stop(kStart);
-  EXPECT_TRUE(life.Accepts(After(599)));
-  EXPECT_FALSE(life.Accepts(After(600)));
+  EXPECT_TRUE(life.AcceptsConnections(After(599)));
+  EXPECT_FALSE(life.AcceptsConnections(After(600)));
 }
 
 TEST(ProcessLifecycle, AQueueThatOthersHaveTooIsLeftToWhoCanServe) {
   ProcessLifecycle life(/*listener_is_shared=*/true);
-  EXPECT_FALSE(life.Accepts(kStart));
+  EXPECT_FALSE(life.AcceptsConnections(kStart));
   life.BackendListReceived();
-  EXPECT_TRUE(life.Accepts(kStart));
+  EXPECT_TRUE(life.AcceptsConnections(kStart));
   life.Drain(kStart);
-  EXPECT_TRUE(life.Accepts(After(60000)));  // there may be no other process
+  EXPECT_TRUE(life.AcceptsConnections(After(60000)));  // there may be no other process
   life.Stop(After(60000));
-  EXPECT_FALSE(life.Accepts(After(60000)));
+  EXPECT_FALSE(life.AcceptsConnections(After(60000)));
 }
 
 }  // namespace
