--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -448,7 +448,7 @@
   if (!whole) last_ = true;  // what follows is the rest of what nobody wants
   // A client that keeps its connection and asks no more would hold the place for `spare`, against ever-new
   // clients that wait in the kernel's queue until their time is up (incident rf19165).
-  last_ |= owner_->life_.Leaving() || owner_->PlacesRunShort();
+  last_ |= owner_->life_.ClosesAfterResponse() || owner_->PlacesRunShort();
   Error ignored;
   socket_.cancel(ignored);  // the watch for the client's end
 }
--- a/tests/lifecycle/process_lifecycle_test.cpp
+++ b/tests/lifecycle/process_lifecycle_test.cpp
@@ -61,7 +61,7 @@
       }
       ASSERT_EQ(life.state(), naive.state()) << code;
       EXPECT_EQ(life.Ready(), naive.state() == State::kReady);
-      EXPECT_EQ(life.Leaving(), naive.stopped || naive.drains > 0);
+      EXPECT_EQ(life.ClosesAfterResponse(), naive.stopped || naive.drains > 0);
     }
     ++sequences;
   }
