--- a/src/lifecycle/process_lifecycle.cpp
+++ b/src/lifecycle/process_lifecycle.cpp
@@ -56,23 +56,23 @@
 
 bool ProcessLifecycle::AcceptsConnections(Time now) const {
   if (listener_is_shared_) return !stopping_ && servable();
-  return !stopping_ || Since(now) < times_.stop_accepting;
+  return !stopping_ || Since(now) < delays_.stop_accepting;
 }
 
 bool ProcessLifecycle::ClosesIdle(Time now, Time idle_since, std::uint64_t serial) const {
-  if (!Leaving() || now - idle_since < times_.fresh) return false;
-  const auto from = stopping_ ? times_.stop_from : times_.drain_from;
-  const auto to = stopping_ ? times_.stop_to : times_.drain_to;
+  if (!ClosesAfterResponse() || now - idle_since < delays_.min_age) return false;
+  const auto from = stopping_ ? delays_.stop_close_idle_from : delays_.drain_close_idle_from;
+  const auto to = stopping_ ? delays_.stop_close_idle_to : delays_.drain_close_idle_to;
   return Since(now) >= from + std::chrono::duration_cast<Span>((to - from) * SpreadPoint(serial));
 }
 
 bool ProcessLifecycle::ClosesIncomplete(Time now, Time read_since) const {
-  return Leaving() && now - read_since >= times_.fresh &&
-         Since(now) >= (stopping_ ? times_.stop_half : times_.drain_half);
+  return ClosesAfterResponse() && now - read_since >= delays_.min_age &&
+         Since(now) >= (stopping_ ? delays_.stop_close_incomplete : delays_.drain_close_incomplete);
 }
 
 bool ProcessLifecycle::AcceptsRequest(Time now, Time due) const {
-  return !stopping_ || Since(now) < times_.stop_take || Since(due) <= times_.stop_end;
+  return !stopping_ || Since(now) < delays_.stop_accept_any || Since(due) <= delays_.stop_last_end;
 }
 
 }  // namespace kestrelline::lifecycle
