--- a/tests/proxy/endings_test.cpp
+++ b/tests/proxy/endings_test.cpp
@@ -27,7 +27,7 @@
       clients.push_back(std::make_unique<Client>(site.proxy->address));
       clients.back()->Send(WithId(Look(), std::to_string(i)));
     }
-    const auto late = proxy::Steady::now() + 2 * kestrelline::lifecycle::Times().stop_accepting;
+    const auto late = proxy::Steady::now() + 2 * kestrelline::lifecycle::Delays().stop_accepting;
     while (proxy::Steady::now() < late) std::this_thread::yield();
     return true;
   });
@@ -61,7 +61,7 @@
   EXPECT_EQ(answer.body(), "last");
   EXPECT_FALSE(answer.keep_alive());
   // Longer than it goes on accepting.
-  EXPECT_EQ(stopped.wait_for(2 * kestrelline::lifecycle::Times().stop_accepting),
+  EXPECT_EQ(stopped.wait_for(2 * kestrelline::lifecycle::Delays().stop_accepting),
             std::future_status::timeout);
   client.reset();
   EXPECT_EQ(stopped.wait_for(kGiveUp), std::future_status::ready);
