--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -18,7 +18,7 @@
 using operator_file::Diagnostics;
 using operator_file::Shown;
 using routing::Chosen;
-using routing::Effective;
+using routing::EffectiveLimits;
 using routing::Origin;
 using routing::Route;
 using routing::RouteTable;
@@ -272,8 +272,8 @@
     out << "route      none matches: the class's limits hold\n";
   }
   const auto cls = static_cast<std::size_t>(request.request_class());
-  const routing::LimitsBook book(config->spec, config->site, &diagnostics);
-  const Effective e = book.Of(route, cls);
+  const routing::LimitsResolver book(config->spec, config->site, &diagnostics);
+  const EffectiveLimits e = book.Of(route, cls);
   const auto& settings = config->site.settings;
   const Duration deadline = settings.classes[cls].deadline;
   const auto line = [&](const char* name, const std::string& value, const auto& chosen) {
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -88,13 +88,13 @@
   return hash;
 }
 
-bool Effective::empty() const {
+bool EffectiveLimits::empty() const {
   return !attempt_timeout.value && !patience.value && !pause.value && !second_copy_after.value &&
          !max_attempts.value && !max_in_flight.value && !affinity.value && !load_bound.value &&
          !retry_on.value && !retry_budgets.value && !claim.value;
 }
 
-LimitsBook::LimitsBook(const Spec& spec, const Site& site, Diagnostics* diagnostics)
+LimitsResolver::LimitsResolver(const Spec& spec, const Site& site, Diagnostics* diagnostics)
     : spec_(spec), site_(site), by_class_(site.classes.size()) {
   for (const BudgetSpec& budget : spec_.budgets) budgets_.emplace(budget.name.value, &budget);
   std::vector<std::string_view> class_names(site.classes.begin(), site.classes.end()), budget_names;
@@ -153,11 +153,11 @@
   for (const RouteSpec& route : spec_.routes) check(route.limits);
 }
 
-Effective LimitsBook::Of(const RouteSpec* route, std::size_t class_index) const {
+EffectiveLimits LimitsResolver::Of(const RouteSpec* route, std::size_t class_index) const {
   const LimitsSpec* of_route = route ? &route->limits : nullptr;
   const LimitsSpec* of_class = by_class_[class_index];
   const LimitsSpec& defaults = spec_.defaults;
-  Effective limits;
+  EffectiveLimits limits;
   limits.attempt_timeout = Choose(&LimitsSpec::attempt_timeout, of_route, of_class, defaults);
   limits.patience = Choose(&LimitsSpec::patience, of_route, of_class, defaults);
   limits.pause = Choose(&LimitsSpec::pause, of_route, of_class, defaults);
@@ -172,7 +172,7 @@
   return limits;
 }
 
-int LimitsBook::MaxAttempts(const Effective& limits) const {
+int LimitsResolver::MaxAttempts(const EffectiveLimits& limits) const {
   if (limits.retry_on.value && limits.retry_on.value->empty()) return 1;
   const int platform = site_.settings.max_attempts;
   return limits.max_attempts.value
@@ -180,14 +180,15 @@
              : platform;
 }
 
-void LimitsBook::Check(const Effective& limits, std::size_t class_index, Diagnostics* diagnostics) const {
+void LimitsResolver::Check(const EffectiveLimits& limits, std::size_t class_index,
+                           Diagnostics* diagnostics) const {
   CheckRepeats(limits, class_index, diagnostics);
   CheckTimes(limits, class_index, diagnostics);
   CheckCopies(limits, class_index, diagnostics);
 }
 
-void LimitsBook::CheckRepeats(const Effective& limits, std::size_t class_index,
-                              Diagnostics* diagnostics) const {
+void LimitsResolver::CheckRepeats(const EffectiveLimits& limits, std::size_t class_index,
+                                  Diagnostics* diagnostics) const {
   const ClassSettings& class_settings = site_.settings.classes[class_index];
   const std::string& name = site_.classes[class_index];
   if (class_settings.effect == Effect::kUnsafe && limits.retry_on.value) {
@@ -219,8 +220,8 @@
                        Shown(class_settings.window) + "; up to " + Shown(max_start) + " is accepted");
 }
 
-void LimitsBook::CheckTimes(const Effective& limits, std::size_t class_index,
-                            Diagnostics* diagnostics) const {
+void LimitsResolver::CheckTimes(const EffectiveLimits& limits, std::size_t class_index,
+                                Diagnostics* diagnostics) const {
   const Duration deadline = site_.settings.classes[class_index].deadline;
   const std::string& name = site_.classes[class_index];
   const auto client_deadline = "class " + name + "'s clients wait " + Shown(deadline);
@@ -255,8 +256,8 @@
                            : "; an attempt_timeout of " + Shown(max_total) + " or less is accepted"));
 }
 
-void LimitsBook::CheckCopies(const Effective& limits, std::size_t class_index,
-                             Diagnostics* diagnostics) const {
+void LimitsResolver::CheckCopies(const EffectiveLimits& limits, std::size_t class_index,
+                                 Diagnostics* diagnostics) const {
   if (!limits.second_copy_after.value) return;
   const ClassSettings& class_settings = site_.settings.classes[class_index];
   const std::string& name = site_.classes[class_index];
@@ -287,7 +288,7 @@
   }
 }
 
-RouteLimits LimitsBook::Compile(const Effective& limits, std::uint64_t id) const {
+RouteLimits LimitsResolver::Compile(const EffectiveLimits& limits, std::uint64_t id) const {
   const auto duration_or_zero = [](const Chosen<Duration>& chosen) {
     return chosen.value ? *chosen.value : Duration(0);
   };
--- a/src/routing/limits.h
+++ b/src/routing/limits.h
@@ -29,7 +29,7 @@
 };
 
 // The limits in effect for one route and class. Points into the Spec, which must outlive it.
-struct Effective {
+struct EffectiveLimits {
   Chosen<Duration> attempt_timeout, patience, pause, second_copy_after;
   Chosen<std::int64_t> max_attempts, max_in_flight;
   Chosen<std::string> affinity, claim;
@@ -39,30 +39,31 @@
   bool empty() const;  // every limit is that of the platform
 };
 
-class LimitsBook {
+class LimitsResolver {
  public:
   // Validates budgets, and the names of classes and budgets. `spec` and `site` must outlive this object.
-  LimitsBook(const Spec& spec, const Site& site, operator_file::Diagnostics* diagnostics);
+  LimitsResolver(const Spec& spec, const Site& site, operator_file::Diagnostics* diagnostics);
 
   // Returns the limits of a route for requests of a class, or, if `route` is null, of requests of that class
   // that match no route. `class_index` is an index into Site::classes.
-  Effective Of(const RouteSpec* route, std::size_t class_index) const;
+  EffectiveLimits Of(const RouteSpec* route, std::size_t class_index) const;
 
   // Reports limits that the rules or the platform forbid.
-  void Check(const Effective& limits, std::size_t class_index, operator_file::Diagnostics* diagnostics) const;
+  void Check(const EffectiveLimits& limits, std::size_t class_index,
+             operator_file::Diagnostics* diagnostics) const;
 
   // Converts limits to the form that the decision module takes. Requests with the same `id` share counters,
   // such as the number in flight.
-  kestrelline::RouteLimits Compile(const Effective& limits, std::uint64_t id) const;
+  kestrelline::RouteLimits Compile(const EffectiveLimits& limits, std::uint64_t id) const;
 
  private:
-  void CheckRepeats(const Effective& limits, std::size_t class_index,
+  void CheckRepeats(const EffectiveLimits& limits, std::size_t class_index,
                     operator_file::Diagnostics* diagnostics) const;
-  void CheckTimes(const Effective& limits, std::size_t class_index,
+  void CheckTimes(const EffectiveLimits& limits, std::size_t class_index,
                   operator_file::Diagnostics* diagnostics) const;
-  void CheckCopies(const Effective& limits, std::size_t class_index,
+  void CheckCopies(const EffectiveLimits& limits, std::size_t class_index,
                    operator_file::Diagnostics* diagnostics) const;
-  int MaxAttempts(const Effective& limits) const;
+  int MaxAttempts(const EffectiveLimits& limits) const;
 
   const Spec& spec_;
   const Site& site_;
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -198,7 +198,7 @@
           std::to_string(spec_.routes.size()) + " routes; " + std::to_string(kMaxRoutes) + " are accepted");
       return nullptr;
     }
-    const LimitsBook book(spec_, site_, diagnostics_);
+    const LimitsResolver book(spec_, site_, diagnostics_);
     CheckNames();
     table_->routes_.reserve(spec_.routes.size());
     for (const RouteSpec& route : spec_.routes) table_->routes_.push_back(Resolve(route));
@@ -429,10 +429,10 @@
               [](const auto& a, const auto& b) { return a.name < b.name; });
   }
 
-  void ResolveLimits(const LimitsBook& book) {
+  void ResolveLimits(const LimitsResolver& book) {
     const std::size_t classes = site_.classes.size();
     for (std::size_t class_index = 0; class_index < classes; ++class_index) {
-      const Effective limits = book.Of(nullptr, class_index);
+      const EffectiveLimits limits = book.Of(nullptr, class_index);
       book.Check(limits, class_index, diagnostics_);
       table_->by_class_.push_back(Shared(book, limits, IdOf("class", site_.classes[class_index])));
     }
@@ -441,7 +441,7 @@
       std::shared_ptr<const kestrelline::RouteLimits> previous;
       for (const int request_class : route.classes) {
         const auto class_index = static_cast<std::size_t>(request_class);
-        const Effective limits = book.Of(&spec_.routes[i], class_index);
+        const EffectiveLimits limits = book.Of(&spec_.routes[i], class_index);
         book.Check(limits, class_index, diagnostics_);
         auto compiled = Shared(book, limits, IdOf("route", route.name));
         if (compiled && previous && *compiled == *previous)
@@ -453,8 +453,9 @@
   }
 
   // Null if only the limits of the platform apply.
-  static std::shared_ptr<const kestrelline::RouteLimits> Shared(const LimitsBook& book,
-                                                                const Effective& limits, std::uint64_t id) {
+  static std::shared_ptr<const kestrelline::RouteLimits> Shared(const LimitsResolver& book,
+                                                                const EffectiveLimits& limits,
+                                                                std::uint64_t id) {
     if (limits.empty()) return nullptr;
     return std::make_shared<const kestrelline::RouteLimits>(book.Compile(limits, id));
   }
