--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -17,9 +17,9 @@
 
 using operator_file::Diagnostics;
 using operator_file::Shown;
-using routing::Chosen;
 using routing::EffectiveLimits;
 using routing::Origin;
+using routing::ResolvedLimit;
 using routing::Route;
 using routing::RouteTable;
 
@@ -142,7 +142,7 @@
                                              : " (defaults)");
 }
 
-std::string Words(const Chosen<routing::Names>& chosen, const std::string& otherwise) {
+std::string Words(const ResolvedLimit<routing::Names>& chosen, const std::string& otherwise) {
   if (!chosen.value) return otherwise;
   std::string text;
   for (const auto& word : *chosen.value) text += (text.empty() ? "" : ", ") + word.value;
@@ -280,10 +280,10 @@
     out << std::left << std::setw(18) << name << "  " << std::setw(28) << value << "  "
         << From(chosen.origin, chosen.at, command) << '\n';
   };
-  const auto time = [](const Chosen<Duration>& chosen, const std::string& otherwise) {
+  const auto time = [](const ResolvedLimit<Duration>& chosen, const std::string& otherwise) {
     return chosen.value ? Shown(*chosen.value) : otherwise;
   };
-  const auto whole = [](const Chosen<std::int64_t>& chosen, const std::string& otherwise) {
+  const auto whole = [](const ResolvedLimit<std::int64_t>& chosen, const std::string& otherwise) {
     return chosen.value ? std::to_string(*chosen.value) : otherwise;
   };
   line("attempt_timeout", time(e.attempt_timeout, "what is left"), e.attempt_timeout);
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -17,8 +17,8 @@
 
 // Returns the most specific value of a limit.
 template <typename T>
-Chosen<T> Choose(const Maybe<T> LimitsSpec::*member, const LimitsSpec* route, const LimitsSpec* of_class,
-                 const LimitsSpec& defaults) {
+ResolvedLimit<T> Choose(const Maybe<T> LimitsSpec::*member, const LimitsSpec* route,
+                        const LimitsSpec* of_class, const LimitsSpec& defaults) {
   const std::pair<const LimitsSpec*, Origin> order[] = {
       {route, Origin::kRoute}, {of_class, Origin::kClass}, {&defaults, Origin::kDefaults}};
   for (const auto& [limits, origin] : order) {
@@ -32,7 +32,7 @@
   return std::max(limits, [](const auto& a, const auto& b) { return a < b; }).second;
 }
 template <typename T>
-std::pair<Origin, Position> OriginAndPosition(const Chosen<T>& chosen) {
+std::pair<Origin, Position> OriginAndPosition(const ResolvedLimit<T>& chosen) {
   return {chosen.origin, chosen.at};
 }
 
@@ -289,7 +289,7 @@
 }
 
 RouteLimits LimitsResolver::Compile(const EffectiveLimits& limits, std::uint64_t id) const {
-  const auto duration_or_zero = [](const Chosen<Duration>& chosen) {
+  const auto duration_or_zero = [](const ResolvedLimit<Duration>& chosen) {
     return chosen.value ? *chosen.value : Duration(0);
   };
   RouteLimits compiled;
--- a/src/routing/limits.h
+++ b/src/routing/limits.h
@@ -22,7 +22,7 @@
 enum class Origin { kPlatform, kDefaults, kClass, kRoute };
 
 template <typename T>
-struct Chosen {
+struct ResolvedLimit {
   const T* value = nullptr;  // null: the value of the platform applies
   Origin origin = Origin::kPlatform;
   Position at;  // position in the operator's file
@@ -30,11 +30,11 @@
 
 // The limits in effect for one route and class. Points into the Spec, which must outlive it.
 struct EffectiveLimits {
-  Chosen<Duration> attempt_timeout, patience, pause, second_copy_after;
-  Chosen<std::int64_t> max_attempts, max_in_flight;
-  Chosen<std::string> affinity, claim;
-  Chosen<double> load_bound;
-  Chosen<Names> retry_on, retry_budgets;
+  ResolvedLimit<Duration> attempt_timeout, patience, pause, second_copy_after;
+  ResolvedLimit<std::int64_t> max_attempts, max_in_flight;
+  ResolvedLimit<std::string> affinity, claim;
+  ResolvedLimit<double> load_bound;
+  ResolvedLimit<Names> retry_on, retry_budgets;
 
   bool empty() const;  // every limit is that of the platform
 };
