--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -273,7 +273,7 @@
   }
   const auto cls = static_cast<std::size_t>(request.request_class());
   const routing::LimitsResolver book(config->spec, config->site, &diagnostics);
-  const EffectiveLimits e = book.Of(route, cls);
+  const EffectiveLimits e = book.Resolve(route, cls);
   const auto& settings = config->site.settings;
   const Duration deadline = settings.classes[cls].deadline;
   const auto line = [&](const char* name, const std::string& value, const auto& chosen) {
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -153,7 +153,7 @@
   for (const RouteSpec& route : spec_.routes) check(route.limits);
 }
 
-EffectiveLimits LimitsResolver::Of(const RouteSpec* route, std::size_t class_index) const {
+EffectiveLimits LimitsResolver::Resolve(const RouteSpec* route, std::size_t class_index) const {
   const LimitsSpec* of_route = route ? &route->limits : nullptr;
   const LimitsSpec* of_class = by_class_[class_index];
   const LimitsSpec& defaults = spec_.defaults;
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -432,7 +432,7 @@
   void ResolveLimits(const LimitsResolver& book) {
     const std::size_t classes = site_.classes.size();
     for (std::size_t class_index = 0; class_index < classes; ++class_index) {
-      const EffectiveLimits limits = book.Of(nullptr, class_index);
+      const EffectiveLimits limits = book.Resolve(nullptr, class_index);
       book.Check(limits, class_index, diagnostics_);
       table_->by_class_.push_back(Shared(book, limits, IdOf("class", site_.classes[class_index])));
     }
@@ -441,7 +441,7 @@
       std::shared_ptr<const kestrelline::RouteLimits> previous;
       for (const int request_class : route.classes) {
         const auto class_index = static_cast<std::size_t>(request_class);
-        const EffectiveLimits limits = book.Of(&spec_.routes[i], class_index);
+        const EffectiveLimits limits = book.Resolve(&spec_.routes[i], class_index);
         book.Check(limits, class_index, diagnostics_);
         auto compiled = Shared(book, limits, IdOf("route", route.name));
         if (compiled && previous && *compiled == *previous)
