--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -53,7 +53,7 @@
   if (route.depth > 0) add("path=" + route.prefix);
   for (const Route::Header& h : route.headers) {
     const std::string& name = config.routes->header_names()[h.name];
-    add((name == routing::kTagName ? "tag" : name) + '=' + h.value);
+    add((name == routing::kTagHeader ? "tag" : name) + '=' + h.value);
   }
   if (!route.zones.empty()) add("zone=" + Joined(route.zones, config.site.zones));
   return text.empty() ? "any" : text;
--- a/src/proxy/request_views.h
+++ b/src/proxy/request_views.h
@@ -28,7 +28,7 @@
   int tenant() const override { return tenant_; }
   std::string_view target() const override { return View(message_.target()); }
   std::string_view Header(std::string_view name) const override {
-    if (name == kestrelline::routing::kTagName) return tag_.empty() ? std::string_view() : tag_;
+    if (name == kestrelline::routing::kTagHeader) return tag_.empty() ? std::string_view() : tag_;
     const auto [first, last] = message_.equal_range({name.data(), name.size()});
     return first != last && std::next(first) == last ? View(first->value()) : std::string_view();
   }
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -423,7 +423,7 @@
     }
     if (match.tag) {
       if (!IsHeaderValue(match.tag->value)) AddError(match.tag->at, "header", "no route tag is like this");
-      AddCondition(match.tag->at, std::string(kTagName), match.tag->value, route);
+      AddCondition(match.tag->at, std::string(kTagHeader), match.tag->value, route);
     }
     std::sort(route->headers.begin(), route->headers.end(),
               [](const auto& a, const auto& b) { return a.name < b.name; });
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -30,7 +30,7 @@
 inline constexpr std::size_t kMaxRoutes = 20000;
 
 // Pseudo-header under which the route tag is looked up. It is not a valid header name, so it cannot collide.
-inline constexpr std::string_view kTagName = ":tag";
+inline constexpr std::string_view kTagHeader = ":tag";
 
 // The fields of a request that routes match on. The returned views are only used during the lookup.
 class RequestView {
@@ -41,7 +41,7 @@
   // The request target as sent, including any query. Prefixes are compared byte by byte in whole segments.
   virtual std::string_view target() const = 0;
   // Returns the value of a header by its lower-case name; a view with null data if it is absent or occurs
-  // more than once. For kTagName, returns the tag set by a plug-in, or null data if there is none.
+  // more than once. For kTagHeader, returns the tag set by a plug-in, or null data if there is none.
   virtual std::string_view Header(std::string_view name) const = 0;
 };
 
--- a/tests/plugin/section_test.cpp
+++ b/tests/plugin/section_test.cpp
@@ -129,7 +129,7 @@
   struct Tagged : testing::TestRequest {
     std::string tag;
     std::string_view Header(std::string_view name) const override {
-      if (name == routing::kTagName && !tag.empty()) return tag;
+      if (name == routing::kTagHeader && !tag.empty()) return tag;
       return TestRequest::Header(name);
     }
   };
