--- a/src/distribution/configuration_history.cpp
+++ b/src/distribution/configuration_history.cpp
@@ -9,7 +9,7 @@
 void ConfigurationHistory::Add(std::uint64_t from, std::uint64_t to, std::string patch) {
   if (!steps_.empty() && steps_.back().to != from) steps_.clear();
   steps_.push_back({from, to, std::move(patch)});
-  if (steps_.size() > kMostSteps) steps_.pop_front();
+  if (steps_.size() > kMaxPatches) steps_.pop_front();
 }
 
 std::optional<std::vector<std::string>> ConfigurationHistory::Since(std::uint64_t version,
--- a/tests/data_plane/configuration_follower_test.cpp
+++ b/tests/data_plane/configuration_follower_test.cpp
@@ -136,7 +136,7 @@
   history.Add(7, 8, "z");  // the step from 5 to 7 is missing
   EXPECT_FALSE(history.Since(1, 1000));
   EXPECT_TRUE(history.Since(7, 1000));
-  for (std::uint64_t i = 8; i < 8 + distribution::ConfigurationHistory::kMostSteps; ++i)
+  for (std::uint64_t i = 8; i < 8 + distribution::ConfigurationHistory::kMaxPatches; ++i)
     history.Add(i, i + 1, "p");
   EXPECT_FALSE(history.Since(7, 1000));
 }
