--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -256,7 +256,7 @@
   // Clears the loads that other members hold from an earlier process of this member.
   if (!std::exchange(loads_reset_sent_, true)) SendToMembers(wire::LoadReport{});
   LoadSharing::Updates updates = loads_.Tick(Now(), publisher_.zones());
-  replica_.set_proxies(loads_.board().ProxiesHere());
+  replica_.set_proxies(loads_.board().LocalProxies());
   if (updates.to_members) SendToMembers(*updates.to_members);
   for (auto& [zone, summary] : updates.to_zones) publisher_.SendToZone(zone, std::move(summary));
 }
--- a/src/distribution/load_board.cpp
+++ b/src/distribution/load_board.cpp
@@ -38,7 +38,7 @@
   std::erase_if(members_, silent);
 }
 
-std::uint32_t LoadBoard::ProxiesHere() const {
+std::uint32_t LoadBoard::LocalProxies() const {
   std::uint32_t count = 0;
   for (const auto& [proxy, entry] : proxies_) count += entry.report.proxies;
   return count;
--- a/src/distribution/load_board.h
+++ b/src/distribution/load_board.h
@@ -30,7 +30,7 @@
   // Drops the reporters that have timed out.
   void Forget(Time now);
 
-  std::uint32_t ProxiesHere() const;
+  std::uint32_t LocalProxies() const;
   // Sum over the proxies that report to this process.
   wire::LoadReport Here() const { return Sum({&proxies_}); }
   // Sum over all proxies, including those that report to other members.
