--- a/src/control_plane/load_sharing.cpp
+++ b/src/control_plane/load_sharing.cpp
@@ -25,7 +25,7 @@
 }
 
 std::optional<wire::LoadChanges> LoadSharing::ChangesForMembers(Time now) {
-  wire::LoadReport local = board_.Here();
+  wire::LoadReport local = board_.LocalReport();
   wire::LoadChanges changes;
   changes.loads = to_members_.Next(now, local.loads);
   changes.proxies = local.proxies;
--- a/src/distribution/load_board.h
+++ b/src/distribution/load_board.h
@@ -32,7 +32,7 @@
 
   std::uint32_t LocalProxies() const;
   // Sum over the proxies that report to this process.
-  wire::LoadReport Here() const { return Sum({&proxies_}); }
+  wire::LoadReport LocalReport() const { return Sum({&proxies_}); }
   // Sum over all proxies, including those that report to other members.
   wire::LoadReport Everywhere() const { return Sum({&proxies_, &members_}); }
 
--- a/tests/control_plane/planning_test.cpp
+++ b/tests/control_plane/planning_test.cpp
@@ -136,13 +136,13 @@
   board.ReportFromProxy(milliseconds(0), "p1", {{{1, 10, 2}}, {{"s", 5, 6}}, 1});
   board.ReportFromProxy(milliseconds(0), "p2", {{{1, 5, 1}, {2, 7, 1}}, {{"s", 1, 2}}, 3});
   board.ReportFromMember(milliseconds(1000), "m", {{{2, 100, 9}}, {}, 5});
-  EXPECT_EQ(board.Here().loads, (std::vector<wire::BackendLoad>{{1, 15, 3}, {2, 7, 1}}));
+  EXPECT_EQ(board.LocalReport().loads, (std::vector<wire::BackendLoad>{{1, 15, 3}, {2, 7, 1}}));
   EXPECT_EQ(board.Everywhere().loads, (std::vector<wire::BackendLoad>{{1, 15, 3}, {2, 107, 10}}));
-  EXPECT_EQ(board.Here().proxies, 4u);
+  EXPECT_EQ(board.LocalReport().proxies, 4u);
   EXPECT_EQ(board.Everywhere().proxies, 9u);
   EXPECT_EQ(board.Everywhere().demands, (std::vector<wire::Demand>{{"s", 6, 8}}));
   board.Forget(milliseconds(1600));
-  EXPECT_TRUE(board.Here().loads.empty());
+  EXPECT_TRUE(board.LocalReport().loads.empty());
   EXPECT_EQ(board.Everywhere().loads, (std::vector<wire::BackendLoad>{{2, 100, 9}}));
 }
 
