--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -274,7 +274,7 @@
   }
   if (Now() - *leading_since_ < settings_.bounds.lease + kStageOrderMargin || Now() < next_plan_at_) return;
   next_plan_at_ = Now() + kPlanInterval;
-  const auto demands = loads_.board().Everywhere().demands;
+  const auto demands = loads_.board().TotalReport().demands;
   for (const wire::Demand& demand : demands) {
     spdlog::debug("demand service={} reading_ms_per_s={} generating_ms_per_s={}", demand.service,
                   demand.reading_ms_per_s, demand.generating_ms_per_s);
--- a/src/control_plane/load_sharing.cpp
+++ b/src/control_plane/load_sharing.cpp
@@ -17,7 +17,7 @@
   updates.to_members = ChangesForMembers(now);
   std::erase_if(feeds_, [&zones](const auto& entry) { return !zones.contains(entry.first); });
   if (zones.empty()) return updates;
-  const std::vector<wire::BackendLoad> all_loads = board_.Everywhere().loads;
+  const std::vector<wire::BackendLoad> all_loads = board_.TotalReport().loads;
   for (const std::string& zone : zones) {
     if (auto summary = SummaryFor(now, zone, all_loads)) updates.to_zones.emplace(zone, std::move(*summary));
   }
--- a/src/data_plane/edge_node.cpp
+++ b/src/data_plane/edge_node.cpp
@@ -193,7 +193,7 @@
   children_.ReportFromMember(now_ms, settings_.ip,
                              {state_.backends.ReportLoads(), state_.demand.Demands(DecisionTime(now)), 1});
   children_.Forget(now_ms);
-  wire::LoadReport report = children_.Everywhere();
+  wire::LoadReport report = children_.TotalReport();
   if (report.loads == reported_loads_ && now < load_report_due_at_) return;
   load_report_due_at_ = now + kLoadReportRepeatInterval;
   load_report_allowed_at_ = now + TimeToSend(report);
--- a/src/distribution/load_board.h
+++ b/src/distribution/load_board.h
@@ -34,7 +34,7 @@
   // Sum over the proxies that report to this process.
   wire::LoadReport LocalReport() const { return Sum({&proxies_}); }
   // Sum over all proxies, including those that report to other members.
-  wire::LoadReport Everywhere() const { return Sum({&proxies_, &members_}); }
+  wire::LoadReport TotalReport() const { return Sum({&proxies_, &members_}); }
 
  private:
   // A load that was reported incrementally, with the time of receipt.
--- a/tests/control_plane/planning_test.cpp
+++ b/tests/control_plane/planning_test.cpp
@@ -137,13 +137,13 @@
   board.ReportFromProxy(milliseconds(0), "p2", {{{1, 5, 1}, {2, 7, 1}}, {{"s", 1, 2}}, 3});
   board.ReportFromMember(milliseconds(1000), "m", {{{2, 100, 9}}, {}, 5});
   EXPECT_EQ(board.LocalReport().loads, (std::vector<wire::BackendLoad>{{1, 15, 3}, {2, 7, 1}}));
-  EXPECT_EQ(board.Everywhere().loads, (std::vector<wire::BackendLoad>{{1, 15, 3}, {2, 107, 10}}));
+  EXPECT_EQ(board.TotalReport().loads, (std::vector<wire::BackendLoad>{{1, 15, 3}, {2, 107, 10}}));
   EXPECT_EQ(board.LocalReport().proxies, 4u);
-  EXPECT_EQ(board.Everywhere().proxies, 9u);
-  EXPECT_EQ(board.Everywhere().demands, (std::vector<wire::Demand>{{"s", 6, 8}}));
+  EXPECT_EQ(board.TotalReport().proxies, 9u);
+  EXPECT_EQ(board.TotalReport().demands, (std::vector<wire::Demand>{{"s", 6, 8}}));
   board.Forget(milliseconds(1600));
   EXPECT_TRUE(board.LocalReport().loads.empty());
-  EXPECT_EQ(board.Everywhere().loads, (std::vector<wire::BackendLoad>{{2, 100, 9}}));
+  EXPECT_EQ(board.TotalReport().loads, (std::vector<wire::BackendLoad>{{2, 100, 9}}));
 }
 
 }  // namespace
--- a/tests/distribution/load_feed_test.cpp
+++ b/tests/distribution/load_feed_test.cpp
@@ -170,24 +170,24 @@
   };
   for (; now < std::chrono::seconds(5); now += kTick) backends.Wander(0.2), tell();
   for (const milliseconds end = now + std::chrono::seconds(15); now < end; now += kTick) tell();
-  EXPECT_EQ(board.Everywhere().loads, backends.busy());
-  EXPECT_EQ(board.Everywhere().proxies, 7u);
+  EXPECT_EQ(board.TotalReport().loads, backends.busy());
+  EXPECT_EQ(board.TotalReport().proxies, 7u);
 }
 
 TEST(LoadBoard, AMemberThatBeginsAnewOrFallsSilentIsForgotten) {
   LoadBoard board;
   board.ChangesFromMember(milliseconds(0), "m", {{{1, 5, 1}, {2, 6, 1}}, {{"s", 3, 4}}, 2});
   board.ChangesFromMember(milliseconds(100), "m", {{{1, 0, 0}}, {}, 3});
-  EXPECT_EQ(board.Everywhere().loads, (Loads{{2, 6, 1}}));
-  EXPECT_EQ(board.Everywhere().demands.size(), 1u);
+  EXPECT_EQ(board.TotalReport().loads, (Loads{{2, 6, 1}}));
+  EXPECT_EQ(board.TotalReport().demands.size(), 1u);
   board.ReportFromMember(milliseconds(200), "m", {});
-  EXPECT_TRUE(board.Everywhere().loads.empty());
+  EXPECT_TRUE(board.TotalReport().loads.empty());
   board.ChangesFromMember(milliseconds(300), "m", {{{3, 5, 1}}, {}, 2});
-  EXPECT_EQ(board.Everywhere().loads, (Loads{{3, 5, 1}}));
+  EXPECT_EQ(board.TotalReport().loads, (Loads{{3, 5, 1}}));
   board.Forget(milliseconds(1900));
-  EXPECT_TRUE(board.Everywhere().loads.empty());
+  EXPECT_TRUE(board.TotalReport().loads.empty());
   board.ChangesFromMember(milliseconds(2000), "m", {{{4, 5, 1}}, {}, 2});
-  EXPECT_EQ(board.Everywhere().loads, (Loads{{4, 5, 1}}));
+  EXPECT_EQ(board.TotalReport().loads, (Loads{{4, 5, 1}}));
 }
 
 // The message that ended a load was lost, and the member goes on without repeating that load.
@@ -196,7 +196,7 @@
   board.ChangesFromMember(milliseconds(0), "m", {{{1, 5, 1}}, {}, 1});
   for (milliseconds now{500}; now <= std::chrono::seconds(11); now += milliseconds(500))
     board.ChangesFromMember(now, "m", {{{2, 6, 1}}, {}, 1});
-  EXPECT_EQ(board.Everywhere().loads, (Loads{{2, 6, 1}}));
+  EXPECT_EQ(board.TotalReport().loads, (Loads{{2, 6, 1}}));
 }
 
 wire::InstanceList ListOf(int backends, int zones) {
