--- a/src/control_plane/load_sharing.cpp
+++ b/src/control_plane/load_sharing.cpp
@@ -12,7 +12,7 @@
 }
 
 LoadSharing::Updates LoadSharing::Tick(Time now, const std::set<std::string>& zones) {
-  board_.Forget(now);
+  board_.DropTimedOut(now);
   Updates updates;
   updates.to_members = ChangesForMembers(now);
   std::erase_if(feeds_, [&zones](const auto& entry) { return !zones.contains(entry.first); });
--- a/src/data_plane/edge_node.cpp
+++ b/src/data_plane/edge_node.cpp
@@ -192,7 +192,7 @@
   const auto now_ms = std::chrono::duration_cast<milliseconds>(now.time_since_epoch());
   children_.ReportFromMember(now_ms, settings_.ip,
                              {state_.backends.ReportLoads(), state_.demand.Demands(DecisionTime(now)), 1});
-  children_.Forget(now_ms);
+  children_.DropTimedOut(now_ms);
   wire::LoadReport report = children_.TotalReport();
   if (report.loads == reported_loads_ && now < load_report_due_at_) return;
   load_report_due_at_ = now + kLoadReportRepeatInterval;
--- a/src/distribution/load_board.cpp
+++ b/src/distribution/load_board.cpp
@@ -32,7 +32,7 @@
   for (const auto& [backend, timed] : entry->incremental) entry->report.loads.push_back(timed.load);
 }
 
-void LoadBoard::Forget(Time now) {
+void LoadBoard::DropTimedOut(Time now) {
   const auto silent = [now](const auto& entry) { return now - entry.second.at > kForgetAfter; };
   std::erase_if(proxies_, silent);
   std::erase_if(members_, silent);
--- a/tests/control_plane/planning_test.cpp
+++ b/tests/control_plane/planning_test.cpp
@@ -141,7 +141,7 @@
   EXPECT_EQ(board.LocalReport().proxies, 4u);
   EXPECT_EQ(board.TotalReport().proxies, 9u);
   EXPECT_EQ(board.TotalReport().demands, (std::vector<wire::Demand>{{"s", 6, 8}}));
-  board.Forget(milliseconds(1600));
+  board.DropTimedOut(milliseconds(1600));
   EXPECT_TRUE(board.LocalReport().loads.empty());
   EXPECT_EQ(board.TotalReport().loads, (std::vector<wire::BackendLoad>{{2, 100, 9}}));
 }
--- a/tests/distribution/load_feed_test.cpp
+++ b/tests/distribution/load_feed_test.cpp
@@ -184,7 +184,7 @@
   EXPECT_TRUE(board.TotalReport().loads.empty());
   board.ChangesFromMember(milliseconds(300), "m", {{{3, 5, 1}}, {}, 2});
   EXPECT_EQ(board.TotalReport().loads, (Loads{{3, 5, 1}}));
-  board.Forget(milliseconds(1900));
+  board.DropTimedOut(milliseconds(1900));
   EXPECT_TRUE(board.TotalReport().loads.empty());
   board.ChangesFromMember(milliseconds(2000), "m", {{{4, 5, 1}}, {}, 2});
   EXPECT_EQ(board.TotalReport().loads, (Loads{{4, 5, 1}}));
