--- a/src/data_plane/edge_node.cpp
+++ b/src/data_plane/edge_node.cpp
@@ -65,7 +65,7 @@
           },
           [this](const wire::LoadSummary& summary) {
             state_.backends.ApplyLoadSummary(summary, DecisionTime());
-            load_mirror_.Take(summary);
+            load_mirror_.Apply(summary);
             publisher_.SendToAll(summary);
           },
           traffic_),
--- a/src/distribution/load_feed.cpp
+++ b/src/distribution/load_feed.cpp
@@ -92,7 +92,7 @@
   std::vector<wire::BackendLoad> chosen;
   for (std::size_t i = 0; i < count; ++i) chosen.push_back(changes[i].load);
   AddRepeats(now, loads, chosen);
-  sent_.Take(chosen);
+  sent_.Apply(chosen);
   if (!chosen.empty()) allowance_ -= kMessageBytes + kLoadBytes * static_cast<double>(chosen.size());
   return chosen;
 }
--- a/src/distribution/load_mirror.cpp
+++ b/src/distribution/load_mirror.cpp
@@ -3,12 +3,12 @@
 
 namespace kestrelline::distribution {
 
-void LoadMirror::Take(const wire::LoadSummary& summary) {
+void LoadMirror::Apply(const wire::LoadSummary& summary) {
   if (summary.whole) loads_.clear();
   Take(summary.loads);
 }
 
-void LoadMirror::Take(const std::vector<wire::BackendLoad>& changes) {
+void LoadMirror::Apply(const std::vector<wire::BackendLoad>& changes) {
   for (const wire::BackendLoad& load : changes) {
     if (load.idle()) {
       loads_.erase(load.backend);
--- a/tests/distribution/load_feed_test.cpp
+++ b/tests/distribution/load_feed_test.cpp
@@ -95,10 +95,10 @@
     milliseconds now{0};
     for (; now < std::chrono::seconds(5); now += kTick) {
       backends.Wander(0.3);
-      receiver.Take({feed.Next(now, backends.busy()), false});
+      receiver.Apply({feed.Next(now, backends.busy()), false});
     }
     for (const milliseconds end = now + std::chrono::seconds(2); now < end; now += kTick)
-      receiver.Take({feed.Next(now, backends.busy()), false});
+      receiver.Apply({feed.Next(now, backends.busy()), false});
     ExpectAbout(receiver.Whole().loads, backends.busy());
   }
 }
@@ -141,12 +141,12 @@
   for (milliseconds now{0}; now < std::chrono::seconds(8); now += kTick) {
     backends.Wander(0.1);
     const wire::LoadSummary summary{feed.Next(now, backends.busy()), false};
-    first.Take(summary);
+    first.Apply(summary);
     if (now == std::chrono::seconds(4)) {
-      second.Take({{{5, 5, 5}}, false});  // what it held of an earlier subscription
-      second.Take(feed.Whole());
+      second.Apply({{{5, 5, 5}}, false});  // what it held of an earlier subscription
+      second.Apply(feed.Whole());
     } else if (now > std::chrono::seconds(4)) {
-      second.Take(summary);
+      second.Apply(summary);
     }
   }
   EXPECT_EQ(first.Whole().loads, second.Whole().loads);
