--- a/src/control_plane/load_sharing.cpp
+++ b/src/control_plane/load_sharing.cpp
@@ -54,7 +54,7 @@
 wire::LoadSummary LoadSharing::FullSummary(const std::string& zone) const {
   const auto feed = feeds_.find(zone);
   if (feed == feeds_.end()) return {{}, true};
-  return feed->second.feed.Whole();
+  return feed->second.feed.FullSummary();
 }
 
 }  // namespace kestrelline::control_plane
--- a/src/data_plane/edge_node.cpp
+++ b/src/data_plane/edge_node.cpp
@@ -204,7 +204,7 @@
 void EdgeNode::OnChildMessage(mesh::Connection& connection, wire::Message message) {
   if (const auto* subscribe = std::get_if<wire::Subscribe>(&message.body)) {
     if (publisher_.Subscribe(connection, message.sender, *subscribe, CurrentlyPublished()))
-      connection.Send(mesh_.Encode(load_mirror_.Whole()));
+      connection.Send(mesh_.Encode(load_mirror_.FullSummary()));
   } else if (const auto* probe = std::get_if<wire::Probe>(&message.body)) {
     publisher_.NoteProbe(connection, *probe);
   } else if (auto* report = std::get_if<wire::LoadReport>(&message.body)) {
--- a/src/distribution/load_feed.h
+++ b/src/distribution/load_feed.h
@@ -44,7 +44,7 @@
   std::vector<wire::BackendLoad> Next(Time now, const std::vector<wire::BackendLoad>& loads,
                                       const BackendSet& near = {});
   // The state that up-to-date receivers hold, for a new receiver. Does not count against the budget.
-  wire::LoadSummary Whole() const { return sent_.Whole(); }
+  wire::LoadSummary FullSummary() const { return sent_.FullSummary(); }
 
  private:
   struct Change {
--- a/src/distribution/load_mirror.cpp
+++ b/src/distribution/load_mirror.cpp
@@ -18,7 +18,7 @@
   }
 }
 
-wire::LoadSummary LoadMirror::Whole() const {
+wire::LoadSummary LoadMirror::FullSummary() const {
   wire::LoadSummary summary;
   summary.whole = true;
   for (const auto& [backend, load] : loads_) summary.loads.push_back(load);
--- a/src/distribution/load_mirror.h
+++ b/src/distribution/load_mirror.h
@@ -22,7 +22,7 @@
   void Take(const std::vector<wire::BackendLoad>& changes);
   const Loads& loads() const { return loads_; }
   // The complete state as a summary.
-  wire::LoadSummary Whole() const;
+  wire::LoadSummary FullSummary() const;
 
  private:
   Loads loads_;
--- a/tests/distribution/load_feed_test.cpp
+++ b/tests/distribution/load_feed_test.cpp
@@ -99,7 +99,7 @@
     }
     for (const milliseconds end = now + std::chrono::seconds(2); now < end; now += kTick)
       receiver.Apply({feed.Next(now, backends.busy()), false});
-    ExpectAbout(receiver.Whole().loads, backends.busy());
+    ExpectAbout(receiver.FullSummary().loads, backends.busy());
   }
 }
 
@@ -130,7 +130,7 @@
   EXPECT_EQ(feed.Next(milliseconds(60), {{1, 803, 21}}).size(), 1u);
   EXPECT_EQ(feed.Next(milliseconds(100), {{1, 5, 0}}).size(), 1u);
   EXPECT_EQ(feed.Next(milliseconds(150), {}), (Loads{{1, 0, 0}}));
-  EXPECT_TRUE(feed.Whole().loads.empty());
+  EXPECT_TRUE(feed.FullSummary().loads.empty());
   EXPECT_EQ(feed.Next(milliseconds(200), {{1, 3, 0}}).size(), 1u);  // no longer idle
 }
 
@@ -144,12 +144,12 @@
     first.Apply(summary);
     if (now == std::chrono::seconds(4)) {
       second.Apply({{{5, 5, 5}}, false});  // what it held of an earlier subscription
-      second.Apply(feed.Whole());
+      second.Apply(feed.FullSummary());
     } else if (now > std::chrono::seconds(4)) {
       second.Apply(summary);
     }
   }
-  EXPECT_EQ(first.Whole().loads, second.Whole().loads);
+  EXPECT_EQ(first.FullSummary().loads, second.FullSummary().loads);
 }
 
 // Messages between members may be lost, duplicated or delayed; repeats must correct the sums.
