--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -358,10 +358,10 @@
   }
 }
 
-distribution::Published ControlNode::CurrentlyPublished() {
+distribution::PublishedState ControlNode::CurrentlyPublished() {
   const Time now = Now();
   UpdateConfigurationHistory();
-  distribution::Published published;
+  distribution::PublishedState published;
   if (const wire::RecordPtr record = replica_.committed(); record && !record->configuration.empty()) {
     published.version = record->version;
     published.configuration = [record] {
--- a/src/control_plane/control_node.h
+++ b/src/control_plane/control_node.h
@@ -76,7 +76,7 @@
   void PublishChange();
   void Publish();
   void UpdateConfigurationHistory();
-  distribution::Published CurrentlyPublished();
+  distribution::PublishedState CurrentlyPublished();
   http::Awaitable<void> ReadListWhileLeading();
   void PlanStageMoves();
   http::Awaitable<void> ExecuteStageOrder(StageOrder order);
--- a/src/control_sim/world.h
+++ b/src/control_sim/world.h
@@ -239,7 +239,7 @@
   void Publish(const std::string& name);
   void PublishIfDue(const std::string& name);
   void SendPublication(const std::string& member, const std::string& proxy_name, Subscriber& subscriber,
-                       const distribution::Published& published);
+                       const distribution::PublishedState& published);
   void Connect(std::size_t index);
   void ToMember(std::size_t index, std::function<void(Machine&)> run);
   void GiveStageOrder(const std::string& name);
--- a/src/control_sim/world_traffic.cpp
+++ b/src/control_sim/world_traffic.cpp
@@ -144,7 +144,7 @@
   const Time local = LocalTime(machine);
   machine.next_publication = local + kPublishEvery;
   machine.published = machine.replica->committed();
-  distribution::Published published;
+  distribution::PublishedState published;
   if (machine.published && !machine.published->configuration.empty()) {
     published.version = machine.published->version;
     published.configuration = [record = machine.published] {
@@ -158,7 +158,7 @@
 
 // In order after all that was sent before on this connection.
 void World::SendPublication(const std::string& member, const std::string& proxy_name, Subscriber& subscriber,
-                            const distribution::Published& published) {
+                            const distribution::PublishedState& published) {
   const std::uint64_t echo = subscriber.state.probe;
   const wire::Publication publication = distribution::Compose(subscriber.state, published);
   distribution::Advance(subscriber.state, published);
--- a/src/data_plane/edge_node.cpp
+++ b/src/data_plane/edge_node.cpp
@@ -213,10 +213,10 @@
   }
 }
 
-distribution::Published EdgeNode::CurrentlyPublished() {
+distribution::PublishedState EdgeNode::CurrentlyPublished() {
   const auto since = std::chrono::duration_cast<milliseconds>(
       steady_clock::now() - last_composed_after_.value_or(steady_clock::time_point()));
-  distribution::Published published;
+  distribution::PublishedState published;
   published.version = configuration_.version_in_force();
   if (published.version > 0) published.configuration = [this] { return configuration_.Text(); };
   published.configurations = &configuration_.history();
--- a/src/data_plane/edge_node.h
+++ b/src/data_plane/edge_node.h
@@ -55,7 +55,7 @@
                          std::optional<steady_clock::time_point> composed_after);
   void ApplyConfiguration(const wire::Publication& publication);
   void OnChildMessage(mesh::Connection& connection, wire::Message message);
-  distribution::Published CurrentlyPublished();
+  distribution::PublishedState CurrentlyPublished();
   void RelayPublication();
   Awaitable<void> ReadListDirectly();
   bool Ready() const;
--- a/src/distribution/publication.cpp
+++ b/src/distribution/publication.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxPatchBytes = 65536;
 
 void AddConfiguration(wire::Publication& publication, const SubscriberState& subscriber,
-                      const Published& now) {
+                      const PublishedState& now) {
   if (!now.configuration) return;
   if (subscriber.takes_configuration_patches && now.configurations) {
     if (auto patches = now.configurations->Since(subscriber.version, kMaxPatchBytes)) {
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-wire::Publication Compose(const SubscriberState& subscriber, const Published& now) {
+wire::Publication Compose(const SubscriberState& subscriber, const PublishedState& now) {
   wire::Publication publication;
   publication.certain = now.age.has_value();
   publication.age_ms = static_cast<std::uint32_t>(now.age.value_or(std::chrono::milliseconds(0)).count());
@@ -46,7 +46,7 @@
   return publication;
 }
 
-void Advance(SubscriberState& subscriber, const Published& now) {
+void Advance(SubscriberState& subscriber, const PublishedState& now) {
   if (now.configuration) subscriber.version = std::max(subscriber.version, now.version);
   if (now.instances) {
     subscriber.instances_revision = std::max(subscriber.instances_revision, now.instances->revision);
--- a/src/distribution/publication.h
+++ b/src/distribution/publication.h
@@ -20,7 +20,7 @@
 namespace kestrelline::distribution {
 
 // A snapshot of what there is to publish.
-struct Published {
+struct PublishedState {
   std::uint64_t version = 0;  // of the configuration; 0 if there is none yet
   // Returns the text of the configuration, as the operator sent it or equivalent. Called only if a subscriber
   // needs the text.
@@ -46,9 +46,9 @@
 };
 
 // Builds the publication for one subscriber, leaving out contents that it has already.
-wire::Publication Compose(const SubscriberState& subscriber, const Published& now);
+wire::Publication Compose(const SubscriberState& subscriber, const PublishedState& now);
 // Updates the state of the subscriber as if it had received that publication.
-void Advance(SubscriberState& subscriber, const Published& now);
+void Advance(SubscriberState& subscriber, const PublishedState& now);
 
 }  // namespace kestrelline::distribution
 
--- a/src/distribution/publisher.cpp
+++ b/src/distribution/publisher.cpp
@@ -7,7 +7,7 @@
 namespace kestrelline::distribution {
 
 bool Publisher::Subscribe(mesh::Connection& connection, const std::string& proxy,
-                          const wire::Subscribe& subscribe, const Published& now) {
+                          const wire::Subscribe& subscribe, const PublishedState& now) {
   // A proxy that reconnects replaces its old subscription, whose connection may not have been closed yet.
   std::erase_if(subscribers_, [&proxy](const auto& entry) { return entry.second.proxy == proxy; });
   if (subscribers_.size() >= max_subscribers_) {
@@ -43,7 +43,7 @@
   return referral;
 }
 
-void Publisher::Publish(const Published& now) {
+void Publisher::Publish(const PublishedState& now) {
   struct Outgoing {
     mesh::ConnectionPtr connection;
     mesh::Frame echo;
--- a/src/distribution/publisher.h
+++ b/src/distribution/publisher.h
@@ -26,12 +26,12 @@
   // Adds a subscriber and sends it a first publication. Returns false if the limit is reached; the subscriber
   // is then sent a referral.
   bool Subscribe(mesh::Connection& connection, const std::string& proxy, const wire::Subscribe& subscribe,
-                 const Published& now);
+                 const PublishedState& now);
   // Records a probe. It is echoed before the next publication on that connection.
   void NoteProbe(mesh::Connection& connection, const wire::Probe& probe);
   void Forget(mesh::Connection& connection) { subscribers_.erase(&connection); }
   // Sends a publication to all subscribers; each gets only the contents that it lacks.
-  void Publish(const Published& now);
+  void Publish(const PublishedState& now);
   // Sends the same message to all subscribers.
   void SendToAll(const wire::Body& body);
   // Sends a message to the subscribers that reported this zone.
--- a/tests/data_plane/configuration_follower_test.cpp
+++ b/tests/data_plane/configuration_follower_test.cpp
@@ -32,7 +32,7 @@
     version_ = version;
   }
   wire::Publication Compose(std::uint64_t held) const {
-    distribution::Published published;
+    distribution::PublishedState published;
     published.version = version_;
     published.configuration = [this] { return text_; };
     published.configurations = &history_;
--- a/tests/distribution/list_history_test.cpp
+++ b/tests/distribution/list_history_test.cpp
@@ -95,7 +95,7 @@
   ListHistory history;
   history.Add(ListOf(1, instances));
   for (std::size_t i = 0; i < instances.size(); i += 10) instances[i].draining = !instances[i].draining;
-  Published now;
+  PublishedState now;
   now.instances = ListOf(2, instances);
   history.Add(now.instances);
   now.lists = &history;
