--- a/src/data_plane/request_flow.cpp
+++ b/src/data_plane/request_flow.cpp
@@ -140,7 +140,7 @@
   if (!admitted_while_stopping_)
     give_up_at_ = state_.drain.LimitDeadline(give_up_at_);  // read before SIGTERM
   if (give_up_at_ > state_.drain.LimitDeadline(give_up_at_)) {
-    state_.violations.Report(invariants::Invariant::kPassedOnWithinTime, "request_id=" + request_id_);
+    state_.violations.Report(invariants::Invariant::kForwardedWithinTime, "request_id=" + request_id_);
   }
   const RequestStage stage_before = std::exchange(open_->stage, RequestStage::kForwarded);
   const std::string head = BackendHead(attempt.backend(), extra_fields);
--- a/src/invariants/violations.cpp
+++ b/src/invariants/violations.cpp
@@ -13,7 +13,7 @@
       return "answered_before_exit";
     case Invariant::kEveryRequestEnds:
       return "every_request_ends";
-    case Invariant::kPassedOnWithinTime:
+    case Invariant::kForwardedWithinTime:
       return "passed_on_within_time";
   }
   return "unknown";
--- a/src/invariants/violations.h
+++ b/src/invariants/violations.h
@@ -22,7 +22,7 @@
   // time ran out.
   kEveryRequestEnds,
   // Requests that are forwarded after SIGTERM end before the process does.
-  kPassedOnWithinTime,
+  kForwardedWithinTime,
 };
 inline constexpr std::size_t kInvariants = 3;
 
--- a/tests/data_plane/violations_test.cpp
+++ b/tests/data_plane/violations_test.cpp
@@ -14,7 +14,7 @@
   violations.Report(Invariant::kAnsweredBeforeExit, "request_id=r3");
   EXPECT_EQ(violations.count(Invariant::kEveryRequestEnds), 2u);
   EXPECT_EQ(violations.count(Invariant::kAnsweredBeforeExit), 1u);
-  EXPECT_EQ(violations.count(Invariant::kPassedOnWithinTime), 0u);
+  EXPECT_EQ(violations.count(Invariant::kForwardedWithinTime), 0u);
   EXPECT_EQ(violations.total(), 3u);
   EXPECT_EQ(violations.Json(),
             "{\"answered_before_exit\":1,\"every_request_ends\":2,\"passed_on_within_time\":0}");
