--- a/src/data_plane/prompt.cpp
+++ b/src/data_plane/prompt.cpp
@@ -42,7 +42,7 @@
   Prompt prompt;
   prompt.tokens = ToNumber(TakeField(token_count));
   prompt.output_tokens = ToNumber(TakeField(token_count));
-  std::uint64_t prefix_hash = hashing::kFnvStart;
+  std::uint64_t prefix_hash = hashing::kFnvOffsetBasis;
   std::int64_t sum = 0;
   while (!prompt_prefix.empty() && prompt.blocks.size() < kMaxBlocks) {
     const std::string_view field = TakeField(prompt_prefix);
--- a/src/hashing/fnv.h
+++ b/src/hashing/fnv.h
@@ -9,10 +9,10 @@
 
 namespace kestrelline::hashing {
 
-inline constexpr std::uint64_t kFnvStart = 0xcbf29ce484222325u;
+inline constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325u;
 
 // Returns the hash of `bytes`. Pass the hash of a prefix as `hash` to hash the concatenation.
-constexpr std::uint64_t Fnv1a(std::string_view bytes, std::uint64_t hash = kFnvStart) {
+constexpr std::uint64_t Fnv1a(std::string_view bytes, std::uint64_t hash = kFnvOffsetBasis) {
   for (const char c : bytes) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3u;
   return hash;
 }
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -82,7 +82,7 @@
 }
 
 std::uint64_t IdOf(std::string_view kind, std::string_view name) {
-  std::uint64_t hash = hashing::kFnvStart;
+  std::uint64_t hash = hashing::kFnvOffsetBasis;
   for (const std::string_view part : {kind, std::string_view("\0", 1), name})
     hash = hashing::Fnv1a(part, hash);
   return hash;
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -31,7 +31,7 @@
     path = request.target();
     path = path.substr(0, path.find('?'));
     // Hashes the path up to the end of each segment. Stops at the limits on prefixes, which no route exceeds.
-    hashes[0] = hashing::kFnvStart;
+    hashes[0] = hashing::kFnvOffsetBasis;
     const std::string_view head = path.substr(0, kMaxPrefixBytes + 1);
     std::size_t from = 0;
     while (segments < kMaxDepth && from < head.size() && head[from] == '/') {
