--- a/src/distribution/configuration_history.h
+++ b/src/distribution/configuration_history.h
@@ -16,7 +16,7 @@
 
 class ConfigurationHistory {
  public:
-  static constexpr std::size_t kMaxPatches = 32;
+  static constexpr std::size_t kMaxPatches = 32;  // patches kept
 
   // Records `patch`, which turns version `from` into the newest version `to`. Discards the history if `from`
   // is not the version that was newest before.
--- a/src/distribution/load_board.cpp
+++ b/src/distribution/load_board.cpp
@@ -23,7 +23,7 @@
   if (entry == nullptr) return;
   for (const wire::BackendLoad& load : changes.loads) entry->incremental[load.backend] = {now, load};
   std::erase_if(entry->incremental, [now](const auto& item) {
-    return item.second.load.idle() || now - item.second.at > kForgetLoadAfter;
+    return item.second.load.idle() || now - item.second.at > kLoadTimeout;
   });
   entry->at = now;
   entry->report.proxies = changes.proxies;
@@ -33,7 +33,7 @@
 }
 
 void LoadBoard::DropTimedOut(Time now) {
-  const auto silent = [now](const auto& entry) { return now - entry.second.at > kForgetAfter; };
+  const auto silent = [now](const auto& entry) { return now - entry.second.at > kReporterTimeout; };
   std::erase_if(proxies_, silent);
   std::erase_if(members_, silent);
 }
--- a/src/distribution/load_board.h
+++ b/src/distribution/load_board.h
@@ -17,10 +17,10 @@
 class LoadBoard {
  public:
   using Time = std::chrono::milliseconds;
-  static constexpr Time kForgetAfter{1500};  // timeout of a reporter that sends nothing
+  static constexpr Time kReporterTimeout{1500};  // timeout of a reporter that sends nothing
   // Timeout of a single load that a member reported incrementally and has not repeated since: the message
   // that ended it was lost.
-  static constexpr Time kForgetLoadAfter{10000};
+  static constexpr Time kLoadTimeout{10000};
   static constexpr std::size_t kMaxReporters = 1024;
 
   void ReportFromProxy(Time now, const std::string& proxy, wire::LoadReport report);
@@ -28,8 +28,9 @@
   // Applies changes since the last report or the last changes of that member.
   void ChangesFromMember(Time now, const std::string& member, const wire::LoadChanges& changes);
   // Drops the reporters that have timed out.
-  void Forget(Time now);
+  void DropTimedOut(Time now);
 
+  // Number of proxies that report to this process, directly or through another proxy.
   std::uint32_t LocalProxies() const;
   // Sum over the proxies that report to this process.
   wire::LoadReport LocalReport() const { return Sum({&proxies_}); }
--- a/src/distribution/load_feed.cpp
+++ b/src/distribution/load_feed.cpp
@@ -37,17 +37,17 @@
   allowance_ = std::min(options_.burst_bytes, allowance_ + options_.bytes_per_s * seconds);
 }
 
-std::size_t LoadFeed::Room() const {
+std::size_t LoadFeed::MessageCapacity() const {
   return allowance_ <= kMessageBytes ? 0
                                      : static_cast<std::size_t>((allowance_ - kMessageBytes) / kLoadBytes);
 }
 
 std::vector<LoadFeed::Change> LoadFeed::Changes(const std::vector<wire::BackendLoad>& loads,
-                                                const BackendSet& near) const {
+                                                const BackendSet& nearby) const {
   std::vector<Change> changes;
   const auto add = [&](const wire::BackendLoad& sent, const wire::BackendLoad& now) {
     const double weight = WeightOf(sent, now);
-    if (weight > 0) changes.push_back({near.contains(now.backend) ? kNearWeight * weight : weight, now});
+    if (weight > 0) changes.push_back({nearby.contains(now.backend) ? kNearWeight * weight : weight, now});
   };
   // Both sequences are in order of backends. A backend that is missing in `loads` has become idle.
   const LoadMirror::Loads& all_sent = sent_.loads();
@@ -74,7 +74,7 @@
   auto next =
       std::upper_bound(loads.begin(), loads.end(), repeated_,
                        [](std::uint64_t key, const wire::BackendLoad& load) { return key < load.backend; });
-  for (; repeats_due_ >= 1 && chosen.size() < Room(); repeats_due_ -= 1) {
+  for (; repeats_due_ >= 1 && chosen.size() < MessageCapacity(); repeats_due_ -= 1) {
     if (next == loads.end()) next = loads.begin();
     repeated_ = next->backend;
     chosen.push_back(*next++);
@@ -82,10 +82,10 @@
 }
 
 std::vector<wire::BackendLoad> LoadFeed::Next(Time now, const std::vector<wire::BackendLoad>& loads,
-                                              const BackendSet& near) {
+                                              const BackendSet& nearby) {
   Refill(now);
-  std::vector<Change> changes = Changes(loads, near);
-  const std::size_t count = std::min(changes.size(), Room());
+  std::vector<Change> changes = Changes(loads, nearby);
+  const std::size_t count = std::min(changes.size(), MessageCapacity());
   const auto heavier = [](const Change& one, const Change& other) { return one.weight > other.weight; };
   std::partial_sort(changes.begin(), changes.begin() + static_cast<std::ptrdiff_t>(count), changes.end(),
                     heavier);
--- a/src/distribution/load_feed.h
+++ b/src/distribution/load_feed.h
@@ -39,10 +39,10 @@
   explicit LoadFeed(Options options) : options_(options), allowance_(options.burst_bytes) {}
 
   // Returns the updates to send now. `loads` holds the current load of every busy backend, in ascending order
-  // of backends. Updates of backends in `near`, which matter more to the receivers, get a higher weight. A
+  // of backends. Updates of backends in `nearby`, which matter more to the receivers, get a higher weight. A
   // backend that has become idle is sent with a load of 0.
   std::vector<wire::BackendLoad> Next(Time now, const std::vector<wire::BackendLoad>& loads,
-                                      const BackendSet& near = {});
+                                      const BackendSet& nearby = {});
   // The state that up-to-date receivers hold, for a new receiver. Does not count against the budget.
   wire::LoadSummary FullSummary() const { return sent_.FullSummary(); }
 
@@ -53,9 +53,9 @@
   };
 
   void Refill(Time now);
-  // Number of loads that the budget admits in a message now.
-  std::size_t Room() const;
-  std::vector<Change> Changes(const std::vector<wire::BackendLoad>& loads, const BackendSet& near) const;
+  // Number of loads that fit into a message within the budget now.
+  std::size_t MessageCapacity() const;
+  std::vector<Change> Changes(const std::vector<wire::BackendLoad>& loads, const BackendSet& nearby) const;
   void AddRepeats(Time now, const std::vector<wire::BackendLoad>& loads,
                   std::vector<wire::BackendLoad>& chosen);
 
--- a/src/distribution/load_mirror.cpp
+++ b/src/distribution/load_mirror.cpp
@@ -5,7 +5,7 @@
 
 void LoadMirror::Apply(const wire::LoadSummary& summary) {
   if (summary.whole) loads_.clear();
-  Take(summary.loads);
+  Apply(summary.loads);
 }
 
 void LoadMirror::Apply(const std::vector<wire::BackendLoad>& changes) {
--- a/src/distribution/load_mirror.h
+++ b/src/distribution/load_mirror.h
@@ -17,9 +17,9 @@
  public:
   using Loads = std::map<std::uint64_t, wire::BackendLoad>;  // by backend; idle backends are left out
 
-  // A whole summary replaces the state; any other updates it.
-  void Take(const wire::LoadSummary& summary);
-  void Take(const std::vector<wire::BackendLoad>& changes);
+  // A summary that is marked as whole replaces the state; any other updates it.
+  void Apply(const wire::LoadSummary& summary);
+  void Apply(const std::vector<wire::BackendLoad>& changes);
   const Loads& loads() const { return loads_; }
   // The complete state as a summary.
   wire::LoadSummary FullSummary() const;
--- a/src/invariants/violations.h
+++ b/src/invariants/violations.h
@@ -15,8 +15,7 @@
 
 enum class Invariant {
   // No request that was read is still open when the process exits, unless its response had begun and it
-  // arrived
-  // while the process was still serving normally.
+  // arrived while the process was still serving normally.
   kAnsweredBeforeExit,
   // A request that was read ends with a complete response, or because the client or the backend failed or its
   // time ran out.
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -18,9 +18,9 @@
 // Returns the most specific value of a limit.
 template <typename T>
 ResolvedLimit<T> Choose(const Maybe<T> LimitsSpec::*member, const LimitsSpec* route,
-                        const LimitsSpec* of_class, const LimitsSpec& defaults) {
+                        const LimitsSpec* class_limits, const LimitsSpec& defaults) {
   const std::pair<const LimitsSpec*, Origin> order[] = {
-      {route, Origin::kRoute}, {of_class, Origin::kClass}, {&defaults, Origin::kDefaults}};
+      {route, Origin::kRoute}, {class_limits, Origin::kClass}, {&defaults, Origin::kDefaults}};
   for (const auto& [limits, origin] : order) {
     if (limits && (limits->*member)) return {&(limits->*member)->value, origin, (limits->*member)->at};
   }
@@ -36,31 +36,31 @@
   return {chosen.origin, chosen.at};
 }
 
-// Null if the word is not an accepted value of `retry_on`.
-const RetryWord* FindRetryWord(std::string_view word) {
+// Null if `name` is not an accepted value of `retry_on`.
+const RetryCondition* FindRetryCondition(std::string_view name) {
   const auto* const match =
-      std::find_if(std::begin(kRetryWords), std::end(kRetryWords),
-                   [&](const RetryWord& retry_word) { return retry_word.word == word; });
-  return match == std::end(kRetryWords) ? nullptr : match;
+      std::find_if(std::begin(kRetryConditions), std::end(kRetryConditions),
+                   [&](const RetryCondition& condition) { return condition.name == name; });
+  return match == std::end(kRetryConditions) ? nullptr : match;
 }
 
 void CheckKeywords(const LimitsSpec& limits, Diagnostics* diagnostics) {
-  if (limits.affinity && std::find(std::begin(kAffinityWords), std::end(kAffinityWords),
-                                   limits.affinity->value) == std::end(kAffinityWords)) {
+  if (limits.affinity && std::find(std::begin(kAffinityValues), std::end(kAffinityValues),
+                                   limits.affinity->value) == std::end(kAffinityValues)) {
     diagnostics->Add(limits.affinity->at, "affinity",
                      "affinity is '" + limits.affinity->value + "'; accepted are " +
-                         operator_file::Listed({std::begin(kAffinityWords), std::end(kAffinityWords)}));
+                         operator_file::Listed({std::begin(kAffinityValues), std::end(kAffinityValues)}));
   }
   if (limits.claim && !ParseClaim(limits.claim->value)) {
     diagnostics->Add(limits.claim->at, "claim",
                      "claim is '" + limits.claim->value + "'; accepted are none, tell, and wait 1 to wait " +
-                         std::to_string(kMostAcknowledgements));
+                         std::to_string(kMaxAcknowledgements));
   }
   if (!limits.retry_on) return;
   for (const auto& word : limits.retry_on->value) {
-    if (FindRetryWord(word.value)) continue;
+    if (FindRetryCondition(word.value)) continue;
     std::vector<std::string_view> accepted;
-    for (const RetryWord& retry_word : kRetryWords) accepted.push_back(retry_word.word);
+    for (const RetryCondition& condition : kRetryConditions) accepted.push_back(condition.name);
     const std::string nearest = diagnostics->Nearest(word.value, accepted);
     diagnostics->Add(word.at, "retry-on",
                      "'" + word.value + "' is nothing to repeat after; accepted are " +
@@ -77,8 +77,8 @@
   constexpr std::string_view kWait = "wait ";
   if (!text.starts_with(kWait) || text.size() != kWait.size() + 1) return std::nullopt;
   const int acknowledgements = text.back() - '0';
-  return acknowledgements >= 1 && acknowledgements <= kMostAcknowledgements ? std::optional(acknowledgements)
-                                                                            : std::nullopt;
+  return acknowledgements >= 1 && acknowledgements <= kMaxAcknowledgements ? std::optional(acknowledgements)
+                                                                           : std::nullopt;
 }
 
 std::uint64_t IdOf(std::string_view kind, std::string_view name) {
@@ -154,21 +154,21 @@
 }
 
 EffectiveLimits LimitsResolver::Resolve(const RouteSpec* route, std::size_t class_index) const {
-  const LimitsSpec* of_route = route ? &route->limits : nullptr;
-  const LimitsSpec* of_class = by_class_[class_index];
+  const LimitsSpec* route_limits = route ? &route->limits : nullptr;
+  const LimitsSpec* class_limits = by_class_[class_index];
   const LimitsSpec& defaults = spec_.defaults;
   EffectiveLimits limits;
-  limits.attempt_timeout = Choose(&LimitsSpec::attempt_timeout, of_route, of_class, defaults);
-  limits.patience = Choose(&LimitsSpec::patience, of_route, of_class, defaults);
-  limits.pause = Choose(&LimitsSpec::pause, of_route, of_class, defaults);
-  limits.second_copy_after = Choose(&LimitsSpec::second_copy_after, of_route, of_class, defaults);
-  limits.max_attempts = Choose(&LimitsSpec::max_attempts, of_route, of_class, defaults);
-  limits.max_in_flight = Choose(&LimitsSpec::max_in_flight, of_route, of_class, defaults);
-  limits.affinity = Choose(&LimitsSpec::affinity, of_route, of_class, defaults);
-  limits.load_bound = Choose(&LimitsSpec::load_bound, of_route, of_class, defaults);
-  limits.retry_on = Choose(&LimitsSpec::retry_on, of_route, of_class, defaults);
-  limits.retry_budgets = Choose(&LimitsSpec::retry_budgets, of_route, of_class, defaults);
-  limits.claim = Choose(&LimitsSpec::claim, of_route, of_class, defaults);
+  limits.attempt_timeout = Choose(&LimitsSpec::attempt_timeout, route_limits, class_limits, defaults);
+  limits.patience = Choose(&LimitsSpec::patience, route_limits, class_limits, defaults);
+  limits.pause = Choose(&LimitsSpec::pause, route_limits, class_limits, defaults);
+  limits.second_copy_after = Choose(&LimitsSpec::second_copy_after, route_limits, class_limits, defaults);
+  limits.max_attempts = Choose(&LimitsSpec::max_attempts, route_limits, class_limits, defaults);
+  limits.max_in_flight = Choose(&LimitsSpec::max_in_flight, route_limits, class_limits, defaults);
+  limits.affinity = Choose(&LimitsSpec::affinity, route_limits, class_limits, defaults);
+  limits.load_bound = Choose(&LimitsSpec::load_bound, route_limits, class_limits, defaults);
+  limits.retry_on = Choose(&LimitsSpec::retry_on, route_limits, class_limits, defaults);
+  limits.retry_budgets = Choose(&LimitsSpec::retry_budgets, route_limits, class_limits, defaults);
+  limits.claim = Choose(&LimitsSpec::claim, route_limits, class_limits, defaults);
   return limits;
 }
 
@@ -193,8 +193,8 @@
   const std::string& name = site_.classes[class_index];
   if (class_settings.effect == Effect::kUnsafe && limits.retry_on.value) {
     for (const auto& word : *limits.retry_on.value) {
-      const RetryWord* retry_word = FindRetryWord(word.value);
-      if (!retry_word || !retry_word->may_have_run) continue;
+      const RetryCondition* condition = FindRetryCondition(word.value);
+      if (!condition || !condition->may_have_run) continue;
       diagnostics->Add(word.at, "unsafe-repeat",
                        "retry_on '" + word.value + "' would repeat class " + name +
                            ", which must never run twice, after an attempt that may have run; accepted are "
@@ -308,8 +308,8 @@
     // answer to which `retry_on` could apply.
     compiled.retry_on = RouteLimits::RetryAfter(Outcome::kMoot);
     for (const auto& word : *limits.retry_on.value) {
-      if (const RetryWord* retry_word = FindRetryWord(word.value))
-        compiled.retry_on |= RouteLimits::RetryAfter(retry_word->outcome);
+      if (const RetryCondition* condition = FindRetryCondition(word.value))
+        compiled.retry_on |= RouteLimits::RetryAfter(condition->outcome);
     }
   }
   if (limits.retry_budgets.value) {
--- a/src/routing/limits.h
+++ b/src/routing/limits.h
@@ -46,7 +46,7 @@
 
   // Returns the limits of a route for requests of a class, or, if `route` is null, of requests of that class
   // that match no route. `class_index` is an index into Site::classes.
-  EffectiveLimits Of(const RouteSpec* route, std::size_t class_index) const;
+  EffectiveLimits Resolve(const RouteSpec* route, std::size_t class_index) const;
 
   // Reports limits that the rules or the platform forbid.
   void Check(const EffectiveLimits& limits, std::size_t class_index,
@@ -76,25 +76,26 @@
 inline constexpr double kWindowMargin = 0.9;
 
 // Accepted values of `affinity`.
-inline constexpr std::string_view kAffinityWords[] = {"key", "none"};
+inline constexpr std::string_view kAffinityValues[] = {"key", "none"};
 // Default of `load_bound`: the maximum load of a server relative to its even share.
 inline constexpr double kLoadBound = 1.25;
 
-// Parses "none", "tell" or "wait K", K from 1 to kMostAcknowledgements, into the value of RouteLimits::claim.
+// Highest number of acknowledgements that `claim` may wait for.
+inline constexpr int kMaxAcknowledgements = 8;
+// Parses "none", "tell" or "wait K", K from 1 to kMaxAcknowledgements, into the value of RouteLimits::claim.
 // Returns nullopt for any other text.
-inline constexpr int kMostAcknowledgements = 8;
 std::optional<int> ParseClaim(std::string_view text);
 
 // Returns an id for a name in the file. It is the same at every proxy and after every reload.
 std::uint64_t IdOf(std::string_view kind, std::string_view name);
 
 // An accepted value of `retry_on` and the outcome of an attempt that it stands for.
-struct RetryWord {
-  std::string_view word;
+struct RetryCondition {
+  std::string_view name;
   kestrelline::Outcome outcome;
   bool may_have_run;  // whether the server may have executed the request
 };
-inline constexpr RetryWord kRetryWords[] = {
+inline constexpr RetryCondition kRetryConditions[] = {
     {"refused", kestrelline::Outcome::kFull, false},
     {"connect", kestrelline::Outcome::kConnectFailed, false},
     {"error", kestrelline::Outcome::kError, true},
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -120,7 +120,7 @@
 RouteTable::LookupResult RouteTable::Find(const RequestView& request) const {
   const std::uint32_t route = FindIn(index_, request);
   const auto class_index = static_cast<std::size_t>(request.request_class());
-  if (route == kNone) return {kNone, class_index < by_class_.size() ? &by_class_[class_index] : &none_};
+  if (route == kNone) return {kNone, class_index < by_class_.size() ? &by_class_[class_index] : &no_limits_};
   const auto& classes = routes_[route].classes;
   const auto position = std::lower_bound(classes.begin(), classes.end(), request.request_class());
   return {route, &routes_[route].limits[static_cast<std::size_t>(position - classes.begin())]};
--- a/src/routing/table.h
+++ b/src/routing/table.h
@@ -118,7 +118,7 @@
   std::vector<Route> routes_;
   std::vector<std::string> header_names_;
   std::vector<std::shared_ptr<const kestrelline::RouteLimits>> by_class_;  // where no route matches
-  std::shared_ptr<const kestrelline::RouteLimits> none_;                   // always null
+  std::shared_ptr<const kestrelline::RouteLimits> no_limits_;              // always null
   Index index_;
 };
 
--- a/src/safeguards/safeguards.h
+++ b/src/safeguards/safeguards.h
@@ -20,17 +20,17 @@
   kQuorumOfCopies,        // a record is committed only once a quorum has stored it
   kNewestCopyAtElection,  // a candidate adopts the newest record of the members that vote for it
   kPromiseBinds,          // a member stores no records of epochs before the one it has promised
-  kQuietAfterRestart,     // a restarted member does not take part for the length of a lease
+  kQuietAfterRestart,     // for the length of a lease, a restarted member only votes if no member leads
   kLearnBeforeVoting,     // a member with an empty disk first catches up from a quorum of the others
   kForgetLostCopies,      // copies on disks that were lost are no longer counted
   kDiskIdentity,          // replies that were in flight from a lost disk are ignored
   kFoundOnPristineDisk,   // only a member with a never used disk may bootstrap the system
   kJointElectorate,       // a membership change needs quorums of both the old and the new members
   kLeaveByAgreement,      // a member that leaves for good is replaced first
-  kOneRecordUnderWay,     // a slow member is sent the newest record next, not each of the older ones
+  kOneRecordUnderWay,     // one record in flight per member: a slow one is sent the newest next, not each
   kProofBeforeReady,      // a starting proxy accepts only a configuration that a leader confirms
-  kNeverBack,             // a proxy never goes back to an older version
-  kFenceAfterLease,       // a new leader gives no orders until those of its predecessor have expired
+  kNeverBack,             // a proxy never goes back to an older configuration
+  kFenceAfterLease,       // a new leader sends no stage orders until those of its predecessor are outdated
 };
 
 // Names under which the simulation's command line refers to safeguards.
--- a/tests/distribution/load_feed_test.cpp
+++ b/tests/distribution/load_feed_test.cpp
@@ -107,19 +107,19 @@
 TEST(LoadFeed, TheLargestChangesGoFirstAndTheOwnZonesBeforeOthers) {
   LoadFeed feed({6000, 3000, milliseconds(0)});
   Loads loads;
-  BackendSet near;
+  BackendSet nearby;
   for (std::uint64_t i = 0; i < 400; ++i) {
     loads.push_back({i + 1, i % 2 == 0 ? 1000u : 100u, 1});
-    if (i % 10 == 0) near.insert(i + 1);
+    if (i % 10 == 0) nearby.insert(i + 1);
   }
-  const Loads first = feed.Next(milliseconds(0), loads, near);
+  const Loads first = feed.Next(milliseconds(0), loads, nearby);
   ASSERT_GE(first.size(), 100u);
   ASSERT_LT(first.size(), 200u);
-  for (std::size_t i = 0; i < 30; ++i) EXPECT_TRUE(near.contains(first[i].backend)) << i;
+  for (std::size_t i = 0; i < 30; ++i) EXPECT_TRUE(nearby.contains(first[i].backend)) << i;
   for (const wire::BackendLoad& load : first) EXPECT_EQ(load.reading_ms, 1000u);
   std::set<std::uint64_t> told;
   for (milliseconds now{0}; now < std::chrono::seconds(2); now += kTick)
-    for (const wire::BackendLoad& load : feed.Next(now, loads, near)) told.insert(load.backend);
+    for (const wire::BackendLoad& load : feed.Next(now, loads, nearby)) told.insert(load.backend);
   EXPECT_EQ(told.size(), loads.size() - first.size());
 }
 
