--- a/src/configuration/parse.cpp
+++ b/src/configuration/parse.cpp
@@ -17,12 +17,12 @@
 class Object {
  public:
   Object(const json_t* value, std::string where) : value_(value), where_(std::move(where)) {
-    if (!json_is_object(value)) throw ValidationError(where_ + " is no object");
+    if (!json_is_object(value)) throw ValidationError(where_ + " is not an object");
   }
 
   std::string Text(const char* key) const {
     const json_t* value = json_object_get(value_, key);
-    if (!json_is_string(value)) throw ValidationError(where_ + ": " + key + " is no string");
+    if (!json_is_string(value)) throw ValidationError(where_ + ": " + key + " is not a string");
     return std::string(json_string_value(value), json_string_length(value));
   }
   std::string TextOr(const char* key, std::string fallback) const {
@@ -31,13 +31,14 @@
   // An integer of at least `minimum`; also accepts a real number without a fraction.
   std::int64_t Integer(const char* key, std::int64_t minimum) const {
     const json_t* value = json_object_get(value_, key);
-    if (!json_is_number(value)) throw ValidationError(where_ + ": " + key + " is no number");
+    if (!json_is_number(value)) throw ValidationError(where_ + ": " + key + " is not a number");
     const double number = json_number_value(value);
     const auto whole = json_is_integer(value) ? json_integer_value(value) : static_cast<std::int64_t>(number);
     if (!json_is_integer(value) && static_cast<double>(whole) != number) {
-      throw ValidationError(where_ + ": " + key + " is no whole number");
+      throw ValidationError(where_ + ": " + key + " is not an integer");
     }
-    if (whole < minimum) throw ValidationError(where_ + ": " + key + " is under " + std::to_string(minimum));
+    if (whole < minimum)
+      throw ValidationError(where_ + ": " + key + " is less than " + std::to_string(minimum));
     return whole;
   }
   std::int64_t IntegerOr(const char* key, std::int64_t minimum, std::int64_t fallback) const {
@@ -46,7 +47,7 @@
   double NumberOr(const char* key, double fallback) const {
     if (!Has(key)) return fallback;
     const json_t* value = json_object_get(value_, key);
-    if (!json_is_number(value)) throw ValidationError(where_ + ": " + key + " is no number");
+    if (!json_is_number(value)) throw ValidationError(where_ + ": " + key + " is not a number");
     return json_number_value(value);
   }
   bool BooleanOr(const char* key, bool fallback) const {
@@ -61,7 +62,7 @@
   }
   const json_t* Array(const char* key) const {
     const json_t* value = json_object_get(value_, key);
-    if (!json_is_array(value)) throw ValidationError(where_ + ": " + key + " is no list");
+    if (!json_is_array(value)) throw ValidationError(where_ + ": " + key + " is not a list");
     return value;
   }
   const json_t* Raw(const char* key) const { return json_object_get(value_, key); }
@@ -167,7 +168,7 @@
   std::set<std::pair<std::string_view, std::string_view>> hosts_and_prefixes;
   for (const Route& route : configuration.routes) {
     if (hosts_and_prefixes.emplace(route.host, route.path_prefix).second) continue;
-    throw ValidationError("two routes stand at " + route.host + route.path_prefix);
+    throw ValidationError("two routes have the host and path prefix " + route.host + route.path_prefix);
   }
 }
 
--- a/src/configuration/patch.cpp
+++ b/src/configuration/patch.cpp
@@ -17,7 +17,7 @@
 using Names = std::set<std::string, std::less<>>;
 
 // The location of a list item in error messages: "list[index]".
-std::string ItemOf(const std::string& list, std::size_t index) {
+std::string LocationOf(const std::string& list, std::size_t index) {
   std::string text = list;
   text += '[';
   text += std::to_string(index);
@@ -29,7 +29,7 @@
 std::string NameOf(const json_t* item, const std::string& where, std::size_t index) {
   const json_t* name = json_object_get(item, "name");
   if (json_is_string(name)) return json_string_value(name);
-  throw ValidationError(ItemOf(where, index) + " has no name");
+  throw ValidationError(LocationOf(where, index) + " has no name");
 }
 
 // Calls `visit(key, location, list)` for each list in `section`, which may be absent.
@@ -37,12 +37,12 @@
 void ForEachList(const json_t* root, const char* section, Visit visit) {
   json_t* lists = json_object_get(root, section);
   if (lists == nullptr || json_is_null(lists)) return;
-  if (!json_is_object(lists)) throw ValidationError(std::string(section) + " is no object");
+  if (!json_is_object(lists)) throw ValidationError(std::string(section) + " is not an object");
   const char* key = nullptr;
   json_t* list = nullptr;
   json_object_foreach(lists, key, list) {
     const std::string where = std::string(section) + "." + key;
-    if (!json_is_array(list)) throw ValidationError(where + " is no list");
+    if (!json_is_array(list)) throw ValidationError(where + " is not a list");
     visit(key, where, list);
   }
 }
@@ -52,7 +52,7 @@
   std::size_t index = 0;
   const json_t* name = nullptr;
   json_array_foreach(list, index, name) {
-    if (!json_is_string(name)) throw ValidationError(ItemOf(where, index) + " is no name");
+    if (!json_is_string(name)) throw ValidationError(LocationOf(where, index) + " is not a name");
     names.insert(json_string_value(name));
   }
   return names;
@@ -70,19 +70,19 @@
   return names;
 }
 
-void CheckForm(const json_t* root) {
-  if (!json_is_object(root)) throw ValidationError("the patch is no object");
+void CheckStructure(const json_t* root) {
+  if (!json_is_object(root)) throw ValidationError("the patch is not an object");
   const char* key = nullptr;
   const json_t* value = nullptr;
   json_object_foreach(const_cast<json_t*>(root), key, value) {
     const std::string_view name = key;
     if (name != "version" && name != "upsert" && name != "remove") {
-      throw ValidationError("a patch has no " + std::string(name));
+      throw ValidationError("unknown key in the patch: " + std::string(name));
     }
   }
   const json_t* version = json_object_get(root, "version");
   if (!json_is_integer(version) || json_integer_value(version) < 1) {
-    throw ValidationError("version is no whole number above 0");
+    throw ValidationError("version is not a positive integer");
   }
   ForEachList(root, "remove",
               [](const char*, const std::string& where, json_t* list) { NamesToRemove(list, where); });
@@ -97,7 +97,8 @@
     json_object_set_new(configuration, key, json_array());
     list = json_object_get(configuration, key);
   }
-  if (!json_is_array(list)) throw ValidationError(std::string("the configuration's ") + key + " are no list");
+  if (!json_is_array(list))
+    throw ValidationError(std::string("the configuration's ") + key + " are not a list");
   return list;
 }
 
@@ -114,18 +115,18 @@
 
 // Replaced items keep their position; new items are appended.
 void Upsert(json_t* list, json_t* items, const std::string& where) {
-  std::map<std::string, std::size_t, std::less<>> places;
+  std::map<std::string, std::size_t, std::less<>> indices;
   for (std::size_t index = 0; index < json_array_size(list); ++index) {
     const json_t* name = json_object_get(json_array_get(list, index), "name");
-    if (json_is_string(name)) places.emplace(json_string_value(name), index);
+    if (json_is_string(name)) indices.emplace(json_string_value(name), index);
   }
   for (std::size_t index = 0; index < json_array_size(items); ++index) {
     json_t* item = json_array_get(items, index);
-    const auto place = places.find(NameOf(item, where, index));
-    if (place == places.end()) {
+    const auto existing = indices.find(NameOf(item, where, index));
+    if (existing == indices.end()) {
       json_array_append(list, item);
     } else {
-      json_array_set(list, place->second, item);
+      json_array_set(list, existing->second, item);
     }
   }
 }
@@ -141,14 +142,14 @@
 // Replaces items with the same name and appends the others.
 template <typename Item>
 void UpsertTyped(std::vector<Item>& items, std::vector<Item> changed) {
-  std::map<std::string, std::size_t, std::less<>> places;
-  for (std::size_t index = 0; index < items.size(); ++index) places.emplace(items[index].name, index);
+  std::map<std::string, std::size_t, std::less<>> indices;
+  for (std::size_t index = 0; index < items.size(); ++index) indices.emplace(items[index].name, index);
   for (Item& item : changed) {
-    const auto place = places.find(item.name);
-    if (place == places.end()) {
+    const auto existing = indices.find(item.name);
+    if (existing == indices.end()) {
       items.push_back(std::move(item));
     } else {
-      items[place->second] = std::move(item);
+      items[existing->second] = std::move(item);
     }
   }
 }
@@ -164,7 +165,7 @@
     if (list_key != key) return;
     std::vector<Item> changed;
     for (std::size_t index = 0; index < json_array_size(list); ++index) {
-      changed.push_back(read(json_array_get(list, index), ItemOf(where, index)));
+      changed.push_back(read(json_array_get(list, index), LocationOf(where, index)));
     }
     UpsertTyped(items, std::move(changed));
   });
@@ -222,7 +223,7 @@
   json::Owned root = json::Load(text, error, JSON_REJECT_DUPLICATES);
   if (!root) return {std::nullopt, "line " + std::to_string(error.line) + ": " + error.text};
   try {
-    CheckForm(root.get());
+    CheckStructure(root.get());
   } catch (const ValidationError& invalid) {
     return {std::nullopt, invalid.what()};
   }
@@ -232,7 +233,7 @@
 
 PatchedText Patch::ApplyTo(std::string_view configuration) const {
   const json::Owned next = json::Load(configuration);
-  if (!next) return {"", "there is no configuration to alter"};
+  if (!next) return {"", "there is no configuration to patch"};
   try {
     ForEachList(root_.get(), "remove", [&](const char* key, const std::string& where, json_t* list) {
       Remove(ListOf(next.get(), key), NamesToRemove(list, where));
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -32,8 +32,8 @@
   return std::max(limits, [](const auto& a, const auto& b) { return a < b; }).second;
 }
 template <typename T>
-std::pair<Origin, Position> OriginAndPosition(const ResolvedLimit<T>& chosen) {
-  return {chosen.origin, chosen.at};
+std::pair<Origin, Position> OriginAndPosition(const ResolvedLimit<T>& limit) {
+  return {limit.origin, limit.at};
 }
 
 // Null if `name` is not an accepted value of `retry_on`.
@@ -63,7 +63,7 @@
     for (const RetryCondition& condition : kRetryConditions) accepted.push_back(condition.name);
     const std::string nearest = diagnostics->Nearest(word.value, accepted);
     diagnostics->Add(word.at, "retry-on",
-                     "'" + word.value + "' is nothing to repeat after; accepted are " +
+                     "'" + word.value + "' is not a retry condition; accepted are " +
                          operator_file::Listed(accepted) +
                          (nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
   }
@@ -268,29 +268,29 @@
         "asks for a second copy of class " + name + ", which " +
             (class_settings.effect == Effect::kUnsafe ? "must never run twice"
                                                       : "is keyed: two copies at once are two effects") +
-            "; accepted for classes that are safe to repeat alone");
+            "; accepted only for classes that are safe to repeat");
   } else if (!site_.settings.parallel_tries) {
     diagnostics->Add(at, "second-copy",
                      "asks for a second copy of class " + name +
-                         ", but the platform allows none (permissions.parallelTries is false); accepted is "
-                         "no second_copy_after");
+                         ", but the platform allows none (permissions.parallelTries is false); remove "
+                         "second_copy_after");
   } else if (MaxAttempts(limits) < 2) {
     diagnostics->Add(at, "second-copy",
-                     "class " + name + " has one attempt: a second copy needs max_attempts = 2 at the least");
+                     "class " + name + " has one attempt: a second copy needs max_attempts = 2 or more");
   } else {
     const Duration timeout =
         limits.attempt_timeout.value ? *limits.attempt_timeout.value : class_settings.deadline;
     if (*limits.second_copy_after.value < timeout) return;
     diagnostics->Add(at, "second-copy",
                      "class " + name + ": a second copy after " + Shown(*limits.second_copy_after.value) +
-                         " never goes out, as an attempt ends after " + Shown(timeout) +
+                         " is never sent, because an attempt ends after " + Shown(timeout) +
                          "; less than that is accepted");
   }
 }
 
 RouteLimits LimitsResolver::Compile(const EffectiveLimits& limits, std::uint64_t id) const {
-  const auto duration_or_zero = [](const ResolvedLimit<Duration>& chosen) {
-    return chosen.value ? *chosen.value : Duration(0);
+  const auto duration_or_zero = [](const ResolvedLimit<Duration>& limit) {
+    return limit.value ? *limit.value : Duration(0);
   };
   RouteLimits compiled;
   compiled.route = id;
--- a/src/routing/section.cpp
+++ b/src/routing/section.cpp
@@ -20,27 +20,33 @@
 
 constexpr std::array kLimitKeys{
     Key{"attempt_timeout", Kind::kDuration, "How long one attempt may take."},
-    Key{"patience", Kind::kDuration, "How long the request may take in all; its clients' own time at most."},
-    Key{"max_attempts", Kind::kWhole, "The most attempts, the first counted; the platform's number at most."},
-    Key{"pause", Kind::kPause, "The pause before another attempt; chance takes off up to a quarter."},
+    Key{"patience", Kind::kDuration,
+        "How long the request may take in all; at most the deadline of its class."},
+    Key{"max_attempts", Kind::kWhole,
+        "Maximum number of attempts, including the first; at most that of the platform."},
+    Key{"pause", Kind::kPause,
+        "The pause before another attempt, reduced by a random part of up to a quarter."},
     Key{"second_copy_after", Kind::kDuration,
-        "After this long without an answer, a second copy goes to another server; for classes that are safe "
-        "to "
-        "repeat, where the platform allows it."},
+        "After this time without a response, a second copy is sent to another server; for classes that are "
+        "safe to repeat, if the platform allows it."},
     Key{"retry_on", Kind::kTexts,
-        "After what there may be another attempt: refused, connect, error, reset, timeout; [] for none."},
-    Key{"retry_budgets", Kind::kTexts, "The budgets that pay for repeats; the first that can pays."},
-    Key{"max_in_flight", Kind::kWhole, "The most requests at once at this proxy; more are refused at once."},
-    Key{"affinity", Kind::kText, "key: requests of one key go to one server, the same at all proxies; none."},
+        "Conditions for another attempt: refused, connect, error, reset, timeout; [] for none."},
+    Key{"retry_budgets", Kind::kTexts,
+        "The budgets that retries draw on; the first that allows a retry is charged."},
+    Key{"max_in_flight", Kind::kWhole,
+        "Maximum number of requests in flight at this proxy; further ones are refused at once."},
+    Key{"affinity", Kind::kText,
+        "key: requests with the same key go to the same server at all proxies; or none."},
     Key{"load_bound", Kind::kNumber,
-        "With affinity, the most that a server holds, of its even share; 1.25 without it."},
+        "With affinity, the maximum load of a server relative to its even share; default 1.25."},
     Key{"claim", Kind::kText,
-        "What other proxies know of a keyed request before it is sent: none, tell, or wait K; needs "
-        "[replica]."},
+        "Whether other proxies are told of a keyed request before it is sent: none, tell, or wait K to wait "
+        "for K acknowledgements; needs [replica]."},
 };
 constexpr std::array kRouteOnlyKeys{
-    Key{"name", Kind::kText, "The name of the route: each once; counts and budgets go by it.", true},
-    Key{"match", Kind::kTable, "What a request must be for the route to hold; without it, any."},
+    Key{"name", Kind::kText, "The name of the route, unique in the file; counters are kept by name.", true},
+    Key{"match", Kind::kTable,
+        "The conditions under which the route applies; without them it applies to all requests."},
 };
 constexpr auto kRouteKeys = [] {
   std::array<Key, kLimitKeys.size() + kRouteOnlyKeys.size()> all{};
@@ -49,18 +55,19 @@
   return all;
 }();
 constexpr std::array kMatchKeys{
-    Key{"class", Kind::kTexts, "Its class is one of these."},
-    Key{"tenant", Kind::kTexts, "Its tenant is one of these."},
-    Key{"method", Kind::kTexts, "Its method is one of these: GET, POST."},
-    Key{"path_prefix", Kind::kText, "Its path begins with these whole segments."},
-    Key{"header", Kind::kTable, "Each of these headers is there once and has just this value."},
+    Key{"class", Kind::kTexts, "The class of the request is one of these."},
+    Key{"tenant", Kind::kTexts, "The tenant of the request is one of these."},
+    Key{"method", Kind::kTexts, "The method of the request is one of these: GET, POST."},
+    Key{"path_prefix", Kind::kText, "The path of the request begins with these segments."},
+    Key{"header", Kind::kTable, "Each of these headers occurs once and has exactly this value."},
     Key{"tag", Kind::kText, "A plug-in set this route tag."},
-    Key{"zone", Kind::kTexts, "The proxy stands in one of these zones."},
+    Key{"zone", Kind::kTexts, "The proxy is in one of these zones."},
 };
 constexpr std::array kBudgetKeys{
-    Key{"share", Kind::kShare, "Repeats for first attempts, over the window.", true},
-    Key{"window", Kind::kDuration, "The window; 10s without it."},
-    Key{"at_least", Kind::kWhole, "Repeats over the window that need no first attempts; 0 without it."},
+    Key{"share", Kind::kShare, "Retries as a share of first attempts over the window.", true},
+    Key{"window", Kind::kDuration, "Length of the window; default 10s."},
+    Key{"at_least", Kind::kWhole,
+        "Retries per window that are allowed whatever the number of first attempts; default 0."},
 };
 constexpr std::array kTables{
     DescribedTable{"defaults", kLimitKeys},     DescribedTable{"class.NAME", kLimitKeys},
@@ -131,7 +138,7 @@
 
 std::vector<Section> Sections(Spec* spec) {
   return {
-      {{"defaults", Kind::kTable, "Limits of all routes and classes that set none of their own."},
+      {{"defaults", Kind::kTable, "Limits of routes and classes that set none of their own."},
        [spec](const TableReader& top, Diagnostics* diagnostics) {
          if (const toml::table* table = top.Table("defaults"))
            spec->defaults = ReadLimits(TableReader(*table, "defaults", kLimitKeys, diagnostics));
@@ -149,7 +156,7 @@
            ReadBudget(name, table, spec, diagnostics);
          });
        }},
-      {{"route", Kind::kTables, "Routes, the first that matches holds: [[route]]."},
+      {{"route", Kind::kTables, "Routes: [[route]]. The first that matches applies."},
        [spec](const TableReader& top, Diagnostics* diagnostics) {
          top.Tables("route",
                     [&](const toml::table& table, Position at) { ReadRoute(table, at, spec, diagnostics); });
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -129,14 +129,14 @@
 void RouteTable::Insert(Shape* shape, const Route& route, std::uint32_t route_index, int request_class,
                         int tenant) const {
   if (2 * (shape->used + 1) > shape->slots.size()) {
-    std::vector<Slot> bigger(std::max<std::size_t>(8, shape->slots.size() * 2));
+    std::vector<Slot> larger(std::max<std::size_t>(8, shape->slots.size() * 2));
     for (const Slot& slot : shape->slots) {
       if (slot.route == kNone) continue;
-      std::size_t i = slot.hash & (bigger.size() - 1);
-      while (bigger[i].route != kNone) i = (i + 1) & (bigger.size() - 1);
-      bigger[i] = slot;
+      std::size_t i = slot.hash & (larger.size() - 1);
+      while (larger[i].route != kNone) i = (i + 1) & (larger.size() - 1);
+      larger[i] = slot;
     }
-    shape->slots = std::move(bigger);
+    shape->slots = std::move(larger);
   }
   const MinimalRequest minimal(route, header_names_, request_class, tenant);
   const Probe probe(minimal, header_names_);
@@ -193,16 +193,16 @@
 
   std::shared_ptr<const RouteTable> Build() {
     if (spec_.routes.size() > kMaxRoutes) {
-      AddError(
-          spec_.routes[kMaxRoutes].name.at, "bound",
-          std::to_string(spec_.routes.size()) + " routes; " + std::to_string(kMaxRoutes) + " are accepted");
+      AddError(spec_.routes[kMaxRoutes].name.at, "bound",
+               std::to_string(spec_.routes.size()) + " routes; " + std::to_string(kMaxRoutes) +
+                   " at most are accepted");
       return nullptr;
     }
-    const LimitsResolver book(spec_, site_, diagnostics_);
+    const LimitsResolver resolver(spec_, site_, diagnostics_);
     CheckNames();
     table_->routes_.reserve(spec_.routes.size());
     for (const RouteSpec& route : spec_.routes) table_->routes_.push_back(Resolve(route));
-    ResolveLimits(book);
+    ResolveLimits(resolver);
     // Routes that are only partly resolved would cause false reports of unreachable routes.
     if (!diagnostics_->ok()) return nullptr;
     IndexAndCheckReachable();
@@ -222,11 +222,11 @@
       const auto [first, added] = seen.emplace(route.name.value, route.name.at);
       if (!added) {
         AddError(route.name.at, "duplicate",
-                 "route '" + route.name.value + "' is named so in line " +
-                     std::to_string(first->second.line) + " already; each name is accepted once");
+                 "the name of route '" + route.name.value + "' is used in line " +
+                     std::to_string(first->second.line) + " already; names must be unique");
       } else if (!ids.emplace(IdOf("route", route.name.value), route.name.value).second) {
         AddError(route.name.at, "duplicate",
-                 "the name of '" + route.name.value + "' hashes as another's; change it");
+                 "the name of route '" + route.name.value + "' has the same hash as another; change it");
       }
     }
   }
@@ -310,7 +310,7 @@
     if (!prefix.starts_with('/') || !plain || prefix.find("//") != std::string::npos) {
       AddError(text.at, "path",
                "'" + text.value +
-                   "' is no path; accepted is one that begins with '/', without blanks, '//', '?' or '#'");
+                   "' is not a path; a path begins with '/' and contains no blanks, '//', '?' or '#'");
       return;
     }
     while (prefix.ends_with('/')) prefix.pop_back();
@@ -339,7 +339,7 @@
     if (std::find(route->classes.begin(), route->classes.end(), path_class) == route->classes.end()) {
       if (!route->classes.empty())  // otherwise its class is unknown, which has been reported
         AddError(text.at, "never",
-                 "paths under '/" + first + "' are of class " + first + ", which the route leaves out");
+                 "paths under '/" + first + "' are of class " + first + ", which the route excludes");
       return;
     }
     route->classes = {path_class};
@@ -356,7 +356,7 @@
       known &= get || post;
       if (!get && !post)
         AddError(name.at, "method",
-                 "'" + name.value + "' is no method of this protocol; accepted are GET and POST");
+                 "'" + name.value + "' is not a method of this protocol; accepted are GET and POST");
       for (std::size_t i = 0; i < allowed.size(); ++i) {
         const bool safe = site_.settings.classes[i].effect == kestrelline::Effect::kSafe;
         if (safe ? get : post) allowed[i] = true;
@@ -367,9 +367,8 @@
     if (route->classes.empty())
       AddError(
           names.at, "never",
-          "no request of the route's classes comes so: GET is for classes that are safe to repeat, POST for "
-          "the "
-          "others");
+          "no request of the route's classes has these methods: GET is for classes that are safe to repeat, "
+          "POST for the others");
   }
 
   static bool IsHeaderValue(const std::string& value) {
@@ -385,7 +384,7 @@
     auto found = std::find(names.begin(), names.end(), name);
     if (found == names.end() && names.size() == kMaxHeaderNames) {
       AddError(at, "bound",
-               "more than " + std::to_string(kMaxHeaderNames) + " different names of headers in the file");
+               "more than " + std::to_string(kMaxHeaderNames) + " different header names in the file");
       return true;
     }
     if (found == names.end()) found = names.insert(names.end(), name);
@@ -407,43 +406,42 @@
                            return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '_';
                          });
       if (!token) {
-        AddError(name.at, "header", "'" + name.value + "' is no name of a header");
+        AddError(name.at, "header", "'" + name.value + "' is not a header name");
         continue;
       }
       if (!IsHeaderValue(value.value)) {
-        AddError(
-            value.at, "header",
-            "no header has such a value; accepted are up to 256 bytes, no control characters, no blanks at "
-            "the ends");
+        AddError(value.at, "header",
+                 "invalid header value; accepted are up to 256 bytes, no control characters, no blanks at "
+                 "the ends");
         continue;
       }
       if (!AddCondition(name.at, lower, value.value, route))
         AddError(name.at, "duplicate",
-                 "header '" + name.value + "' is named twice: names differ by more than case");
+                 "header '" + name.value + "' is named twice: header names are case-insensitive");
     }
     if (match.tag) {
-      if (!IsHeaderValue(match.tag->value)) AddError(match.tag->at, "header", "no route tag is like this");
+      if (!IsHeaderValue(match.tag->value)) AddError(match.tag->at, "header", "invalid route tag");
       AddCondition(match.tag->at, std::string(kTagHeader), match.tag->value, route);
     }
     std::sort(route->headers.begin(), route->headers.end(),
               [](const auto& a, const auto& b) { return a.name < b.name; });
   }
 
-  void ResolveLimits(const LimitsResolver& book) {
+  void ResolveLimits(const LimitsResolver& resolver) {
     const std::size_t classes = site_.classes.size();
     for (std::size_t class_index = 0; class_index < classes; ++class_index) {
-      const EffectiveLimits limits = book.Resolve(nullptr, class_index);
-      book.Check(limits, class_index, diagnostics_);
-      table_->by_class_.push_back(Shared(book, limits, IdOf("class", site_.classes[class_index])));
+      const EffectiveLimits limits = resolver.Resolve(nullptr, class_index);
+      resolver.Check(limits, class_index, diagnostics_);
+      table_->by_class_.push_back(Shared(resolver, limits, IdOf("class", site_.classes[class_index])));
     }
     for (std::size_t i = 0; i < table_->routes_.size(); ++i) {
       Route& route = table_->routes_[i];
       std::shared_ptr<const kestrelline::RouteLimits> previous;
       for (const int request_class : route.classes) {
         const auto class_index = static_cast<std::size_t>(request_class);
-        const EffectiveLimits limits = book.Resolve(&spec_.routes[i], class_index);
-        book.Check(limits, class_index, diagnostics_);
-        auto compiled = Shared(book, limits, IdOf("route", route.name));
+        const EffectiveLimits limits = resolver.Resolve(&spec_.routes[i], class_index);
+        resolver.Check(limits, class_index, diagnostics_);
+        auto compiled = Shared(resolver, limits, IdOf("route", route.name));
         if (compiled && previous && *compiled == *previous)
           compiled = previous;  // classes share equal limits
         previous = compiled;
@@ -453,11 +451,11 @@
   }
 
   // Null if only the limits of the platform apply.
-  static std::shared_ptr<const kestrelline::RouteLimits> Shared(const LimitsResolver& book,
+  static std::shared_ptr<const kestrelline::RouteLimits> Shared(const LimitsResolver& resolver,
                                                                 const EffectiveLimits& limits,
                                                                 std::uint64_t id) {
     if (limits.empty()) return nullptr;
-    return std::make_shared<const kestrelline::RouteLimits>(book.Compile(limits, id));
+    return std::make_shared<const kestrelline::RouteLimits>(resolver.Compile(limits, id));
   }
 
   // Builds the index and reports routes that are never reached. A route is hidden if, in every zone in which
