--- a/tests/distribution/list_history_test.cpp
+++ b/tests/distribution/list_history_test.cpp
@@ -19,15 +19,15 @@
 using wire::InstanceList;
 using wire::InstanceListPtr;
 
-Instance InstanceOf(int number, std::mt19937_64& draw) {
+Instance InstanceOf(int number, std::mt19937_64& random) {
   Instance instance;
   instance.id = "instance-" + std::to_string(number);
   instance.service = number % 3 == 0 ? "reader" : "writer";
   instance.address = "10.1." + std::to_string(number / 200) + "." + std::to_string(number % 200) + ":8000";
   instance.zone = "zone-" + std::to_string(number % 5);
-  instance.slots = 1 + static_cast<std::uint32_t>(draw() % 64);
-  instance.draining = draw() % 10 == 0;
-  instance.models = {"m-" + std::to_string(draw() % 4)};
+  instance.slots = 1 + static_cast<std::uint32_t>(random() % 64);
+  instance.draining = random() % 10 == 0;
+  instance.models = {"m-" + std::to_string(random() % 4)};
   return instance;
 }
 
@@ -44,25 +44,26 @@
 }
 
 // Removes, changes and adds some instances at random.
-std::vector<Instance> Next(std::vector<Instance> instances, int& last, double share, std::mt19937_64& draw) {
-  std::bernoulli_distribution touched(share);
-  std::erase_if(instances, [&](const Instance&) { return touched(draw) && draw() % 3 == 0; });
+std::vector<Instance> Next(std::vector<Instance> instances, int& last_number, double share,
+                           std::mt19937_64& random) {
+  std::bernoulli_distribution selected(share);
+  std::erase_if(instances, [&](const Instance&) { return selected(random) && random() % 3 == 0; });
   for (Instance& instance : instances) {
-    if (touched(draw)) instance.draining = !instance.draining;
+    if (selected(random)) instance.draining = !instance.draining;
   }
-  while (draw() % 4 != 0) instances.push_back(InstanceOf(++last, draw));
+  while (random() % 4 != 0) instances.push_back(InstanceOf(++last_number, random));
   return instances;
 }
 
-TEST(ListHistory, ChangesTurnAnyListOfLateIntoTheNewest) {
-  std::mt19937_64 draw(5);
+TEST(ListHistory, ChangesTurnAnyRecentListIntoTheNewest) {
+  std::mt19937_64 random(5);
   ListHistory history;
   std::vector<InstanceListPtr> all;
   std::vector<Instance> instances;
-  int last = 0;
-  while (last < 100) instances.push_back(InstanceOf(++last, draw));
+  int last_number = 0;
+  while (last_number < 100) instances.push_back(InstanceOf(++last_number, random));
   for (std::uint64_t revision = 10; revision < 60; ++revision) {
-    instances = Next(std::move(instances), last, 0.02, draw);
+    instances = Next(std::move(instances), last_number, 0.02, random);
     all.push_back(ListOf(revision, instances));
     history.Add(all.back());
     for (const InstanceListPtr& base : all) {
@@ -88,10 +89,10 @@
 
 // If a tenth of 3,000 backends change at once, the changes take about a tenth of the bytes. A new subscriber,
 // and one of an earlier version that takes no changes, get the whole list.
-TEST(ListHistory, SubscribersAreToldOnlyWhatTheyLack) {
-  std::mt19937_64 draw(6);
+TEST(ListHistory, SubscribersAreSentOnlyWhatTheyLack) {
+  std::mt19937_64 random(6);
   std::vector<Instance> instances;
-  for (int i = 0; i < 3000; ++i) instances.push_back(InstanceOf(i, draw));
+  for (int i = 0; i < 3000; ++i) instances.push_back(InstanceOf(i, random));
   ListHistory history;
   history.Add(ListOf(1, instances));
   for (std::size_t i = 0; i < instances.size(); i += 10) instances[i].draining = !instances[i].draining;
@@ -99,8 +100,8 @@
   now.instances = ListOf(2, instances);
   history.Add(now.instances);
   now.lists = &history;
-  const auto size = [](const wire::Publication& told) {
-    return wire::EncodeFrame({"10.0.0.1", told}).size();
+  const auto size = [](const wire::Publication& publication) {
+    return wire::EncodeFrame({"10.0.0.1", publication}).size();
   };
   const wire::Publication changes = Compose({0, 1, 0, true}, now);
   EXPECT_EQ(changes.instances, nullptr);
@@ -110,28 +111,28 @@
   const wire::Publication whole = Compose({0, 0, 0, true}, now);
   EXPECT_EQ(whole.instances, now.instances);
   EXPECT_FALSE(whole.list_changes);
-  const wire::Publication of_before = Compose({0, 1, 0, false}, now);
-  EXPECT_EQ(of_before.instances, now.instances);
-  EXPECT_FALSE(of_before.list_changes);
+  const wire::Publication without_changes = Compose({0, 1, 0, false}, now);
+  EXPECT_EQ(without_changes.instances, now.instances);
+  EXPECT_FALSE(without_changes.list_changes);
   EXPECT_LT(size(changes) * 9, size(whole));
   EXPECT_LT(size(Compose({0, 2, 0, true}, now)), 200u);
   // The changes survive encoding and decoding.
   const std::string frame = wire::EncodeFrame({"10.0.0.1", changes});
-  const auto read = wire::DecodeEnvelope(std::string_view(frame).substr(wire::kLengthBytes));
-  ASSERT_TRUE(read);
-  const auto& told = std::get<wire::Publication>(read->body);
-  ASSERT_TRUE(told.list_changes);
-  EXPECT_EQ(told.list_changes->base, 1u);
-  EXPECT_EQ(told.list_changes->revision, 2u);
-  EXPECT_EQ(told.list_changes->changed, changes.list_changes->changed);
-  EXPECT_EQ(told.list_changes->removed, changes.list_changes->removed);
+  const auto decoded = wire::DecodeEnvelope(std::string_view(frame).substr(wire::kLengthBytes));
+  ASSERT_TRUE(decoded);
+  const auto& received = std::get<wire::Publication>(decoded->body);
+  ASSERT_TRUE(received.list_changes);
+  EXPECT_EQ(received.list_changes->base, 1u);
+  EXPECT_EQ(received.list_changes->revision, 2u);
+  EXPECT_EQ(received.list_changes->changed, changes.list_changes->changed);
+  EXPECT_EQ(received.list_changes->removed, changes.list_changes->removed);
 }
 
-TEST(ListHistory, WhereNearlyAllChangedTheListIsToldWhole) {
-  std::mt19937_64 draw(7);
+TEST(ListHistory, NoChangesIfNearlyAllBackendsChanged) {
+  std::mt19937_64 random(7);
   ListHistory history;
-  history.Add(ListOf(1, {InstanceOf(1, draw), InstanceOf(2, draw)}));
-  history.Add(ListOf(2, {InstanceOf(3, draw), InstanceOf(4, draw)}));
+  history.Add(ListOf(1, {InstanceOf(1, random), InstanceOf(2, random)}));
+  history.Add(ListOf(2, {InstanceOf(3, random), InstanceOf(4, random)}));
   EXPECT_FALSE(history.Since(1));
 }
 
--- a/tests/distribution/load_feed_test.cpp
+++ b/tests/distribution/load_feed_test.cpp
@@ -32,7 +32,7 @@
     for (std::size_t i = 0; i < count; ++i) loads_.push_back({1000 + 7 * i, 0, 0});
   }
   // Changes each load with this probability.
-  void Wander(double chance) {
+  void ChangeRandomly(double chance) {
     std::bernoulli_distribution changes(chance), idle(0.2);
     std::uniform_int_distribution<std::uint32_t> reading(0, 3000), running(0, 24);
     for (wire::BackendLoad& load : loads_) {
@@ -58,16 +58,16 @@
   return wire::EncodeFrame({"10.200.100.100", wire::LoadSummary{std::move(loads), false}}).size();
 }
 
-void ExpectAbout(const Loads& held, const Loads& truth) {
-  ASSERT_EQ(held.size(), truth.size());
-  for (std::size_t i = 0; i < held.size(); ++i) {
-    EXPECT_EQ(held[i].backend, truth[i].backend);
-    EXPECT_NEAR(held[i].reading_ms, truth[i].reading_ms, 3);
-    EXPECT_EQ(held[i].running, truth[i].running);
+void ExpectClose(const Loads& received, const Loads& actual) {
+  ASSERT_EQ(received.size(), actual.size());
+  for (std::size_t i = 0; i < received.size(); ++i) {
+    EXPECT_EQ(received[i].backend, actual[i].backend);
+    EXPECT_NEAR(received[i].reading_ms, actual[i].reading_ms, 3);
+    EXPECT_EQ(received[i].running, actual[i].running);
   }
 }
 
-TEST(LoadFeed, BytesStayWithinTheBudgetWhateverTheNumberOfBackends) {
+TEST(LoadFeed, BytesStayWithinTheBudgetForAnyNumberOfBackends) {
   for (const std::size_t count : {20u, 300u, 3000u}) {
     SCOPED_TRACE(count);
     LoadFeed feed({6000, 3000, milliseconds(0)});
@@ -75,9 +75,9 @@
     std::size_t bytes = 0;
     constexpr int kSeconds = 20;
     for (milliseconds now{0}; now < std::chrono::seconds(kSeconds); now += kTick) {
-      backends.Wander(0.5);
-      Loads told = feed.Next(now, backends.busy());
-      if (!told.empty()) bytes += BytesOf(std::move(told));
+      backends.ChangeRandomly(0.5);
+      Loads sent = feed.Next(now, backends.busy());
+      if (!sent.empty()) bytes += BytesOf(std::move(sent));
     }
     EXPECT_LE(bytes, 6000u * kSeconds + 3000u);
     if (count >= 300) {
@@ -86,7 +86,7 @@
   }
 }
 
-TEST(LoadFeed, ReceiversHoldTheTruthSoonAfterItRests) {
+TEST(LoadFeed, ReceiversConvergeOnceLoadsStopChanging) {
   for (const std::size_t count : {20u, 300u}) {
     SCOPED_TRACE(count);
     LoadFeed feed({6000, 3000, milliseconds(0)});
@@ -94,17 +94,17 @@
     Backends backends(count);
     milliseconds now{0};
     for (; now < std::chrono::seconds(5); now += kTick) {
-      backends.Wander(0.3);
+      backends.ChangeRandomly(0.3);
       receiver.Apply({feed.Next(now, backends.busy()), false});
     }
     for (const milliseconds end = now + std::chrono::seconds(2); now < end; now += kTick)
       receiver.Apply({feed.Next(now, backends.busy()), false});
-    ExpectAbout(receiver.FullSummary().loads, backends.busy());
+    ExpectClose(receiver.FullSummary().loads, backends.busy());
   }
 }
 
 // Many loads change at once: the largest changes are sent first, those of nearby backends before the others.
-TEST(LoadFeed, TheLargestChangesGoFirstAndTheOwnZonesBeforeOthers) {
+TEST(LoadFeed, LargestChangesAndNearbyBackendsAreSentFirst) {
   LoadFeed feed({6000, 3000, milliseconds(0)});
   Loads loads;
   BackendSet nearby;
@@ -117,13 +117,13 @@
   ASSERT_LT(first.size(), 200u);
   for (std::size_t i = 0; i < 30; ++i) EXPECT_TRUE(nearby.contains(first[i].backend)) << i;
   for (const wire::BackendLoad& load : first) EXPECT_EQ(load.reading_ms, 1000u);
-  std::set<std::uint64_t> told;
+  std::set<std::uint64_t> sent;
   for (milliseconds now{0}; now < std::chrono::seconds(2); now += kTick)
-    for (const wire::BackendLoad& load : feed.Next(now, loads, nearby)) told.insert(load.backend);
-  EXPECT_EQ(told.size(), loads.size() - first.size());
+    for (const wire::BackendLoad& load : feed.Next(now, loads, nearby)) sent.insert(load.backend);
+  EXPECT_EQ(sent.size(), loads.size() - first.size());
 }
 
-TEST(LoadFeed, SmallChangesAreNotToldButTheLastOneIs) {
+TEST(LoadFeed, SmallChangesAreNotSentUnlessABackendBecomesIdle) {
   LoadFeed feed({6000, 3000, milliseconds(0)});
   EXPECT_EQ(feed.Next(milliseconds(0), {{1, 800, 20}}).size(), 1u);
   EXPECT_TRUE(feed.Next(milliseconds(50), {{1, 803, 20}}).empty());
@@ -134,16 +134,16 @@
   EXPECT_EQ(feed.Next(milliseconds(200), {{1, 3, 0}}).size(), 1u);  // no longer idle
 }
 
-TEST(LoadFeed, ANewcomerIsToldWhatTheOthersHold) {
+TEST(LoadFeed, ANewReceiverGetsTheStateOfTheOthers) {
   LoadFeed feed({6000, 3000, milliseconds(0)});
   LoadMirror first, second;
   Backends backends(300);
   for (milliseconds now{0}; now < std::chrono::seconds(8); now += kTick) {
-    backends.Wander(0.1);
+    backends.ChangeRandomly(0.1);
     const wire::LoadSummary summary{feed.Next(now, backends.busy()), false};
     first.Apply(summary);
     if (now == std::chrono::seconds(4)) {
-      second.Apply({{{5, 5, 5}}, false});  // what it held of an earlier subscription
+      second.Apply({{{5, 5, 5}}, false});  // left over from an earlier subscription
       second.Apply(feed.FullSummary());
     } else if (now > std::chrono::seconds(4)) {
       second.Apply(summary);
@@ -153,28 +153,28 @@
 }
 
 // Messages between members may be lost, duplicated or delayed; repeats must correct the sums.
-TEST(LoadBoard, ChangesThatAreLostOrDoubledComeRightByRepeats) {
+TEST(LoadBoard, RepeatsCorrectLostOrDuplicatedChanges) {
   LoadFeed feed({12000, 6000, milliseconds(2000)});
   LoadBoard board;
   Backends backends(200);
   milliseconds now{0};
   int count = 0;
-  wire::LoadChanges late;
-  const auto tell = [&] {
+  wire::LoadChanges delayed;
+  const auto send_changes = [&] {
     const wire::LoadChanges changes{feed.Next(now, backends.busy()), {}, 7};
     if (++count % 3 == 0) return;  // lost
     board.ChangesFromMember(now, "m", changes);
     if (count % 5 == 0) board.ChangesFromMember(now, "m", changes);
-    if (count % 7 == 0) board.ChangesFromMember(now, "m", late);
-    late = changes;
+    if (count % 7 == 0) board.ChangesFromMember(now, "m", delayed);
+    delayed = changes;
   };
-  for (; now < std::chrono::seconds(5); now += kTick) backends.Wander(0.2), tell();
-  for (const milliseconds end = now + std::chrono::seconds(15); now < end; now += kTick) tell();
+  for (; now < std::chrono::seconds(5); now += kTick) backends.ChangeRandomly(0.2), send_changes();
+  for (const milliseconds end = now + std::chrono::seconds(15); now < end; now += kTick) send_changes();
   EXPECT_EQ(board.TotalReport().loads, backends.busy());
   EXPECT_EQ(board.TotalReport().proxies, 7u);
 }
 
-TEST(LoadBoard, AMemberThatBeginsAnewOrFallsSilentIsForgotten) {
+TEST(LoadBoard, DropsLoadsOfMembersThatRestartOrFallSilent) {
   LoadBoard board;
   board.ChangesFromMember(milliseconds(0), "m", {{{1, 5, 1}, {2, 6, 1}}, {{"s", 3, 4}}, 2});
   board.ChangesFromMember(milliseconds(100), "m", {{{1, 0, 0}}, {}, 3});
@@ -191,7 +191,7 @@
 }
 
 // The message that ended a load was lost, and the member goes on without repeating that load.
-TEST(LoadBoard, ALoadThatIsNotToldAgainEnds) {
+TEST(LoadBoard, ALoadThatIsNotRepeatedTimesOut) {
   LoadBoard board;
   board.ChangesFromMember(milliseconds(0), "m", {{{1, 5, 1}}, {}, 1});
   for (milliseconds now{500}; now <= std::chrono::seconds(11); now += milliseconds(500))
@@ -211,29 +211,29 @@
 }
 
 // Limits on what one member sends, with 3,000 backends and proxies in all fifteen zones.
-TEST(LoadSharing, BytesOfAMemberAndAProxyAreBoundedAtFullSize) {
+TEST(LoadSharing, BytesSentAreBoundedAtFullSize) {
   constexpr int kBackends = 3000, kZones = 15, kProxies = 25, kSeconds = 10;
   control_plane::LoadSharing sharing;
   const wire::InstanceList list = ListOf(kBackends, kZones);
   sharing.SetInstances(list);
   std::set<std::string> zones;
   for (int z = 0; z < kZones; ++z) zones.insert("z" + std::to_string(z));
-  std::mt19937_64 draw(1);
+  std::mt19937_64 random(1);
   std::map<std::string, std::size_t> bytes;
   for (milliseconds now{0}; now < std::chrono::seconds(kSeconds); now += kTick) {
     for (int p = 0; p < kProxies; ++p) {
       wire::LoadReport report{{}, {{"llm", 1000, 9000}}, 1};
       std::map<std::uint64_t, wire::BackendLoad> loads;
       for (int i = 0; i < 40; ++i) {
-        const std::uint64_t key = hashing::Fnv1a(list.instances[draw() % kBackends].id);
-        loads[key] = {key, static_cast<std::uint32_t>(draw() % 900), 1};
+        const std::uint64_t key = hashing::Fnv1a(list.instances[random() % kBackends].id);
+        loads[key] = {key, static_cast<std::uint32_t>(random() % 900), 1};
       }
       for (const auto& [key, load] : loads) report.loads.push_back(load);
       sharing.board().ReportFromProxy(now, "p" + std::to_string(p), report);
     }
-    const auto told = sharing.Tick(now, zones);
-    if (told.to_members) bytes["members"] += wire::EncodeFrame({"10.0.0.1", *told.to_members}).size();
-    for (const auto& [zone, summary] : told.to_zones)
+    const auto sent = sharing.Tick(now, zones);
+    if (sent.to_members) bytes["members"] += wire::EncodeFrame({"10.0.0.1", *sent.to_members}).size();
+    for (const auto& [zone, summary] : sent.to_zones)
       bytes[zone] += wire::EncodeFrame({"10.0.0.1", summary}).size();
   }
   for (const auto& [to, sum] : bytes) {
@@ -243,15 +243,15 @@
   EXPECT_EQ(bytes.size(), zones.size() + 1);
 }
 
-TEST(LoadSharing, ProxiesAndMembersAreToldOftenEnoughThoughNothingChanges) {
+TEST(LoadSharing, SendsHeartbeatsEvenIfNothingChanges) {
   control_plane::LoadSharing sharing;
   int to_zone = 0, to_members = 0;
   for (milliseconds now{1000}; now < milliseconds(11000); now += kTick) {
-    const auto told = sharing.Tick(now, {"a"});
-    to_zone += static_cast<int>(told.to_zones.count("a"));
-    to_members += told.to_members.has_value();
+    const auto sent = sharing.Tick(now, {"a"});
+    to_zone += static_cast<int>(sent.to_zones.count("a"));
+    to_members += sent.to_members.has_value();
   }
-  EXPECT_GE(to_zone, 20);  // every 900 ms at the latest a proxy must hear
+  EXPECT_GE(to_zone, 20);  // a proxy must receive one at least every 900 ms
   EXPECT_LE(to_zone, 30);
   EXPECT_GE(to_members, 20);
 }
--- a/tests/shared_limits/shared_limits_test.cpp
+++ b/tests/shared_limits/shared_limits_test.cpp
@@ -14,12 +14,12 @@
 namespace kestrelline::shared_limits {
 namespace {
 
-TEST(Share, AloneAProcessHasAll) {
+TEST(ComputeLimits, ASingleProcessHasTheTotal) {
   EXPECT_EQ(ComputeLimits(384, {100, false}, {}).descriptors, 384);
   EXPECT_EQ(ComputeLimits(384, {100, false}, {}).memory, 1);
 }
 
-TEST(Share, WhoHoldsMoreThanItsHalfOnlyShrinksAndTheOtherHasTheRest) {
+TEST(ComputeLimits, AProcessAboveItsShareOnlyShrinksAndTheOtherGetsTheRest) {
   EXPECT_EQ(ComputeLimits(384, {300, false}, {{10, false}}).descriptors, 192);
   EXPECT_EQ(ComputeLimits(384, {10, false}, {{300, false}}).descriptors, 84);
   EXPECT_EQ(ComputeLimits(384, {10, false}, {{1000, false}}).descriptors, 0);
@@ -31,28 +31,28 @@
 // Each process moves towards a random target as far as its limit allows, with a view of the other that is
 // some steps old. A process that starts above its half may only shrink. Guards against both exceeding the
 // total.
-TEST(Share, TogetherTheyNeverGrowPastTheTotal) {
+TEST(ComputeLimits, ProcessesTogetherNeverExceedTheTotal) {
   for (unsigned seed = 0; seed < 500; ++seed) {
     std::mt19937 random(seed);
     const int total = 128 + static_cast<int>(random() % 1000);
     const int first = static_cast<int>(random() % static_cast<unsigned>(total));
-    std::vector<ProcessUsage> now{{first, false}, {0, false}}, seen[2] = {{now[1]}, {now[0]}};
+    std::vector<ProcessUsage> usage{{first, false}, {0, false}}, view[2] = {{usage[1]}, {usage[0]}};
     for (int step = 0; step < 300; ++step) {
-      const auto i = random() % 2;
-      if (random() % 3 == 0) seen[i] = {now[1 - i]};
-      if (step == 200) now[0].leaving = true;
-      const int allowed = ComputeLimits(total, now[i], seen[i]).descriptors;
-      const int wish = static_cast<int>(random() % static_cast<unsigned>(total));
-      int& mine = now[i].descriptors;
-      if (mine < std::min(wish, allowed))
-        mine += 1 + static_cast<int>(random() % 8) % (std::min(wish, allowed) - mine);
-      if (mine > std::min(wish, allowed)) --mine;
-      ASSERT_LE(now[0].descriptors + now[1].descriptors, total) << "seed " << seed << " step " << step;
+      const auto process = random() % 2;
+      if (random() % 3 == 0) view[process] = {usage[1 - process]};
+      if (step == 200) usage[0].leaving = true;
+      const int allowed = ComputeLimits(total, usage[process], view[process]).descriptors;
+      const int target = static_cast<int>(random() % static_cast<unsigned>(total));
+      int& own = usage[process].descriptors;
+      if (own < std::min(target, allowed))
+        own += 1 + static_cast<int>(random() % 8) % (std::min(target, allowed) - own);
+      if (own > std::min(target, allowed)) --own;
+      ASSERT_LE(usage[0].descriptors + usage[1].descriptors, total) << "seed " << seed << " step " << step;
     }
   }
 }
 
-TEST(ProcessRegistry, ProcessesOfOneFolderSeeEachOtherAndWhatTheySay) {
+TEST(ProcessRegistry, ProcessesOfOneProxySeeEachOthersUsage) {
   const testing::TemporaryFolder folder;
   ProcessRegistry first(folder.path(), "n1"), second(folder.path(), "n1");
   ASSERT_TRUE(first.joined() && second.joined());
@@ -64,7 +64,7 @@
   EXPECT_TRUE(ProcessRegistry(folder.path(), "n2").OtherProcesses().empty());  // another proxy
 }
 
-TEST(ProcessRegistry, WhoEndsLeavesNothingFalseAndItsPlaceIsTakenAgain) {
+TEST(ProcessRegistry, SlotsOfEndedProcessesAreReusedWithoutStaleUsage) {
   const testing::TemporaryFolder folder;
   ProcessRegistry first(folder.path(), "n1");
   for (int upgrade = 0; upgrade < 10; ++upgrade) {
@@ -78,21 +78,21 @@
   EXPECT_EQ(first.OtherProcesses()[0].descriptors, 0);  // not the usage of the previous owner of the slot
 }
 
-TEST(ProcessRegistry, AFourthProcessAndAFolderThatIsNoneServeAlone) {
+TEST(ProcessRegistry, FailsToJoinIfAllSlotsAreInUseOrTheFolderIsMissing) {
   const testing::TemporaryFolder folder;
-  ProcessRegistry a(folder.path(), "n1"), b(folder.path(), "n1"), c(folder.path(), "n1"),
-      d(folder.path(), "n1");
-  EXPECT_TRUE(c.joined());
-  EXPECT_FALSE(d.joined());
-  EXPECT_FALSE(d.failure_reason().empty());
-  EXPECT_TRUE(d.OtherProcesses().empty());
-  ProcessRegistry nowhere(folder / "missing", "n1");
-  EXPECT_FALSE(nowhere.joined());
-  EXPECT_NE(nowhere.failure_reason().find("missing"), std::string::npos);
-  nowhere.Publish({1, false});
+  ProcessRegistry first(folder.path(), "n1"), second(folder.path(), "n1"), third(folder.path(), "n1"),
+      fourth(folder.path(), "n1");
+  EXPECT_TRUE(third.joined());
+  EXPECT_FALSE(fourth.joined());
+  EXPECT_FALSE(fourth.failure_reason().empty());
+  EXPECT_TRUE(fourth.OtherProcesses().empty());
+  ProcessRegistry missing(folder / "missing", "n1");
+  EXPECT_FALSE(missing.joined());
+  EXPECT_NE(missing.failure_reason().find("missing"), std::string::npos);
+  missing.Publish({1, false});
 }
 
-TEST(ProcessRegistry, GarbageInTheFolderSaysNothing) {
+TEST(ProcessRegistry, IgnoresGarbageInTheFolder) {
   const testing::TemporaryFolder folder;
   folder.Write("kestrelline-n1.0.lock", std::string(100000, 'x'));
   folder.Write("kestrelline-n1.1.lock", "");
