--- a/src/configuration/parse.cpp
+++ b/src/configuration/parse.cpp
@@ -33,13 +33,14 @@
     const json_t* value = json_object_get(value_, key);
     if (!json_is_number(value)) throw ValidationError(where_ + ": " + key + " is not a number");
     const double number = json_number_value(value);
-    const auto whole = json_is_integer(value) ? json_integer_value(value) : static_cast<std::int64_t>(number);
-    if (!json_is_integer(value) && static_cast<double>(whole) != number) {
+    const auto integer =
+        json_is_integer(value) ? json_integer_value(value) : static_cast<std::int64_t>(number);
+    if (!json_is_integer(value) && static_cast<double>(integer) != number) {
       throw ValidationError(where_ + ": " + key + " is not an integer");
     }
-    if (whole < minimum)
+    if (integer < minimum)
       throw ValidationError(where_ + ": " + key + " is less than " + std::to_string(minimum));
-    return whole;
+    return integer;
   }
   std::int64_t IntegerOr(const char* key, std::int64_t minimum, std::int64_t fallback) const {
     return Has(key) ? Integer(key, minimum) : fallback;
--- a/src/distribution/load_feed.cpp
+++ b/src/distribution/load_feed.cpp
@@ -7,15 +7,15 @@
 namespace kestrelline::distribution {
 namespace {
 
-// Approximate cost of one more running request to those beside it: one token of each.
+// Approximate cost of one more running request to those beside it, in milliseconds: one token of each.
 constexpr double kRunningMs = 40;
 // Factor on the weight of backends near the receivers.
 constexpr double kNearWeight = 4;
 // Changes of reading time up to this are not sent.
 constexpr double kMinReadingMs = 3;
 
-double Difference(std::uint32_t one, std::uint32_t other) {
-  return std::abs(static_cast<double>(one) - static_cast<double>(other));
+double Difference(std::uint32_t a, std::uint32_t b) {
+  return std::abs(static_cast<double>(a) - static_cast<double>(b));
 }
 
 // The urgency of an update; 0 if it is too small to be sent.
@@ -86,7 +86,7 @@
   Refill(now);
   std::vector<Change> changes = Changes(loads, nearby);
   const std::size_t count = std::min(changes.size(), MessageCapacity());
-  const auto heavier = [](const Change& one, const Change& other) { return one.weight > other.weight; };
+  const auto heavier = [](const Change& a, const Change& b) { return a.weight > b.weight; };
   std::partial_sort(changes.begin(), changes.begin() + static_cast<std::ptrdiff_t>(count), changes.end(),
                     heavier);
   std::vector<wire::BackendLoad> chosen;
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -77,8 +77,8 @@
   int tenant() const override { return tenant_; }
   std::string_view target() const override { return route_.prefix; }
   std::string_view Header(std::string_view name) const override {
-    for (const Route::Header& h : route_.headers) {
-      if (names_[h.name] == name) return h.value;
+    for (const Route::Header& header : route_.headers) {
+      if (names_[header.name] == name) return header.value;
     }
     return {};
   }
@@ -94,8 +94,8 @@
   if (!route.any_tenant && !Contains(route.tenants, probe.tenant)) return false;
   if (route.depth > probe.segments || probe.path.substr(0, probe.ends[route.depth]) != route.prefix)
     return false;
-  return std::all_of(route.headers.begin(), route.headers.end(), [&](const Route::Header& h) {
-    return (probe.present >> h.name & 1) && probe.values[h.name] == h.value;
+  return std::all_of(route.headers.begin(), route.headers.end(), [&](const Route::Header& header) {
+    return (probe.present >> header.name & 1) && probe.values[header.name] == header.value;
   });
 }
 
@@ -156,7 +156,7 @@
   for (const std::uint32_t route_index : routes) {
     const Route& route = routes_[route_index];
     std::uint32_t headers = 0;
-    for (const Route::Header& h : route.headers) headers |= 1u << h.name;
+    for (const Route::Header& header : route.headers) headers |= 1u << header.name;
     auto shape = std::find_if(index.shapes.begin(), index.shapes.end(), [&](const Shape& s) {
       return s.by_class != route.any_class && s.by_tenant != route.any_tenant && s.depth == route.depth &&
              s.headers == headers;
@@ -363,7 +363,8 @@
       }
     }
     if (!known || names.value.empty() || route->classes.empty()) return;
-    std::erase_if(route->classes, [&](int c) { return !allowed[static_cast<std::size_t>(c)]; });
+    std::erase_if(route->classes,
+                  [&](int request_class) { return !allowed[static_cast<std::size_t>(request_class)]; });
     if (route->classes.empty())
       AddError(
           names.at, "never",
