--- a/src/replica/settings.cpp
+++ b/src/replica/settings.cpp
@@ -76,7 +76,7 @@
     if (!claim)
       d->Add(spec.claim->at, "claim",
              "claim is '" + spec.claim->value + "'; accepted are none, tell, and wait 1 to wait " +
-                 std::to_string(routing::kMostAcknowledgements));
+                 std::to_string(routing::kMaxAcknowledgements));
     s.claim = claim.value_or(-1);
   }
   if (spec.within) {
