--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -147,7 +147,7 @@
   kestrelline::shared_limits::ProcessUsage own;
   own.descriptors = static_cast<int>(clients_->connections() + backends_->connections()) + kOtherDescriptors +
                     (door_ ? static_cast<int>(door_->callers()) : 0);
-  own.leaving = life_.Stopping();
+  own.stopping = life_.Stopping();
   companions_->Publish(own);
   const auto allowance =
       kestrelline::shared_limits::ComputeLimits(config_.sockets, own, companions_->OtherProcesses());
@@ -169,7 +169,7 @@
     // Another process of this proxy goes on under its name: then nobody has left.
     bool taken_over = false;
     if (companions_)
-      for (const auto& other : companions_->OtherProcesses()) taken_over |= !other.leaving;
+      for (const auto& other : companions_->OtherProcesses()) taken_over |= !other.stopping;
     if (taken_over) {
       peers_.hand_over();
       done = [this, done = std::move(done)] { peers_.when_held_elsewhere(done); };
--- a/src/shared_limits/process_limits.cpp
+++ b/src/shared_limits/process_limits.cpp
@@ -10,12 +10,12 @@
   const int processes = static_cast<int>(others.size()) + 1;
   const ProcessLimits even{total / processes, 1.0 / processes};
   // A leaving process may still open descriptors for the requests that it holds, up to what it has in use.
-  if (own.leaving) return {std::min(even.descriptors, own.descriptors), even.memory};
+  if (own.stopping) return {std::min(even.descriptors, own.descriptors), even.memory};
   int remaining = total;
   bool all_others_leave = true;
   for (const ProcessUsage& other : others) {
     remaining -= other.descriptors;
-    all_others_leave &= other.leaving;
+    all_others_leave &= other.stopping;
   }
   remaining = std::max(remaining, 0);
   return {all_others_leave ? remaining : std::min(even.descriptors, remaining), even.memory};
--- a/src/shared_limits/process_limits.h
+++ b/src/shared_limits/process_limits.h
@@ -13,8 +13,8 @@
 
 // The usage that a process publishes.
 struct ProcessUsage {
-  int descriptors = 0;   // open descriptors
-  bool leaving = false;  // it is shutting down and accepts no new work
+  int descriptors = 0;    // open descriptors
+  bool stopping = false;  // it is shutting down and accepts no new work
 };
 
 // The limits of a process.
--- a/src/shared_limits/process_registry.cpp
+++ b/src/shared_limits/process_registry.cpp
@@ -16,7 +16,7 @@
 struct Record {
   std::uint32_t magic = 0x6b6c7031;  // "klp1"
   std::int32_t descriptors = 0;
-  std::int32_t leaving = 0;
+  std::int32_t stopping = 0;
 };
 constexpr int kMaxDescriptors = 1 << 20;
 
@@ -65,12 +65,12 @@
 }
 
 void ProcessRegistry::Publish(const ProcessUsage& usage) {
-  if (own_slot_ < 0 || (usage.descriptors == published_.descriptors && usage.leaving == published_.leaving))
+  if (own_slot_ < 0 || (usage.descriptors == published_.descriptors && usage.stopping == published_.stopping))
     return;
   published_ = usage;
   Record record;
   record.descriptors = usage.descriptors;
-  record.leaving = usage.leaving;
+  record.stopping = usage.stopping;
   // If the file system is full, the others go on reading the previous usage; nothing else is affected.
   [[maybe_unused]] const ssize_t written =
       ::pwrite(files_[static_cast<std::size_t>(own_slot_)], &record, sizeof record, 0);
@@ -89,7 +89,7 @@
     ProcessUsage usage;
     if (complete && record.magic == Record().magic) {
       usage.descriptors = std::clamp(record.descriptors, 0, kMaxDescriptors);
-      usage.leaving = record.leaving != 0;
+      usage.stopping = record.stopping != 0;
     }
     others.push_back(usage);
   }
--- a/tests/shared_limits/shared_limits_test.cpp
+++ b/tests/shared_limits/shared_limits_test.cpp
@@ -40,7 +40,7 @@
     for (int step = 0; step < 300; ++step) {
       const auto process = random() % 2;
       if (random() % 3 == 0) view[process] = {usage[1 - process]};
-      if (step == 200) usage[0].leaving = true;
+      if (step == 200) usage[0].stopping = true;
       const int allowed = ComputeLimits(total, usage[process], view[process]).descriptors;
       const int target = static_cast<int>(random() % static_cast<unsigned>(total));
       int& own = usage[process].descriptors;
@@ -59,7 +59,7 @@
   second.Publish({77, true});
   ASSERT_EQ(first.OtherProcesses().size(), 1u);
   EXPECT_EQ(first.OtherProcesses()[0].descriptors, 77);
-  EXPECT_TRUE(first.OtherProcesses()[0].leaving);
+  EXPECT_TRUE(first.OtherProcesses()[0].stopping);
   EXPECT_EQ(second.OtherProcesses()[0].descriptors, 0);
   EXPECT_TRUE(ProcessRegistry(folder.path(), "n2").OtherProcesses().empty());  // another proxy
 }
