--- a/src/shared_limits/process_limits.cpp
+++ b/src/shared_limits/process_limits.cpp
@@ -9,16 +9,16 @@
   if (others.empty()) return {total, 1};
   const int processes = static_cast<int>(others.size()) + 1;
   const ProcessLimits even{total / processes, 1.0 / processes};
-  // A leaving process may still open descriptors for the requests that it holds, up to what it has in use.
+  // A stopping process may still open descriptors for the requests that it holds, up to what it has in use.
   if (own.stopping) return {std::min(even.descriptors, own.descriptors), even.memory};
   int remaining = total;
-  bool all_others_leave = true;
+  bool all_others_stop = true;
   for (const ProcessUsage& other : others) {
     remaining -= other.descriptors;
-    all_others_leave &= other.stopping;
+    all_others_stop &= other.stopping;
   }
   remaining = std::max(remaining, 0);
-  return {all_others_leave ? remaining : std::min(even.descriptors, remaining), even.memory};
+  return {all_others_stop ? remaining : std::min(even.descriptors, remaining), even.memory};
 }
 
 }  // namespace kestrelline::shared_limits
--- a/src/shared_limits/process_limits.h
+++ b/src/shared_limits/process_limits.h
@@ -14,7 +14,7 @@
 // The usage that a process publishes.
 struct ProcessUsage {
   int descriptors = 0;    // open descriptors
-  bool stopping = false;  // it is shutting down and accepts no new work
+  bool stopping = false;  // it is stopping and accepts no new requests
 };
 
 // The limits of a process.
--- a/tests/routing/rules_property_test.cpp
+++ b/tests/routing/rules_property_test.cpp
@@ -49,14 +49,16 @@
                      "%\"\nwindow = " + RandomMs(100, 3000) +
                      "at_least = " + std::to_string(*rc::gen::inRange(0, 3)) + "\n";
   if (*rc::gen::inRange(0, 3) == 0) text += "[defaults]\n" + RandomLimits(false);
-  for (const char* cls : {"preview", "convert", "certify"}) {
+  for (const char* class_name : {"preview", "convert", "certify"}) {
     if (*rc::gen::inRange(0, 2))
-      text += "[class." + std::string(cls) + "]\n" + RandomLimits(copies && std::string(cls) == "preview");
+      text += "[class." + std::string(class_name) + "]\n" +
+              RandomLimits(copies && std::string(class_name) == "preview");
   }
-  for (const char* cls : {"certify", "preview", "convert"}) {
+  for (const char* class_name : {"certify", "preview", "convert"}) {
     if (*rc::gen::inRange(0, 2))
-      text += "[[route]]\nname = \"" + std::string(cls) + "-acme\"\nmatch = { class = \"" + cls +
-              "\", tenant = \"acme\" }\n" + RandomLimits(copies && std::string(cls) == "preview");
+      text += "[[route]]\nname = \"" + std::string(class_name) + "-acme\"\nmatch = { class = \"" +
+              class_name + "\", tenant = \"acme\" }\n" +
+              RandomLimits(copies && std::string(class_name) == "preview");
   }
   return text;
 }
--- a/tests/routing/table_test.cpp
+++ b/tests/routing/table_test.cpp
@@ -141,13 +141,15 @@
 
 // Reference implementation: scans the routes in order, for a proxy in zone 0.
 std::string LinearScan(const routing::Spec& spec, const TestRequest& request) {
-  const std::string cls = kClasses[static_cast<std::size_t>(request.cls)];
-  const std::string tenant = request.owner < 0 ? "" : kTenants[static_cast<std::size_t>(request.owner)];
+  const std::string class_name = kClasses[static_cast<std::size_t>(request.class_index)];
+  const std::string tenant =
+      request.tenant_index < 0 ? "" : kTenants[static_cast<std::size_t>(request.tenant_index)];
   const std::string path = request.path.substr(0, request.path.find('?'));
   for (const auto& route : spec.routes) {
     const auto& match = route.match;
-    if (!Has(match.classes, cls) || !Has(match.tenants, tenant) || !Has(match.zones, "north")) continue;
-    if (!Has(match.methods, cls == "preview" ? "GET" : "POST")) continue;
+    if (!Has(match.classes, class_name) || !Has(match.tenants, tenant) || !Has(match.zones, "north"))
+      continue;
+    if (!Has(match.methods, class_name == "preview" ? "GET" : "POST")) continue;
     if (match.path_prefix) {
       const std::string& prefix = match.path_prefix->value;
       if (path != prefix && !path.starts_with(prefix + "/")) continue;
@@ -169,8 +171,8 @@
   return list.empty() ? "\"" + names[0] + "\"" : list;
 }
 
-std::string RandomPath(const std::string& cls) {
-  std::string path = "/" + cls;
+std::string RandomPath(const std::string& class_name) {
+  std::string path = "/" + class_name;
   for (int depth = *rc::gen::inRange(0, 3); depth > 0; --depth)
     path += "/" + std::string(1, *rc::gen::element('a', 'b'));
   return path;
@@ -212,9 +214,9 @@
   RC_ASSERT(built.routes != nullptr);
   for (int i = 0; i < 100; ++i) {
     TestRequest request;
-    request.cls = *rc::gen::inRange(0, 4);
-    request.owner = *rc::gen::inRange(-1, 2);
-    request.path = RandomPath(kClasses[static_cast<std::size_t>(request.cls)]);
+    request.class_index = *rc::gen::inRange(0, 4);
+    request.tenant_index = *rc::gen::inRange(-1, 2);
+    request.path = RandomPath(kClasses[static_cast<std::size_t>(request.class_index)]);
     for (const char* name : {"x", "y"}) {
       if (*rc::gen::inRange(0, 2)) request.headers[name] = std::string(1, *rc::gen::element('0', '1'));
     }
--- a/tests/support/routing_site.h
+++ b/tests/support/routing_site.h
@@ -63,16 +63,19 @@
 };
 
 struct TestRequest : routing::RequestView {
-  int cls = 0, owner = -1;
+  int class_index = 0, tenant_index = -1;
   std::string path = "/preview";
   std::map<std::string, std::string, std::less<>> headers;
 
   TestRequest() = default;
-  TestRequest(int class_index, std::string target, int tenant_index = -1,
+  TestRequest(int request_class_index, std::string target, int request_tenant_index = -1,
               std::map<std::string, std::string, std::less<>> header_values = {})
-      : cls(class_index), owner(tenant_index), path(std::move(target)), headers(std::move(header_values)) {}
-  int request_class() const override { return cls; }
-  int tenant() const override { return owner; }
+      : class_index(request_class_index),
+        tenant_index(request_tenant_index),
+        path(std::move(target)),
+        headers(std::move(header_values)) {}
+  int request_class() const override { return class_index; }
+  int tenant() const override { return tenant_index; }
   std::string_view target() const override { return path; }
   std::string_view Header(std::string_view name) const override {
     const auto found = headers.find(name);
