--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -17,9 +17,9 @@
 
 using operator_file::Diagnostics;
 using operator_file::FormatDuration;
-using routing::Chosen;
-using routing::Effective;
+using routing::EffectiveLimits;
 using routing::Origin;
+using routing::ResolvedLimit;
 using routing::Route;
 using routing::RouteTable;
 
@@ -54,7 +54,7 @@
   if (route.depth > 0) add("path=" + route.prefix);
   for (const Route::Header& header : route.headers) {
     const std::string& name = config.routes->header_names()[header.name];
-    add((name == routing::kTagName ? "tag" : name) + '=' + header.value);
+    add((name == routing::kTagHeader ? "tag" : name) + '=' + header.value);
   }
   if (!route.zones.empty()) add("zone=" + JoinNames(route.zones, config.site.zones));
   return text.empty() ? "any" : text;
@@ -146,7 +146,7 @@
                                              : " (defaults)");
 }
 
-std::string NamesText(const Chosen<routing::Names>& chosen, const std::string& fallback) {
+std::string NamesText(const ResolvedLimit<routing::Names>& chosen, const std::string& fallback) {
   if (!chosen.value) return fallback;
   std::string text;
   for (const auto& name : *chosen.value) text += (text.empty() ? "" : ", ") + name.value;
@@ -283,18 +283,18 @@
     out << "route      none matches: the class's limits hold\n";
   }
   const auto class_index = static_cast<std::size_t>(request.request_class());
-  const routing::LimitsBook book(config->spec, config->site, &diagnostics);
-  const Effective limits = book.Of(route, class_index);
+  const routing::LimitsResolver book(config->spec, config->site, &diagnostics);
+  const EffectiveLimits limits = book.Resolve(route, class_index);
   const auto& settings = config->site.settings;
   const Duration deadline = settings.classes[class_index].deadline;
   const auto line = [&](const char* name, const std::string& value, const auto& chosen) {
     out << std::left << std::setw(18) << name << "  " << std::setw(28) << value << "  "
         << OriginText(chosen.origin, chosen.at, command) << '\n';
   };
-  const auto time = [](const Chosen<Duration>& chosen, const std::string& fallback) {
+  const auto time = [](const ResolvedLimit<Duration>& chosen, const std::string& fallback) {
     return chosen.value ? FormatDuration(*chosen.value) : fallback;
   };
-  const auto integer = [](const Chosen<std::int64_t>& chosen, const std::string& fallback) {
+  const auto integer = [](const ResolvedLimit<std::int64_t>& chosen, const std::string& fallback) {
     return chosen.value ? std::to_string(*chosen.value) : fallback;
   };
   line("attempt_timeout", time(limits.attempt_timeout, "what is left"), limits.attempt_timeout);
--- a/src/control_plane/control_node.cpp
+++ b/src/control_plane/control_node.cpp
@@ -256,7 +256,7 @@
   // Clears the loads that other members hold from an earlier process of this member.
   if (!std::exchange(loads_reset_sent_, true)) SendToMembers(wire::LoadReport{});
   LoadSharing::Updates updates = loads_.Tick(Now(), publisher_.zones());
-  replica_.set_proxies(loads_.board().ProxiesHere());
+  replica_.set_proxies(loads_.board().LocalProxies());
   if (updates.to_members) SendToMembers(*updates.to_members);
   for (auto& [zone, summary] : updates.to_zones) publisher_.SendToZone(zone, std::move(summary));
 }
@@ -274,7 +274,7 @@
   }
   if (Now() - *leading_since_ < settings_.bounds.lease + kStageOrderMargin || Now() < next_plan_at_) return;
   next_plan_at_ = Now() + kPlanInterval;
-  const auto demands = loads_.board().Everywhere().demands;
+  const auto demands = loads_.board().TotalReport().demands;
   for (const wire::Demand& demand : demands) {
     spdlog::debug("demand service={} reading_ms_per_s={} generating_ms_per_s={}", demand.service,
                   demand.prefill_ms_per_s, demand.decode_ms_per_s);
@@ -358,10 +358,10 @@
   }
 }
 
-distribution::Published ControlNode::CurrentlyPublished() {
+distribution::PublishedState ControlNode::CurrentlyPublished() {
   const Time now = Now();
   UpdateConfigurationHistory();
-  distribution::Published published;
+  distribution::PublishedState published;
   if (const wire::RecordPtr record = replica_.committed(); record && !record->configuration.empty()) {
     published.version = record->version;
     published.configuration = [record] {
--- a/src/control_plane/load_sharing.cpp
+++ b/src/control_plane/load_sharing.cpp
@@ -12,12 +12,12 @@
 }
 
 LoadSharing::Updates LoadSharing::Tick(Time now, const std::set<std::string>& zones) {
-  board_.Forget(now);
+  board_.DropTimedOut(now);
   Updates updates;
   updates.to_members = ChangesForMembers(now);
   std::erase_if(feeds_, [&zones](const auto& entry) { return !zones.contains(entry.first); });
   if (zones.empty()) return updates;
-  const std::vector<wire::BackendLoad> all_loads = board_.Everywhere().loads;
+  const std::vector<wire::BackendLoad> all_loads = board_.TotalReport().loads;
   for (const std::string& zone : zones) {
     if (auto summary = SummaryFor(now, zone, all_loads)) updates.to_zones.emplace(zone, std::move(*summary));
   }
@@ -25,7 +25,7 @@
 }
 
 std::optional<wire::LoadChanges> LoadSharing::ChangesForMembers(Time now) {
-  wire::LoadReport local = board_.Here();
+  wire::LoadReport local = board_.LocalReport();
   wire::LoadChanges changes;
   changes.loads = to_members_.Next(now, local.loads);
   changes.proxies = local.proxies;
@@ -54,7 +54,7 @@
 wire::LoadSummary LoadSharing::FullSummary(const std::string& zone) const {
   const auto feed = feeds_.find(zone);
   if (feed == feeds_.end()) return {{}, true};
-  return feed->second.feed.Whole();
+  return feed->second.feed.FullSummary();
 }
 
 }  // namespace kestrelline::control_plane
--- a/src/data_plane/edge_node.cpp
+++ b/src/data_plane/edge_node.cpp
@@ -65,7 +65,7 @@
           },
           [this](const wire::LoadSummary& summary) {
             state_.backends.ApplyLoadSummary(summary, DecisionTime());
-            load_mirror_.Take(summary);
+            load_mirror_.Apply(summary);
             publisher_.SendToAll(summary);
           },
           traffic_),
@@ -192,8 +192,8 @@
   const auto now_ms = std::chrono::duration_cast<milliseconds>(now.time_since_epoch());
   children_.ReportFromMember(now_ms, settings_.ip,
                              {state_.backends.ReportLoads(), state_.demand.Demands(DecisionTime(now)), 1});
-  children_.Forget(now_ms);
-  wire::LoadReport report = children_.Everywhere();
+  children_.DropTimedOut(now_ms);
+  wire::LoadReport report = children_.TotalReport();
   if (report.loads == reported_loads_ && now < load_report_due_at_) return;
   load_report_due_at_ = now + kLoadReportRepeatInterval;
   load_report_allowed_at_ = now + TimeToSend(report);
@@ -204,7 +204,7 @@
 void EdgeNode::OnChildMessage(mesh::Connection& connection, wire::Message message) {
   if (const auto* subscribe = std::get_if<wire::Subscribe>(&message.body)) {
     if (publisher_.Subscribe(connection, message.sender, *subscribe, CurrentlyPublished()))
-      connection.Send(mesh_.Encode(load_mirror_.Whole()));
+      connection.Send(mesh_.Encode(load_mirror_.FullSummary()));
   } else if (const auto* probe = std::get_if<wire::Probe>(&message.body)) {
     publisher_.NoteProbe(connection, *probe);
   } else if (auto* report = std::get_if<wire::LoadReport>(&message.body)) {
@@ -213,10 +213,10 @@
   }
 }
 
-distribution::Published EdgeNode::CurrentlyPublished() {
+distribution::PublishedState EdgeNode::CurrentlyPublished() {
   const auto since = std::chrono::duration_cast<milliseconds>(
       steady_clock::now() - last_composed_after_.value_or(steady_clock::time_point()));
-  distribution::Published published;
+  distribution::PublishedState published;
   published.version = configuration_.version_in_force();
   if (published.version > 0) published.configuration = [this] { return configuration_.Text(); };
   published.configurations = &configuration_.history();
--- a/src/distribution/load_feed.cpp
+++ b/src/distribution/load_feed.cpp
@@ -7,15 +7,15 @@
 namespace kestrelline::distribution {
 namespace {
 
-// Approximate cost of one more running request to those beside it: one token of each.
+// Approximate cost of one more running request to those beside it, in milliseconds: one token of each.
 constexpr double kRunningMs = 40;
 // Factor on the weight of backends near the receivers.
 constexpr double kNearWeight = 4;
 // Changes of reading time up to this are not sent.
 constexpr double kMinReadingMs = 3;
 
-double Difference(std::uint32_t one, std::uint32_t other) {
-  return std::abs(static_cast<double>(one) - static_cast<double>(other));
+double Difference(std::uint32_t a, std::uint32_t b) {
+  return std::abs(static_cast<double>(a) - static_cast<double>(b));
 }
 
 // The urgency of an update; 0 if it is too small to be sent.
@@ -37,17 +37,17 @@
   allowance_ = std::min(options_.burst_bytes, allowance_ + options_.bytes_per_s * seconds);
 }
 
-std::size_t LoadFeed::Room() const {
+std::size_t LoadFeed::MessageCapacity() const {
   return allowance_ <= kMessageBytes ? 0
                                      : static_cast<std::size_t>((allowance_ - kMessageBytes) / kLoadBytes);
 }
 
 std::vector<LoadFeed::Change> LoadFeed::Changes(const std::vector<wire::BackendLoad>& loads,
-                                                const BackendSet& near) const {
+                                                const BackendSet& nearby) const {
   std::vector<Change> changes;
   const auto add = [&](const wire::BackendLoad& sent, const wire::BackendLoad& now) {
     const double weight = WeightOf(sent, now);
-    if (weight > 0) changes.push_back({near.contains(now.backend) ? kNearWeight * weight : weight, now});
+    if (weight > 0) changes.push_back({nearby.contains(now.backend) ? kNearWeight * weight : weight, now});
   };
   // Both sequences are in order of backends. A backend that is missing in `loads` has become idle.
   const LoadMirror::Loads& all_sent = sent_.loads();
@@ -74,7 +74,7 @@
   auto next =
       std::upper_bound(loads.begin(), loads.end(), repeated_,
                        [](std::uint64_t key, const wire::BackendLoad& load) { return key < load.backend; });
-  for (; repeats_due_ >= 1 && chosen.size() < Room(); repeats_due_ -= 1) {
+  for (; repeats_due_ >= 1 && chosen.size() < MessageCapacity(); repeats_due_ -= 1) {
     if (next == loads.end()) next = loads.begin();
     repeated_ = next->backend;
     chosen.push_back(*next++);
@@ -82,17 +82,17 @@
 }
 
 std::vector<wire::BackendLoad> LoadFeed::Next(Time now, const std::vector<wire::BackendLoad>& loads,
-                                              const BackendSet& near) {
+                                              const BackendSet& nearby) {
   Refill(now);
-  std::vector<Change> changes = Changes(loads, near);
-  const std::size_t count = std::min(changes.size(), Room());
-  const auto heavier = [](const Change& one, const Change& other) { return one.weight > other.weight; };
+  std::vector<Change> changes = Changes(loads, nearby);
+  const std::size_t count = std::min(changes.size(), MessageCapacity());
+  const auto heavier = [](const Change& a, const Change& b) { return a.weight > b.weight; };
   std::partial_sort(changes.begin(), changes.begin() + static_cast<std::ptrdiff_t>(count), changes.end(),
                     heavier);
   std::vector<wire::BackendLoad> chosen;
   for (std::size_t i = 0; i < count; ++i) chosen.push_back(changes[i].load);
   AddRepeats(now, loads, chosen);
-  sent_.Take(chosen);
+  sent_.Apply(chosen);
   if (!chosen.empty()) allowance_ -= kMessageBytes + kLoadBytes * static_cast<double>(chosen.size());
   return chosen;
 }
--- a/src/distribution/load_mirror.cpp
+++ b/src/distribution/load_mirror.cpp
@@ -3,12 +3,12 @@
 
 namespace kestrelline::distribution {
 
-void LoadMirror::Take(const wire::LoadSummary& summary) {
+void LoadMirror::Apply(const wire::LoadSummary& summary) {
   if (summary.whole) loads_.clear();
-  Take(summary.loads);
+  Apply(summary.loads);
 }
 
-void LoadMirror::Take(const std::vector<wire::BackendLoad>& changes) {
+void LoadMirror::Apply(const std::vector<wire::BackendLoad>& changes) {
   for (const wire::BackendLoad& load : changes) {
     if (load.idle()) {
       loads_.erase(load.backend);
@@ -18,7 +18,7 @@
   }
 }
 
-wire::LoadSummary LoadMirror::Whole() const {
+wire::LoadSummary LoadMirror::FullSummary() const {
   wire::LoadSummary summary;
   summary.whole = true;
   for (const auto& [backend, load] : loads_) summary.loads.push_back(load);
--- a/src/management/commands.cpp
+++ b/src/management/commands.cpp
@@ -4,7 +4,7 @@
 namespace kestrelline::management {
 namespace {
 
-using lifecycle::Done;
+using lifecycle::CommandResult;
 using lifecycle::State;
 
 std::string Line(const char* status, std::string_view text) {
@@ -14,13 +14,13 @@
 std::string Nak(std::string_view text) { return Line("NAK", text); }
 
 // `changed`: the text if the operation changed the state; `unchanged`: if it was in effect already.
-std::string AnswerFor(Done result, std::string_view changed, std::string_view unchanged) {
+std::string AnswerFor(CommandResult result, std::string_view changed, std::string_view unchanged) {
   switch (result) {
-    case Done::kDone:
+    case CommandResult::kDone:
       return Ack(changed);
-    case Done::kAlready:
+    case CommandResult::kNoChange:
       return Ack(unchanged);
-    case Done::kStopping:
+    case CommandResult::kStopping:
       break;
   }
   return Nak("stopping");
--- a/src/management/commands.h
+++ b/src/management/commands.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-#include "lifecycle/life.h"
+#include "lifecycle/process_lifecycle.h"
 
 namespace kestrelline::management {
 
@@ -22,8 +22,8 @@
  public:
   virtual ~Operations() = default;
   virtual lifecycle::State state() const = 0;
-  virtual lifecycle::Done Drain() = 0;
-  virtual lifecycle::Done Resume() = 0;
+  virtual lifecycle::CommandResult Drain() = 0;
+  virtual lifecycle::CommandResult Resume() = 0;
   // The metrics in Prometheus text format.
   virtual std::string MetricsText() const = 0;
   // This proxy's view of its peers as one JSON object; empty if peers are disabled.
--- a/src/proxy/clients.cpp
+++ b/src/proxy/clients.cpp
@@ -65,7 +65,7 @@
 
 void Clients::Accept() {
   accept_blocked_ = false;
-  if (accepting_ || !acceptor_.is_open() || !life_.Accepts(Steady::now())) return;
+  if (accepting_ || !acceptor_.is_open() || !life_.AcceptsConnections(Steady::now())) return;
   if (sessions_.size() >= limits_.max() && !EvictConnection()) {
     accept_blocked_ = true;  // further connections wait in the kernel's queue
     return;
@@ -183,7 +183,7 @@
 // unread bytes resets it, which could destroy the response.
 void Clients::CheckDrained() {
   const auto now = Steady::now();
-  const bool accepts = life_.Accepts(now);
+  const bool accepts = life_.AcceptsConnections(now);
   if (!accepts && acceptor_.is_open()) {
     const bool own = config_.inherited_listener < 0;
     if (own) AcceptBacklog();
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -19,7 +19,7 @@
 #include "backends.h"
 #include "clock.h"
 #include "config.h"
-#include "lifecycle/life.h"
+#include "lifecycle/process_lifecycle.h"
 #include "management/metrics.h"
 
 namespace kestrelline::proxy {
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -80,7 +80,8 @@
       life_, figures_, bodies_, *this);
   if (!config_.known.members.empty()) AwaitFreshList();
   if (!config_.sibling_folder.empty()) {
-    sibling_processes_ = std::make_unique<kestrelline::pair::Registry>(config_.sibling_folder, config_.name);
+    sibling_processes_ =
+        std::make_unique<kestrelline::shared_limits::ProcessRegistry>(config_.sibling_folder, config_.name);
     if (!sibling_processes_->joined()) {
       std::fprintf(stderr, "kestrelline: cannot share limits with other processes: %s\n",
                    sibling_processes_->why().c_str());
@@ -107,11 +108,11 @@
 }
 
 void Proxy::OnListReceived() {
-  if (life_.Listed()) OnLifecycleChange();
+  if (life_.BackendListReceived()) OnLifecycleChange();
 }
 
 void Proxy::OnReplicaReady() {
-  if (life_.CopiesCame()) OnLifecycleChange();
+  if (life_.CopiesReceived()) OnLifecycleChange();
 }
 
 void Proxy::OnShare(double share, Steady::time_point until, double after) {
@@ -125,18 +126,19 @@
 
 void Proxy::OnLifecycleChange() { clients_->OnLifecycleChange(); }
 
-kestrelline::lifecycle::Done Proxy::Drain() {
+kestrelline::lifecycle::CommandResult Proxy::Drain() {
   const auto done = life_.Drain(Steady::now());
-  if (done == kestrelline::lifecycle::Done::kDone) std::fprintf(stderr, "kestrelline: draining\n");
-  if (done == kestrelline::lifecycle::Done::kDone && peers_.leave) peers_.leave();
+  if (done == kestrelline::lifecycle::CommandResult::kDone) std::fprintf(stderr, "kestrelline: draining\n");
+  if (done == kestrelline::lifecycle::CommandResult::kDone && peers_.leave) peers_.leave();
   OnLifecycleChange();
   return done;
 }
 
-kestrelline::lifecycle::Done Proxy::Resume() {
+kestrelline::lifecycle::CommandResult Proxy::Resume() {
   const auto done = life_.Resume();
-  if (done == kestrelline::lifecycle::Done::kDone) std::fprintf(stderr, "kestrelline: no longer draining\n");
-  if (done == kestrelline::lifecycle::Done::kDone && peers_.rejoin) peers_.rejoin();
+  if (done == kestrelline::lifecycle::CommandResult::kDone)
+    std::fprintf(stderr, "kestrelline: no longer draining\n");
+  if (done == kestrelline::lifecycle::CommandResult::kDone && peers_.rejoin) peers_.rejoin();
   OnLifecycleChange();
   return done;
 }
@@ -146,14 +148,15 @@
          (peers_.figures ? peers_.figures() : std::string());
 }
 
-// Divides descriptors and memory with other processes of this proxy; see pair/share.h.
+// Divides descriptors and memory with other processes of this proxy; see shared_limits/process_limits.h.
 void Proxy::ShareLimits() {
-  kestrelline::pair::Usage own;
+  kestrelline::shared_limits::ProcessUsage own;
   own.descriptors = static_cast<int>(clients_->connections() + backends_->connections()) + kOtherDescriptors +
                     (management_endpoint_ ? static_cast<int>(management_endpoint_->connections()) : 0);
-  own.leaving = life_.Stopping();
+  own.stopping = life_.Stopping();
   sibling_processes_->Publish(own);
-  const auto allowance = kestrelline::pair::AllowanceOf(config_.sockets, own, sibling_processes_->Others());
+  const auto allowance =
+      kestrelline::shared_limits::ComputeLimits(config_.sockets, own, sibling_processes_->Others());
   shares_ = SharesOf(config_, allowance.descriptors);
   backends_->TrimIdle();
   clients_->SetMemoryShare(allowance.memory);
@@ -167,12 +170,12 @@
 void Proxy::Reload(const Config& config) { discovery_->Move(config.discovery); }
 
 void Proxy::Stop(std::function<void()> done) {
-  if (life_.Stop(Steady::now()) != kestrelline::lifecycle::Done::kDone) return;
+  if (life_.Stop(Steady::now()) != kestrelline::lifecycle::CommandResult::kDone) return;
   if (peers_.leave) {
     // If another process continues under the name of this proxy, the proxy does not leave its peers.
     bool taken_over = false;
     if (sibling_processes_)
-      for (const auto& other : sibling_processes_->Others()) taken_over |= !other.leaving;
+      for (const auto& other : sibling_processes_->Others()) taken_over |= !other.stopping;
     if (taken_over) {
       peers_.hand_over();
       done = [this, done = std::move(done)] { peers_.await_handover(done); };
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -26,14 +26,14 @@
 #include "discovery.h"
 #include "handover/last_byte.h"
 #include "kestrelline/balancer.h"
-#include "lifecycle/life.h"
+#include "lifecycle/process_lifecycle.h"
 #include "management/endpoint.h"
 #include "management/metrics.h"
 #include "members.h"
-#include "pair/registry.h"
 #include "plugin/tagger.h"
 #include "replica/claims.h"
 #include "routing/table.h"
+#include "shared_limits/process_registry.h"
 
 namespace kestrelline::proxy {
 
@@ -124,8 +124,8 @@
 
   // management::Operations: commands of the management interface.
   kestrelline::lifecycle::State state() const override { return life_.state(); }
-  kestrelline::lifecycle::Done Drain() override;
-  kestrelline::lifecycle::Done Resume() override;
+  kestrelline::lifecycle::CommandResult Drain() override;
+  kestrelline::lifecycle::CommandResult Resume() override;
   std::string MetricsText() const override;
   std::string PeersText() const override { return peers_.report ? peers_.report() : std::string(); }
   std::string ReplicaText() const override { return peers_.replica ? peers_.replica() : std::string(); }
@@ -196,8 +196,8 @@
   std::unique_ptr<Clients> clients_;
   std::unique_ptr<Discovery> discovery_;
   std::unique_ptr<kestrelline::management::ManagementEndpoint>
-      management_endpoint_;                                         // null: no management interface
-  std::unique_ptr<kestrelline::pair::Registry> sibling_processes_;  // null: single process
+      management_endpoint_;  // null: no management interface
+  std::unique_ptr<kestrelline::shared_limits::ProcessRegistry> sibling_processes_;  // null: single process
   boost::asio::steady_timer list_timer_, sharing_timer_;
 };
 
--- a/src/proxy/session.cpp
+++ b/src/proxy/session.cpp
@@ -81,8 +81,8 @@
 void Session::CloseIfDraining(Steady::time_point now) {
   const auto& life = owner_->life_;
   if (state_ == State::kAwaitingRequest) {
-    if (life.EndsIdle(now, state_since_, serial_) && Idle()) Close();
-  } else if (state_ == State::kReading && life.EndsHalfRead(now, state_since_)) {
+    if (life.ClosesIdle(now, state_since_, serial_) && Idle()) Close();
+  } else if (state_ == State::kReading && life.ClosesIncomplete(now, state_since_)) {
     Error ignored;
     socket_.cancel(ignored);
     Reject(http::status::service_unavailable, kNotAccepting);
@@ -315,7 +315,7 @@
   const auto upload = upload_;
   const auto now = Steady::now();
   // The backend has not received the complete request.
-  if (last && !owner_->life_.Takes(now, now + upload->deadline()))
+  if (last && !owner_->life_.AcceptsRequest(now, now + upload->deadline()))
     return AbortUpload(http::status::service_unavailable, kNotAccepting);
   body_complete_ = last;
   upload->Add(std::exchange(body, {}), last, now);
@@ -369,7 +369,7 @@
     return std::nullopt;
   }
   // The end of an incomplete body is not known.
-  if (!owner_->life_.Takes(at, whole ? request.due : Steady::time_point::max())) {
+  if (!owner_->life_.AcceptsRequest(at, whole ? request.due : Steady::time_point::max())) {
     Reject(http::status::service_unavailable, kNotAccepting);
     return std::nullopt;
   }
@@ -453,7 +453,7 @@
   if (!whole) close_after_response_ = true;  // the rest of the request would follow
   // Near the connection limit, idle kept-alive clients would keep their places for evict_idle, while new
   // clients time out in the kernel's queue.
-  close_after_response_ |= owner_->life_.Leaving() || owner_->NearConnectionLimit();
+  close_after_response_ |= owner_->life_.ClosesAfterResponse() || owner_->NearConnectionLimit();
   Error ignored;
   socket_.cancel(ignored);  // the wait of WatchForDisconnect
 }
--- a/src/replica/settings.cpp
+++ b/src/replica/settings.cpp
@@ -78,7 +78,7 @@
     if (!claim)
       diagnostics->Add(spec.claim->at, "claim",
                        "claim is '" + spec.claim->value + "'; accepted are none, tell, and wait 1 to wait " +
-                           std::to_string(routing::kMostAcknowledgements));
+                           std::to_string(routing::kMaxAcknowledgements));
     settings.claim = claim.value_or(-1);
   }
   if (spec.within) {
--- a/src/routing/limits.cpp
+++ b/src/routing/limits.cpp
@@ -17,10 +17,10 @@
 
 // Returns the most specific value of a limit.
 template <typename T>
-Chosen<T> Choose(const Maybe<T> LimitsSpec::*member, const LimitsSpec* route, const LimitsSpec* of_class,
-                 const LimitsSpec& defaults) {
+ResolvedLimit<T> Choose(const Maybe<T> LimitsSpec::*member, const LimitsSpec* route,
+                        const LimitsSpec* class_limits, const LimitsSpec& defaults) {
   const std::pair<const LimitsSpec*, Origin> order[] = {
-      {route, Origin::kRoute}, {of_class, Origin::kClass}, {&defaults, Origin::kDefaults}};
+      {route, Origin::kRoute}, {class_limits, Origin::kClass}, {&defaults, Origin::kDefaults}};
   for (const auto& [limits, origin] : order) {
     if (limits && (limits->*member)) return {&(limits->*member)->value, origin, (limits->*member)->at};
   }
@@ -32,38 +32,38 @@
   return std::max(limits, [](const auto& a, const auto& b) { return a < b; }).second;
 }
 template <typename T>
-std::pair<Origin, Position> OriginAndPosition(const Chosen<T>& chosen) {
-  return {chosen.origin, chosen.at};
+std::pair<Origin, Position> OriginAndPosition(const ResolvedLimit<T>& limit) {
+  return {limit.origin, limit.at};
 }
 
-// Null if the word is not an accepted value of `retry_on`.
-const RetryWord* FindRetryWord(std::string_view word) {
+// Null if `name` is not an accepted value of `retry_on`.
+const RetryCondition* FindRetryCondition(std::string_view name) {
   const auto* const match =
-      std::find_if(std::begin(kRetryWords), std::end(kRetryWords),
-                   [&](const RetryWord& retry_word) { return retry_word.word == word; });
-  return match == std::end(kRetryWords) ? nullptr : match;
+      std::find_if(std::begin(kRetryConditions), std::end(kRetryConditions),
+                   [&](const RetryCondition& condition) { return condition.name == name; });
+  return match == std::end(kRetryConditions) ? nullptr : match;
 }
 
 void CheckKeywords(const LimitsSpec& limits, Diagnostics* diagnostics) {
-  if (limits.affinity && std::find(std::begin(kAffinityWords), std::end(kAffinityWords),
-                                   limits.affinity->value) == std::end(kAffinityWords)) {
+  if (limits.affinity && std::find(std::begin(kAffinityValues), std::end(kAffinityValues),
+                                   limits.affinity->value) == std::end(kAffinityValues)) {
     diagnostics->Add(limits.affinity->at, "affinity",
                      "affinity is '" + limits.affinity->value + "'; accepted are " +
-                         operator_file::JoinNames({std::begin(kAffinityWords), std::end(kAffinityWords)}));
+                         operator_file::JoinNames({std::begin(kAffinityValues), std::end(kAffinityValues)}));
   }
   if (limits.claim && !ParseClaim(limits.claim->value)) {
     diagnostics->Add(limits.claim->at, "claim",
                      "claim is '" + limits.claim->value + "'; accepted are none, tell, and wait 1 to wait " +
-                         std::to_string(kMostAcknowledgements));
+                         std::to_string(kMaxAcknowledgements));
   }
   if (!limits.retry_on) return;
   for (const auto& word : limits.retry_on->value) {
-    if (FindRetryWord(word.value)) continue;
+    if (FindRetryCondition(word.value)) continue;
     std::vector<std::string_view> accepted;
-    for (const RetryWord& retry_word : kRetryWords) accepted.push_back(retry_word.word);
+    for (const RetryCondition& condition : kRetryConditions) accepted.push_back(condition.name);
     const std::string nearest = diagnostics->Nearest(word.value, accepted);
     diagnostics->Add(word.at, "retry-on",
-                     "'" + word.value + "' is nothing to repeat after; accepted are " +
+                     "'" + word.value + "' is not a retry condition; accepted are " +
                          operator_file::JoinNames(accepted) +
                          (nearest.empty() ? "" : "; did you mean '" + nearest + "'?"));
   }
@@ -77,24 +77,24 @@
   constexpr std::string_view kWait = "wait ";
   if (!text.starts_with(kWait) || text.size() != kWait.size() + 1) return std::nullopt;
   const int acknowledgements = text.back() - '0';
-  return acknowledgements >= 1 && acknowledgements <= kMostAcknowledgements ? std::optional(acknowledgements)
-                                                                            : std::nullopt;
+  return acknowledgements >= 1 && acknowledgements <= kMaxAcknowledgements ? std::optional(acknowledgements)
+                                                                           : std::nullopt;
 }
 
 std::uint64_t IdOf(std::string_view kind, std::string_view name) {
-  std::uint64_t hash = hashing::kFnvStart;
+  std::uint64_t hash = hashing::kFnvOffsetBasis;
   for (const std::string_view part : {kind, std::string_view("\0", 1), name})
     hash = hashing::Fnv1a(part, hash);
   return hash;
 }
 
-bool Effective::empty() const {
+bool EffectiveLimits::empty() const {
   return !attempt_timeout.value && !patience.value && !pause.value && !second_copy_after.value &&
          !max_attempts.value && !max_in_flight.value && !affinity.value && !load_bound.value &&
          !retry_on.value && !retry_budgets.value && !claim.value;
 }
 
-LimitsBook::LimitsBook(const Spec& spec, const Site& site, Diagnostics* diagnostics)
+LimitsResolver::LimitsResolver(const Spec& spec, const Site& site, Diagnostics* diagnostics)
     : spec_(spec), site_(site), by_class_(site.classes.size()) {
   for (const BudgetSpec& budget : spec_.budgets) budgets_.emplace(budget.name.value, &budget);
   std::vector<std::string_view> class_names(site.classes.begin(), site.classes.end()), budget_names;
@@ -153,26 +153,26 @@
   for (const RouteSpec& route : spec_.routes) check(route.limits);
 }
 
-Effective LimitsBook::Of(const RouteSpec* route, std::size_t class_index) const {
-  const LimitsSpec* of_route = route ? &route->limits : nullptr;
-  const LimitsSpec* of_class = by_class_[class_index];
+EffectiveLimits LimitsResolver::Resolve(const RouteSpec* route, std::size_t class_index) const {
+  const LimitsSpec* route_limits = route ? &route->limits : nullptr;
+  const LimitsSpec* class_limits = by_class_[class_index];
   const LimitsSpec& defaults = spec_.defaults;
-  Effective limits;
-  limits.attempt_timeout = Choose(&LimitsSpec::attempt_timeout, of_route, of_class, defaults);
-  limits.patience = Choose(&LimitsSpec::patience, of_route, of_class, defaults);
-  limits.pause = Choose(&LimitsSpec::pause, of_route, of_class, defaults);
-  limits.second_copy_after = Choose(&LimitsSpec::second_copy_after, of_route, of_class, defaults);
-  limits.max_attempts = Choose(&LimitsSpec::max_attempts, of_route, of_class, defaults);
-  limits.max_in_flight = Choose(&LimitsSpec::max_in_flight, of_route, of_class, defaults);
-  limits.affinity = Choose(&LimitsSpec::affinity, of_route, of_class, defaults);
-  limits.load_bound = Choose(&LimitsSpec::load_bound, of_route, of_class, defaults);
-  limits.retry_on = Choose(&LimitsSpec::retry_on, of_route, of_class, defaults);
-  limits.retry_budgets = Choose(&LimitsSpec::retry_budgets, of_route, of_class, defaults);
-  limits.claim = Choose(&LimitsSpec::claim, of_route, of_class, defaults);
+  EffectiveLimits limits;
+  limits.attempt_timeout = Choose(&LimitsSpec::attempt_timeout, route_limits, class_limits, defaults);
+  limits.patience = Choose(&LimitsSpec::patience, route_limits, class_limits, defaults);
+  limits.pause = Choose(&LimitsSpec::pause, route_limits, class_limits, defaults);
+  limits.second_copy_after = Choose(&LimitsSpec::second_copy_after, route_limits, class_limits, defaults);
+  limits.max_attempts = Choose(&LimitsSpec::max_attempts, route_limits, class_limits, defaults);
+  limits.max_in_flight = Choose(&LimitsSpec::max_in_flight, route_limits, class_limits, defaults);
+  limits.affinity = Choose(&LimitsSpec::affinity, route_limits, class_limits, defaults);
+  limits.load_bound = Choose(&LimitsSpec::load_bound, route_limits, class_limits, defaults);
+  limits.retry_on = Choose(&LimitsSpec::retry_on, route_limits, class_limits, defaults);
+  limits.retry_budgets = Choose(&LimitsSpec::retry_budgets, route_limits, class_limits, defaults);
+  limits.claim = Choose(&LimitsSpec::claim, route_limits, class_limits, defaults);
   return limits;
 }
 
-int LimitsBook::MaxAttempts(const Effective& limits) const {
+int LimitsResolver::MaxAttempts(const EffectiveLimits& limits) const {
   if (limits.retry_on.value && limits.retry_on.value->empty()) return 1;
   const int platform = site_.settings.max_attempts;
   return limits.max_attempts.value
@@ -180,20 +180,21 @@
              : platform;
 }
 
-void LimitsBook::Check(const Effective& limits, std::size_t class_index, Diagnostics* diagnostics) const {
+void LimitsResolver::Check(const EffectiveLimits& limits, std::size_t class_index,
+                           Diagnostics* diagnostics) const {
   CheckRepeats(limits, class_index, diagnostics);
   CheckTimes(limits, class_index, diagnostics);
   CheckCopies(limits, class_index, diagnostics);
 }
 
-void LimitsBook::CheckRepeats(const Effective& limits, std::size_t class_index,
-                              Diagnostics* diagnostics) const {
+void LimitsResolver::CheckRepeats(const EffectiveLimits& limits, std::size_t class_index,
+                                  Diagnostics* diagnostics) const {
   const ClassSettings& class_settings = site_.settings.classes[class_index];
   const std::string& name = site_.classes[class_index];
   if (class_settings.effect == Effect::kUnsafe && limits.retry_on.value) {
     for (const auto& word : *limits.retry_on.value) {
-      const RetryWord* retry_word = FindRetryWord(word.value);
-      if (!retry_word || !retry_word->may_have_run) continue;
+      const RetryCondition* condition = FindRetryCondition(word.value);
+      if (!condition || !condition->may_have_run) continue;
       diagnostics->Add(word.at, "unsafe-repeat",
                        "retry_on '" + word.value + "' would repeat class " + name +
                            ", which must never run twice, after an attempt that may have run; accepted are "
@@ -220,8 +221,8 @@
                        " is accepted");
 }
 
-void LimitsBook::CheckTimes(const Effective& limits, std::size_t class_index,
-                            Diagnostics* diagnostics) const {
+void LimitsResolver::CheckTimes(const EffectiveLimits& limits, std::size_t class_index,
+                                Diagnostics* diagnostics) const {
   const Duration deadline = site_.settings.classes[class_index].deadline;
   const std::string& name = site_.classes[class_index];
   const auto client_deadline = "class " + name + "'s clients wait " + FormatDuration(deadline);
@@ -257,8 +258,8 @@
                                               " or less is accepted"));
 }
 
-void LimitsBook::CheckCopies(const Effective& limits, std::size_t class_index,
-                             Diagnostics* diagnostics) const {
+void LimitsResolver::CheckCopies(const EffectiveLimits& limits, std::size_t class_index,
+                                 Diagnostics* diagnostics) const {
   if (!limits.second_copy_after.value) return;
   const ClassSettings& class_settings = site_.settings.classes[class_index];
   const std::string& name = site_.classes[class_index];
@@ -269,15 +270,15 @@
         "asks for a second copy of class " + name + ", which " +
             (class_settings.effect == Effect::kUnsafe ? "must never run twice"
                                                       : "is keyed: two copies at once are two effects") +
-            "; accepted for classes that are safe to repeat alone");
+            "; accepted only for classes that are safe to repeat");
   } else if (!site_.settings.parallel_tries) {
     diagnostics->Add(at, "second-copy",
                      "asks for a second copy of class " + name +
-                         ", but the platform allows none (permissions.parallelTries is false); accepted is "
-                         "no second_copy_after");
+                         ", but the platform allows none (permissions.parallelTries is false); remove "
+                         "second_copy_after");
   } else if (MaxAttempts(limits) < 2) {
     diagnostics->Add(at, "second-copy",
-                     "class " + name + " has one attempt: a second copy needs max_attempts = 2 at the least");
+                     "class " + name + " has one attempt: a second copy needs max_attempts = 2 or more");
   } else {
     const Duration timeout =
         limits.attempt_timeout.value ? *limits.attempt_timeout.value : class_settings.deadline;
@@ -285,14 +286,14 @@
     diagnostics->Add(at, "second-copy",
                      "class " + name + ": a second copy after " +
                          FormatDuration(*limits.second_copy_after.value) +
-                         " never goes out, as an attempt ends after " + FormatDuration(timeout) +
+                         " is never sent, because an attempt ends after " + FormatDuration(timeout) +
                          "; less than that is accepted");
   }
 }
 
-RouteLimits LimitsBook::Compile(const Effective& limits, std::uint64_t id) const {
-  const auto duration_or_zero = [](const Chosen<Duration>& chosen) {
-    return chosen.value ? *chosen.value : Duration(0);
+RouteLimits LimitsResolver::Compile(const EffectiveLimits& limits, std::uint64_t id) const {
+  const auto duration_or_zero = [](const ResolvedLimit<Duration>& limit) {
+    return limit.value ? *limit.value : Duration(0);
   };
   RouteLimits compiled;
   compiled.route = id;
@@ -310,8 +311,8 @@
     // answer to which `retry_on` could apply.
     compiled.retry_on = RouteLimits::RetryAfter(Outcome::kMoot);
     for (const auto& word : *limits.retry_on.value) {
-      if (const RetryWord* retry_word = FindRetryWord(word.value))
-        compiled.retry_on |= RouteLimits::RetryAfter(retry_word->outcome);
+      if (const RetryCondition* condition = FindRetryCondition(word.value))
+        compiled.retry_on |= RouteLimits::RetryAfter(condition->outcome);
     }
   }
   if (limits.retry_budgets.value) {
--- a/src/routing/limits.h
+++ b/src/routing/limits.h
@@ -22,47 +22,48 @@
 enum class Origin { kPlatform, kDefaults, kClass, kRoute };
 
 template <typename T>
-struct Chosen {
+struct ResolvedLimit {
   const T* value = nullptr;  // null: the value of the platform applies
   Origin origin = Origin::kPlatform;
   Position at;  // position in the operator's file
 };
 
 // The limits in effect for one route and class. Points into the Spec, which must outlive it.
-struct Effective {
-  Chosen<Duration> attempt_timeout, patience, pause, second_copy_after;
-  Chosen<std::int64_t> max_attempts, max_in_flight;
-  Chosen<std::string> affinity, claim;
-  Chosen<double> load_bound;
-  Chosen<Names> retry_on, retry_budgets;
+struct EffectiveLimits {
+  ResolvedLimit<Duration> attempt_timeout, patience, pause, second_copy_after;
+  ResolvedLimit<std::int64_t> max_attempts, max_in_flight;
+  ResolvedLimit<std::string> affinity, claim;
+  ResolvedLimit<double> load_bound;
+  ResolvedLimit<Names> retry_on, retry_budgets;
 
   bool empty() const;  // every limit is that of the platform
 };
 
-class LimitsBook {
+class LimitsResolver {
  public:
   // Validates budgets, and the names of classes and budgets. `spec` and `site` must outlive this object.
-  LimitsBook(const Spec& spec, const Site& site, operator_file::Diagnostics* diagnostics);
+  LimitsResolver(const Spec& spec, const Site& site, operator_file::Diagnostics* diagnostics);
 
   // Returns the limits of a route for requests of a class, or, if `route` is null, of requests of that class
   // that match no route. `class_index` is an index into Site::classes.
-  Effective Of(const RouteSpec* route, std::size_t class_index) const;
+  EffectiveLimits Resolve(const RouteSpec* route, std::size_t class_index) const;
 
   // Reports limits that the rules or the platform forbid.
-  void Check(const Effective& limits, std::size_t class_index, operator_file::Diagnostics* diagnostics) const;
+  void Check(const EffectiveLimits& limits, std::size_t class_index,
+             operator_file::Diagnostics* diagnostics) const;
 
   // Converts limits to the form that the decision module takes. Requests with the same `id` share counters,
   // such as the number in flight.
-  kestrelline::RouteLimits Compile(const Effective& limits, std::uint64_t id) const;
+  kestrelline::RouteLimits Compile(const EffectiveLimits& limits, std::uint64_t id) const;
 
  private:
-  void CheckRepeats(const Effective& limits, std::size_t class_index,
+  void CheckRepeats(const EffectiveLimits& limits, std::size_t class_index,
                     operator_file::Diagnostics* diagnostics) const;
-  void CheckTimes(const Effective& limits, std::size_t class_index,
+  void CheckTimes(const EffectiveLimits& limits, std::size_t class_index,
                   operator_file::Diagnostics* diagnostics) const;
-  void CheckCopies(const Effective& limits, std::size_t class_index,
+  void CheckCopies(const EffectiveLimits& limits, std::size_t class_index,
                    operator_file::Diagnostics* diagnostics) const;
-  int MaxAttempts(const Effective& limits) const;
+  int MaxAttempts(const EffectiveLimits& limits) const;
 
   const Spec& spec_;
   const Site& site_;
@@ -75,25 +76,26 @@
 inline constexpr double kWindowMargin = 0.9;
 
 // Accepted values of `affinity`.
-inline constexpr std::string_view kAffinityWords[] = {"key", "none"};
+inline constexpr std::string_view kAffinityValues[] = {"key", "none"};
 // Default of `load_bound`: the maximum load of a server relative to its even share.
 inline constexpr double kLoadBound = 1.25;
 
-// Parses "none", "tell" or "wait K", K from 1 to kMostAcknowledgements, into the value of RouteLimits::claim.
+// Highest number of acknowledgements that `claim` may wait for.
+inline constexpr int kMaxAcknowledgements = 8;
+// Parses "none", "tell" or "wait K", K from 1 to kMaxAcknowledgements, into the value of RouteLimits::claim.
 // Returns nullopt for any other text.
-inline constexpr int kMostAcknowledgements = 8;
 std::optional<int> ParseClaim(std::string_view text);
 
 // Returns an id for a name in the file. It is the same at every proxy and after every reload.
 std::uint64_t IdOf(std::string_view kind, std::string_view name);
 
 // An accepted value of `retry_on` and the outcome of an attempt that it stands for.
-struct RetryWord {
-  std::string_view word;
+struct RetryCondition {
+  std::string_view name;
   kestrelline::Outcome outcome;
   bool may_have_run;  // whether the server may have executed the request
 };
-inline constexpr RetryWord kRetryWords[] = {
+inline constexpr RetryCondition kRetryConditions[] = {
     {"refused", kestrelline::Outcome::kFull, false},
     {"connect", kestrelline::Outcome::kConnectFailed, false},
     {"error", kestrelline::Outcome::kError, true},
--- a/src/pair/share.h
+++ b/src/shared_limits/process_limits.h
@@ -4,29 +4,29 @@
 //
 // The usage of the other process is known as of some milliseconds ago. The total is kept nevertheless: while
 // both use half or less, neither may exceed half, and a process that uses more than half can only shrink.
-#ifndef KESTRELLINE_PAIR_SHARE_H_
-#define KESTRELLINE_PAIR_SHARE_H_
+#ifndef KESTRELLINE_SHARED_LIMITS_PROCESS_LIMITS_H_
+#define KESTRELLINE_SHARED_LIMITS_PROCESS_LIMITS_H_
 
 #include <vector>
 
-namespace kestrelline::pair {
+namespace kestrelline::shared_limits {
 
 // The usage that a process publishes.
-struct Usage {
-  int descriptors = 0;   // open descriptors
-  bool leaving = false;  // it is shutting down and accepts no new work
+struct ProcessUsage {
+  int descriptors = 0;    // open descriptors
+  bool stopping = false;  // it is stopping and accepts no new requests
 };
 
 // The limits of a process.
-struct Allowance {
+struct ProcessLimits {
   int descriptors = 0;
   double memory = 1;  // share of the memory limit of the proxy
 };
 
 // Returns the limits of this process. `total` is the descriptor limit of all processes together; `others` are
 // the processes that run beside this one.
-Allowance AllowanceOf(int total, const Usage& own, const std::vector<Usage>& others);
+ProcessLimits ComputeLimits(int total, const ProcessUsage& own, const std::vector<ProcessUsage>& others);
 
-}  // namespace kestrelline::pair
+}  // namespace kestrelline::shared_limits
 
-#endif  // KESTRELLINE_PAIR_SHARE_H_
+#endif  // KESTRELLINE_SHARED_LIMITS_PROCESS_LIMITS_H_
--- a/tests/management/commands_test.cpp
+++ b/tests/management/commands_test.cpp
@@ -17,15 +17,15 @@
   lifecycle::ProcessLifecycle life;
   Metrics metrics{{"preview", "a\"b\\c\nd"}};
   lifecycle::State state() const override { return life.state(); }
-  lifecycle::Done Drain() override { return life.Drain({}); }
-  lifecycle::Done Resume() override { return life.Resume(); }
+  lifecycle::CommandResult Drain() override { return life.Drain({}); }
+  lifecycle::CommandResult Resume() override { return life.Resume(); }
   std::string MetricsText() const override { return metrics.Text({15, 2}); }
 };
 
 TEST(Commands, EachCommandHasADefinedAnswerInEachState) {
   Process process;
   EXPECT_EQ(HandleCommand("ready\n", process), "NAK starting\n");
-  process.life.Listed();
+  process.life.BackendListReceived();
   EXPECT_EQ(HandleCommand("ready\r\n", process), "ACK ready\n");
   EXPECT_EQ(HandleCommand("resume\n", process), "ACK was not draining\n");
   EXPECT_EQ(HandleCommand("drain\n", process), "ACK draining\n");
--- a/tests/plugin/section_test.cpp
+++ b/tests/plugin/section_test.cpp
@@ -135,7 +135,7 @@
   struct TaggedRequest : testing::TestRequest {
     std::string tag;
     std::string_view Header(std::string_view name) const override {
-      if (name == routing::kTagName && !tag.empty()) return tag;
+      if (name == routing::kTagHeader && !tag.empty()) return tag;
       return TestRequest::Header(name);
     }
   };
