--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -139,8 +139,8 @@
                                          [link] { return link->MetricsText(); },
                                          {},
                                          [link] { link->Leave(); },
-                                         [link] { link->Stay(); },
-                                         [link] { link->Gone(); },
+                                         [link] { link->CancelLeave(); },
+                                         [link] { link->AnnounceLeft(); },
                                          [link] { link->HandOver(); },
                                          [](const auto& done) { done(); }};
   if (replica_settings) {
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -84,7 +84,7 @@
         std::make_unique<kestrelline::shared_limits::ProcessRegistry>(config_.sibling_folder, config_.name);
     if (!sibling_processes_->joined()) {
       std::fprintf(stderr, "kestrelline: cannot share limits with other processes: %s\n",
-                   sibling_processes_->why().c_str());
+                   sibling_processes_->failure_reason().c_str());
       sibling_processes_.reset();
     } else {
       ShareLimits();
@@ -156,7 +156,7 @@
   own.stopping = life_.Stopping();
   sibling_processes_->Publish(own);
   const auto allowance =
-      kestrelline::shared_limits::ComputeLimits(config_.sockets, own, sibling_processes_->Others());
+      kestrelline::shared_limits::ComputeLimits(config_.sockets, own, sibling_processes_->OtherProcesses());
   shares_ = SharesOf(config_, allowance.descriptors);
   backends_->TrimIdle();
   clients_->SetMemoryShare(allowance.memory);
@@ -175,7 +175,7 @@
     // If another process continues under the name of this proxy, the proxy does not leave its peers.
     bool taken_over = false;
     if (sibling_processes_)
-      for (const auto& other : sibling_processes_->Others()) taken_over |= !other.stopping;
+      for (const auto& other : sibling_processes_->OtherProcesses()) taken_over |= !other.stopping;
     if (taken_over) {
       peers_.hand_over();
       done = [this, done = std::move(done)] { peers_.await_handover(done); };
